--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -23,11 +23,11 @@
 	b := start(t, nil)
 	c := b.dial(t).send(chat(goodChat, "Authorization: Bearer secret", "Idempotency-Key: k1", "Mimosa-Timeout-Ms: 1500"))
 	a := <-b.admitted
-	want := router.Arrive{
+	want := router.RequestArrived{
 		ID: "r1", Service: "m", KeySHA256: "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
 		IdempotencyKey: "k1", Priority: 2, Deadline: testNow.Add(1500 * time.Millisecond), PromptTokens: 2, MaxTokens: 7,
 	}
-	if diff := cmp.Diff(want, a.arrive, cmpopts.IgnoreFields(router.Arrive{}, "Fingerprint")); diff != "" || len(a.arrive.Fingerprint) != 64 {
+	if diff := cmp.Diff(want, a.arrive, cmpopts.IgnoreFields(router.RequestArrived{}, "Fingerprint")); diff != "" || len(a.arrive.Fingerprint) != 64 {
 		t.Fatal(diff)
 	}
 	wantChat := &engineapi.ChatRequest{Model: "m", Messages: []engineapi.Message{{Role: "user", Content: "hi"}}, MaxTokens: 7, Priority: 2}
--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -31,7 +31,7 @@
 }
 
 // readChat makes the call of a model request.
-func (x *exchange) readChat(ctx *fasthttp.RequestCtx, arrive *router.Arrive) *outcome.Error {
+func (x *exchange) readChat(ctx *fasthttp.RequestCtx, arrive *router.RequestArrived) *outcome.Error {
 	var body chatBody
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		return badRequest("body: " + err.Error())
--- a/adapter/caller/fake_test.go
+++ b/adapter/caller/fake_test.go
@@ -31,11 +31,11 @@
 }
 
 type admission struct {
-	arrive router.Arrive
+	arrive router.RequestArrived
 	call   *call.Call
 }
 
-func (g *gate) Admit(a router.Arrive, c *call.Call) *outcome.Error {
+func (g *gate) Admit(a router.RequestArrived, c *call.Call) *outcome.Error {
 	if g.refusal != nil {
 		return g.refusal
 	}
--- a/adapter/caller/options.go
+++ b/adapter/caller/options.go
@@ -21,7 +21,7 @@
 type Gate interface {
 	// Admit takes the request over, or refuses it at once. After nil the
 	// gate ends the call by Call.Finish.
-	Admit(router.Arrive, *call.Call) *outcome.Error
+	Admit(router.RequestArrived, *call.Call) *outcome.Error
 	// Gone tells, at most once a request, that the caller of an admitted
 	// request went away before its answer was whole. It may cross with the
 	// call's Finish.
--- a/adapter/caller/plain.go
+++ b/adapter/caller/plain.go
@@ -28,7 +28,7 @@
 }
 
 // readPlain makes the call of a plain service.
-func (x *exchange) readPlain(ctx *fasthttp.RequestCtx, arrive *router.Arrive, service, path string) *outcome.Error {
+func (x *exchange) readPlain(ctx *fasthttp.RequestCtx, arrive *router.RequestArrived, service, path string) *outcome.Error {
 	query := string(ctx.URI().QueryString())
 	if err := checkTarget(ctx, service, path, query); err != nil {
 		return err
--- a/adapter/caller/read.go
+++ b/adapter/caller/read.go
@@ -31,8 +31,8 @@
 const bearerScheme = "bearer"
 
 // read checks a request's form and makes its call.
-func (x *exchange) read(ctx *fasthttp.RequestCtx) (router.Arrive, *outcome.Error) {
-	arrive := router.Arrive{ID: x.id}
+func (x *exchange) read(ctx *fasthttp.RequestCtx) (router.RequestArrived, *outcome.Error) {
+	arrive := router.RequestArrived{ID: x.id}
 	if err := x.readHeaders(ctx, &arrive); err != nil {
 		return arrive, err
 	}
@@ -47,7 +47,7 @@
 }
 
 // readHeaders takes key, idempotency key and deadline.
-func (x *exchange) readHeaders(ctx *fasthttp.RequestCtx, arrive *router.Arrive) *outcome.Error {
+func (x *exchange) readHeaders(ctx *fasthttp.RequestCtx, arrive *router.RequestArrived) *outcome.Error {
 	var err *outcome.Error
 	if arrive.KeySHA256, err = bearerHash(ctx); err != nil {
 		return err
--- a/decide/router/admit.go
+++ b/decide/router/admit.go
@@ -18,7 +18,7 @@
 )
 
 // arrive admits a request to its service's queue or refuses it at once.
-func (r *Router) arrive(ev Arrive) {
+func (r *Router) arrive(ev RequestArrived) {
 	req := &request{arrive: ev, arrived: r.now}
 	if _, known := r.requests[ev.ID]; known {
 		return
--- a/decide/router/event.go
+++ b/decide/router/event.go
@@ -17,8 +17,8 @@
 // Event is one thing that happened, told to the Router by an adapter.
 type Event interface{ isEvent() }
 
-// Arrive is a new request whose body has been read whole and checked for form.
-type Arrive struct {
+// RequestArrived is a new request whose body has been read whole and checked for form.
+type RequestArrived struct {
 	ID      ids.Request
 	Service ids.Service
 	// Method and Path are those of a plain call; empty for a model request.
@@ -114,7 +114,7 @@
 // TickInterval is the pace of Tick.
 const TickInterval = 20 * time.Millisecond
 
-func (Arrive) isEvent()          {}
+func (RequestArrived) isEvent()  {}
 func (CallerGone) isEvent()      {}
 func (AttemptStarted) isEvent()  {}
 func (AttemptEnded) isEvent()    {}
--- a/decide/router/property_test.go
+++ b/decide/router/property_test.go
@@ -27,7 +27,7 @@
 type world struct {
 	t        *rapid.T
 	script   *script
-	arrived  map[ids.Request]Arrive
+	arrived  map[ids.Request]RequestArrived
 	finished map[ids.Request]*Finish
 	// flying holds the attempt in flight of each request.
 	flying map[ids.Request]Send
@@ -97,10 +97,10 @@
 // arrive begins a request of a random kind.
 func (w *world) arrive() {
 	id := ids.Request(fmt.Sprintf("r%d", len(w.arrived)))
-	kinds := []func(*Arrive){
+	kinds := []func(*RequestArrived){
 		nil, withKey, booking,
-		func(a *Arrive) { booking(a); withKey(a) },
-		func(a *Arrive) { booking(a); a.Method, a.Path = "GET", "/slots" },
+		func(a *RequestArrived) { booking(a); withKey(a) },
+		func(a *RequestArrived) { booking(a); a.Method, a.Path = "GET", "/slots" },
 	}
 	ev := arrive(id, rapid.SampledFrom(kinds).Draw(w.t, "kind"))
 	w.arrived[id] = ev
@@ -221,7 +221,7 @@
 func TestPromisesOverInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{
-			t: t, script: newScript(), arrived: make(map[ids.Request]Arrive),
+			t: t, script: newScript(), arrived: make(map[ids.Request]RequestArrived),
 			finished: make(map[ids.Request]*Finish), flying: make(map[ids.Request]Send),
 			mayHaveRun: make(map[ids.Request]bool), claiming: make(map[ids.Request]Claim),
 			won: make(map[ids.Request]ids.Attempt), releasing: make(map[ids.Request]bool), asking: make(map[ids.Request]bool),
--- a/decide/router/request.go
+++ b/decide/router/request.go
@@ -29,10 +29,10 @@
 
 // request is one request held by the node.
 type request struct {
-	arrive  Arrive
+	arrive  RequestArrived
 	account fleet.Account
 	svc     *service
-	// arrived is the time of Arrive; queued that of the last entry to the queue.
+	// arrived is the time of RequestArrived; queued that of the last entry to the queue.
 	arrived, queued time.Time
 	deadline        time.Time
 	// popped is the cost the queue counts in flight for this request; 0 when
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -81,7 +81,7 @@
 	r.now = now
 	r.out = r.out[:0]
 	switch ev := event.(type) {
-	case Arrive:
+	case RequestArrived:
 		r.arrive(ev)
 	case CallerGone:
 		r.callerGone(ev)
--- a/decide/router/router_test.go
+++ b/decide/router/router_test.go
@@ -234,15 +234,15 @@
 
 func TestRefusals(t *testing.T) {
 	for _, test := range []struct {
-		change func(*Arrive)
+		change func(*RequestArrived)
 		want   outcome.Reason
 	}{
-		{func(a *Arrive) { a.KeySHA256 = "wrong" }, outcome.Unauthorized},
-		{func(a *Arrive) { a.KeySHA256 = "" }, outcome.Unauthorized},
-		{func(a *Arrive) { a.Service = "nothing" }, outcome.UnknownService},
-		{func(a *Arrive) { a.Service = "booking" }, outcome.UnknownService},
-		{func(a *Arrive) { booking(a); a.Path = "/other" }, outcome.UnknownService},
-		{func(a *Arrive) { a.Deadline = epoch }, outcome.DeadlineExpired},
+		{func(a *RequestArrived) { a.KeySHA256 = "wrong" }, outcome.Unauthorized},
+		{func(a *RequestArrived) { a.KeySHA256 = "" }, outcome.Unauthorized},
+		{func(a *RequestArrived) { a.Service = "nothing" }, outcome.UnknownService},
+		{func(a *RequestArrived) { a.Service = "booking" }, outcome.UnknownService},
+		{func(a *RequestArrived) { booking(a); a.Path = "/other" }, outcome.UnknownService},
+		{func(a *RequestArrived) { a.Deadline = epoch }, outcome.DeadlineExpired},
 	} {
 		s := newScript()
 		s.step(arrive("r", test.change))
--- a/decide/router/script_test.go
+++ b/decide/router/script_test.go
@@ -145,9 +145,9 @@
 }
 
 // arrive makes a request of the known account.
-func arrive(id ids.Request, change func(*Arrive)) Arrive {
+func arrive(id ids.Request, change func(*RequestArrived)) RequestArrived {
 	key := sha256.Sum256([]byte("key"))
-	ev := Arrive{ID: id, Service: "drafts", KeySHA256: hex.EncodeToString(key[:]), Fingerprint: "f-" + string(id), MaxTokens: 10}
+	ev := RequestArrived{ID: id, Service: "drafts", KeySHA256: hex.EncodeToString(key[:]), Fingerprint: "f-" + string(id), MaxTokens: 10}
 	if change != nil {
 		change(&ev)
 	}
@@ -155,10 +155,10 @@
 }
 
 // withKey gives a request an idempotency key.
-func withKey(a *Arrive) { a.IdempotencyKey, a.Fingerprint = "k", "f" }
+func withKey(a *RequestArrived) { a.IdempotencyKey, a.Fingerprint = "k", "f" }
 
 // booking makes it a call of the plain service that may not be repeated.
-func booking(a *Arrive) { a.Service, a.Method, a.Path = "booking", "POST", "/bookings" }
+func booking(a *RequestArrived) { a.Service, a.Method, a.Path = "booking", "POST", "/bookings" }
 
 // ended makes the end of the newest attempt sent.
 func (s *script) ended(phase outcome.Phase, reason outcome.Reason) {
--- a/node/node.go
+++ b/node/node.go
@@ -244,7 +244,7 @@
 
 // Admit implements caller.Gate: it hands a request to the decision loop, or
 // refuses it at once when the loop's ring is full.
-func (n *Node) Admit(ev router.Arrive, work *call.Call) *outcome.Error {
+func (n *Node) Admit(ev router.RequestArrived, work *call.Call) *outcome.Error {
 	n.calls.add(work)
 	if err := n.events.Offer(ev); err != nil {
 		n.calls.remove(ev.ID)
--- a/scenario/capacity/router_test.go
+++ b/scenario/capacity/router_test.go
@@ -85,7 +85,7 @@
 // was sent.
 func (b *bench) request(i int) bool {
 	id := ids.Request(fmt.Sprintf("r-%d", i))
-	commands := b.step(router.Arrive{
+	commands := b.step(router.RequestArrived{
 		ID: id, Service: "mimosa-desk", KeySHA256: accountKey,
 		Fingerprint: string(id), PromptTokens: 200, MaxTokens: 200,
 	})
