--- a/decide/router/event.go
+++ b/decide/router/event.go
@@ -89,15 +89,15 @@
 	Reply    engineapi.CancelReply
 }
 
-// LoadSeen is an engine's report of itself, polled or relayed by a peer.
-type LoadSeen struct {
+// LoadReported is an engine's report of itself, polled or relayed by a peer.
+type LoadReported struct {
 	Report engineapi.LoadReport
 	// At is when the report was asked for on this node's clock: the engine lived then.
 	At time.Time
 }
 
-// LoadFailed tells that an engine did not answer a poll.
-type LoadFailed struct{ Upstream ids.Upstream }
+// LoadPollFailed tells that an engine did not answer a poll.
+type LoadPollFailed struct{ Upstream ids.Upstream }
 
 // VMsSeen is the platform's list of VMs.
 type VMsSeen struct{ List platformapi.VMList }
@@ -120,9 +120,9 @@
 func (AttemptEnded) isEvent()    {}
 func (ClaimEnded) isEvent()      {}
 func (ClaimReleased) isEvent()   {}
-func (LoadSeen) isEvent()        {}
+func (LoadReported) isEvent()    {}
 func (StreamCancelled) isEvent() {}
-func (LoadFailed) isEvent()      {}
+func (LoadPollFailed) isEvent()  {}
 func (VMsSeen) isEvent()         {}
 func (ConfigSeen) isEvent()      {}
 func (Drain) isEvent()           {}
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -95,9 +95,9 @@
 		r.claimReleased(ev)
 	case StreamCancelled:
 		r.streamCancelled(ev)
-	case LoadSeen:
+	case LoadReported:
 		r.loadSeen(ev)
-	case LoadFailed:
+	case LoadPollFailed:
 		r.loadFailed(ev)
 	case VMsSeen:
 		r.vmsSeen(ev)
--- a/decide/router/router_test.go
+++ b/decide/router/router_test.go
@@ -254,7 +254,7 @@
 func TestLeaving(t *testing.T) {
 	leave := map[string]func(*script){
 		"its own word": func(s *script) {
-			s.step(LoadSeen{At: s.now, Report: engineapi.LoadReport{
+			s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
 				Engine: "head-1", Epoch: "e-head-1", Model: "drafts", First: 0, Last: 3, Slots: 8, TokensPerSecond: 100, Leaving: true,
 			}})
 		},
@@ -387,7 +387,7 @@
 func TestGraphIsKeptWhileFiguresAreNear(t *testing.T) {
 	s := newScript()
 	tell := func(rate float64, latency time.Duration) {
-		s.step(LoadSeen{At: s.now, Report: engineapi.LoadReport{
+		s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
 			Engine: "head-1", Epoch: "e-head-1", Model: "drafts", First: 0, Last: 3, Slots: 8, TokensPerSecond: rate,
 			Links: []engineapi.Link{{To: "tail-1", LatencyUs: latency.Microseconds()}},
 		}})
--- a/decide/router/script_test.go
+++ b/decide/router/script_test.go
@@ -83,7 +83,7 @@
 
 // load tells the Router an engine's report.
 func (s *script) load(name string, first, last int) {
-	s.step(LoadSeen{At: s.now, Report: engineapi.LoadReport{
+	s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
 		Engine: name, Epoch: "e-" + name, Model: "drafts", First: first, Last: last, Slots: 8, TokensPerSecond: 100,
 	}})
 }
--- a/decide/router/upstream.go
+++ b/decide/router/upstream.go
@@ -38,7 +38,7 @@
 }
 
 // loadSeen takes in an engine's report of itself.
-func (r *Router) loadSeen(ev LoadSeen) {
+func (r *Router) loadSeen(ev LoadReported) {
 	r.takeLoad(seenLoad{report: ev.Report, at: ev.At})
 }
 
@@ -90,7 +90,7 @@
 }
 
 // loadFailed takes in that an engine did not answer a poll.
-func (r *Router) loadFailed(ev LoadFailed) {
+func (r *Router) loadFailed(ev LoadPollFailed) {
 	u := r.upstreams[ev.Upstream]
 	if u == nil {
 		return
--- a/node/polls.go
+++ b/node/polls.go
@@ -160,7 +160,7 @@
 	p.mu.Unlock()
 	if err != nil || report.Engine != string(id) {
 		p.node.telemetry.Failure("load_poll")
-		p.node.tell(router.LoadFailed{Upstream: id})
+		p.node.tell(router.LoadPollFailed{Upstream: id})
 		return
 	}
 	p.node.epochs.Note(address, report.Epoch)
@@ -170,8 +170,8 @@
 
 // fetch gets an engine's report, of the time at which it was asked for: the engine may have
 // ended between its answer and the moment at which this is read.
-func (p *polls) fetch(ctx context.Context, address string) (router.LoadSeen, error) {
+func (p *polls) fetch(ctx context.Context, address string) (router.LoadReported, error) {
 	asked := time.Now()
 	report, err := p.poller.Fetch(ctx, address)
-	return router.LoadSeen{Report: report, At: asked}, err
+	return router.LoadReported{Report: report, At: asked}, err
 }
--- a/scenario/capacity/router_test.go
+++ b/scenario/capacity/router_test.go
@@ -78,7 +78,7 @@
 		r.Links[k].To = engineName("zone-0", (i+k+1)%engines)
 	}
 	r.Running = b.rand.IntN(4)
-	b.step(router.LoadSeen{Report: r, At: b.now})
+	b.step(router.LoadReported{Report: r, At: b.now})
 }
 
 // request runs a request from its arrival to its end, and reports whether it
