--- a/decide/router/config.go
+++ b/decide/router/config.go
@@ -9,7 +9,7 @@
 
 // configSeen puts a configuration in force. Requests of a service that is no
 // longer defined run to their end; new ones are refused.
-func (r *Router) configSeen(ev ConfigSeen) {
+func (r *Router) configSeen(ev ConfigReceived) {
 	r.config = ev.Config
 	for name, def := range ev.Config.Services {
 		r.setService(name, def)
--- a/decide/router/event.go
+++ b/decide/router/event.go
@@ -99,11 +99,11 @@
 // LoadPollFailed tells that an engine did not answer a poll.
 type LoadPollFailed struct{ Upstream ids.Upstream }
 
-// VMsSeen is the platform's list of VMs.
-type VMsSeen struct{ List platformapi.VMList }
+// VMListReceived is the platform's list of VMs.
+type VMListReceived struct{ List platformapi.VMList }
 
-// ConfigSeen is the newest set of configuration, changed as a whole.
-type ConfigSeen struct{ Config *Config }
+// ConfigReceived is the newest set of configuration, changed as a whole.
+type ConfigReceived struct{ Config *Config }
 
 // Drain starts the planned stop of this node: no new requests.
 type Drain struct{}
@@ -123,8 +123,8 @@
 func (LoadReported) isEvent()    {}
 func (StreamCancelled) isEvent() {}
 func (LoadPollFailed) isEvent()  {}
-func (VMsSeen) isEvent()         {}
-func (ConfigSeen) isEvent()      {}
+func (VMListReceived) isEvent()  {}
+func (ConfigReceived) isEvent()  {}
 func (Drain) isEvent()           {}
 func (Tick) isEvent()            {}
 
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -42,9 +42,9 @@
 // DigestDue asks for a Share.
 type DigestDue struct{}
 
-// PeerSeen is a peer's digest, received at the given time. Digests of one peer
+// DigestReceived is a peer's digest, received at the given time. Digests of one peer
 // come in the order they were made.
-type PeerSeen struct {
+type DigestReceived struct {
 	VM     ids.VM
 	At     time.Time
 	Digest Digest
@@ -59,10 +59,10 @@
 // Share is the answer to DigestDue.
 type Share struct{ Digest Digest }
 
-func (DigestDue) isEvent() {}
-func (PeerSeen) isEvent()  {}
-func (PeerGone) isEvent()  {}
-func (Share) isCommand()   {}
+func (DigestDue) isEvent()      {}
+func (DigestReceived) isEvent() {}
+func (PeerGone) isEvent()       {}
+func (Share) isCommand()        {}
 
 // seenLoad is the newest report of an upstream.
 type seenLoad struct {
@@ -107,7 +107,7 @@
 const loadTold = 2 * time.Second
 
 // peerSeen takes in a peer's digest.
-func (r *Router) peerSeen(ev PeerSeen) {
+func (r *Router) peerSeen(ev DigestReceived) {
 	delete(r.gone, ev.VM)
 	// A digest that names more than the book keeps only loses precision.
 	_ = r.book.Peer(r.now, ev.VM, ev.Digest.InFlight)
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -99,15 +99,15 @@
 		r.loadSeen(ev)
 	case LoadPollFailed:
 		r.loadFailed(ev)
-	case VMsSeen:
+	case VMListReceived:
 		r.vmsSeen(ev)
-	case ConfigSeen:
+	case ConfigReceived:
 		r.configSeen(ev)
 	case DigestDue:
 		r.digestDue()
 	case StatusDue:
 		r.statusDue()
-	case PeerSeen:
+	case DigestReceived:
 		r.peerSeen(ev)
 	case PeerGone:
 		r.peerGone(ev)
--- a/decide/router/router_test.go
+++ b/decide/router/router_test.go
@@ -263,10 +263,10 @@
 			drafts := config.Services["drafts"]
 			drafts.Leaving = []ids.Upstream{"head-1"}
 			config.Services["drafts"] = drafts
-			s.step(ConfigSeen{Config: config})
+			s.step(ConfigReceived{Config: config})
 		},
 		"a peer's word": func(s *script) {
-			s.step(PeerSeen{VM: "vm-2", At: s.now, Digest: Digest{Leaving: []ids.Upstream{"head-1"}}})
+			s.step(DigestReceived{VM: "vm-2", At: s.now, Digest: Digest{Leaving: []ids.Upstream{"head-1"}}})
 		},
 		"the list": func(s *script) {
 			list := platformapi.VMList{Revision: s.router.vmsRevision + 1}
@@ -277,7 +277,7 @@
 				}
 				list.VMs = append(list.VMs, vm)
 			}
-			s.step(VMsSeen{List: list})
+			s.step(VMListReceived{List: list})
 		},
 	}
 	for name, tell := range leave {
@@ -303,7 +303,7 @@
 // could serve it have not been asked, and refuses once they had their time.
 func TestRequestWaitsForEnginesJustListed(t *testing.T) {
 	s := &script{router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}), now: epoch}
-	s.step(ConfigSeen{Config: testConfig()})
+	s.step(ConfigReceived{Config: testConfig()})
 	s.vms("vm-1")
 	s.step(arrive("early", nil))
 	s.expect(t)
@@ -313,7 +313,7 @@
 	s.expect(t, "send early attempt 1")
 
 	s = &script{router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}), now: epoch}
-	s.step(ConfigSeen{Config: testConfig()})
+	s.step(ConfigReceived{Config: testConfig()})
 	s.vms("vm-1")
 	s.tick(2 * warmUp)
 	s.step(arrive("late", nil))
--- a/decide/router/script_test.go
+++ b/decide/router/script_test.go
@@ -36,7 +36,7 @@
 		router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}),
 		now:    epoch,
 	}
-	s.router.Step(s.now, ConfigSeen{Config: testConfig()})
+	s.router.Step(s.now, ConfigReceived{Config: testConfig()})
 	s.vms("vm-1", "vm-2")
 	for _, name := range []string{"head-1", "head-2"} {
 		s.load(name, 0, 3)
@@ -78,7 +78,7 @@
 		list.VMs = append(list.VMs, platformapi.VM{ID: id, Address: id, Zone: "a", Role: platformapi.RoleEngine, State: platformapi.StateLive, Service: "drafts"})
 	}
 	list.VMs = append(list.VMs, platformapi.VM{ID: "plain-1", Address: "plain-1", Zone: "a", Role: platformapi.RolePlain, State: platformapi.StateLive, Service: "booking"})
-	s.step(VMsSeen{List: list})
+	s.step(VMListReceived{List: list})
 }
 
 // load tells the Router an engine's report.
--- a/decide/router/vms.go
+++ b/decide/router/vms.go
@@ -7,7 +7,7 @@
 
 // vmsSeen takes in the platform's list of VMs, unless it is older than the
 // one in use.
-func (r *Router) vmsSeen(ev VMsSeen) {
+func (r *Router) vmsSeen(ev VMListReceived) {
 	if ev.List.Revision < r.vmsRevision {
 		return
 	}
--- a/node/config.go
+++ b/node/config.go
@@ -11,7 +11,7 @@
 
 // newFeed makes the duty that keeps the configuration.
 func (n *Node) newFeed(client configfeed.Platform) *configfeed.Feed {
-	sink := func(config *router.Config) { n.tell(router.ConfigSeen{Config: config}) }
+	sink := func(config *router.Config) { n.tell(router.ConfigReceived{Config: config}) }
 	return configfeed.New(client, sink, configfeed.Settings{
 		Leads:     func() bool { return n.leads(configDuty) },
 		OnProblem: n.configProblem,
--- a/node/peers.go
+++ b/node/peers.go
@@ -80,7 +80,7 @@
 			n.orderReported(l.Report)
 		}
 	}
-	n.tell(router.PeerSeen{VM: d.VM, At: at, Digest: readDigest(d)})
+	n.tell(router.DigestReceived{VM: d.VM, At: at, Digest: readDigest(d)})
 }
 
 // PeerGone implements peer.Sink.
--- a/node/polls.go
+++ b/node/polls.go
@@ -105,7 +105,7 @@
 // that is older than the one in use.
 func (p *polls) take(list platformapi.VMList) {
 	p.setEngines(list)
-	p.node.tell(router.VMsSeen{List: list})
+	p.node.tell(router.VMListReceived{List: list})
 }
 
 // setEngines takes the engines from the list, unless it is an older one.
--- a/scenario/capacity/router_test.go
+++ b/scenario/capacity/router_test.go
@@ -48,8 +48,8 @@
 			Role: platformapi.RoleEngine, Service: "mimosa-desk",
 		})
 	}
-	out.step(router.VMsSeen{List: list})
-	out.step(router.ConfigSeen{Config: &router.Config{
+	out.step(router.VMListReceived{List: list})
+	out.step(router.ConfigReceived{Config: &router.Config{
 		Profiles: map[ids.Profile]fleet.Profile{"p": fleet.Profile{Name: "p"}.WithDefaults()},
 		Services: map[ids.Service]fleet.Service{
 			"mimosa-desk": {Name: "mimosa-desk", Type: fleet.ServiceModel, Profile: "p", Layers: modelLayers},
@@ -141,5 +141,5 @@
 	for k := range accountsTold {
 		d.Usage = append(d.Usage, limit.AccountUsage{Account: ids.Account(fmt.Sprintf("account-%05d", i*7+k)), Demand: b.rand.Float64()})
 	}
-	b.step(router.PeerSeen{VM: ids.VM(fmt.Sprintf("entry-%03d", i+1)), At: b.now, Digest: d})
+	b.step(router.DigestReceived{VM: ids.VM(fmt.Sprintf("entry-%03d", i+1)), At: b.now, Digest: d})
 }
