--- a/decide/router/command.go
+++ b/decide/router/command.go
@@ -171,14 +171,14 @@
 	StepFinished DecisionStep = "finished"
 )
 
-// Note records a decision.
-type Note struct{ Decision Decision }
-
-func (Send) isCommand()         {}
-func (Cancel) isCommand()       {}
-func (Finish) isCommand()       {}
-func (Claim) isCommand()        {}
-func (Release) isCommand()      {}
-func (CancelStream) isCommand() {}
-func (Settle) isCommand()       {}
-func (Note) isCommand()         {}
+// RecordDecision records a decision.
+type RecordDecision struct{ Decision Decision }
+
+func (Send) isCommand()           {}
+func (Cancel) isCommand()         {}
+func (Finish) isCommand()         {}
+func (Claim) isCommand()          {}
+func (Release) isCommand()        {}
+func (CancelStream) isCommand()   {}
+func (Settle) isCommand()         {}
+func (RecordDecision) isCommand() {}
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -157,5 +157,5 @@
 		decision.Outcome = err.Outcome
 		decision.Detail = err.Detail
 	}
-	r.emit(Note{Decision: decision})
+	r.emit(RecordDecision{Decision: decision})
 }
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -23,7 +23,7 @@
 	// Leaving lists the upstreams that the VM itself knows to be leaving.
 	Leaving []ids.Upstream
 	// Loads are the newest reports that the VM asked for itself.
-	Loads []Load
+	Loads []LoadReport
 }
 
 // Observation is a VM's view of an upstream that is not simply in use.
@@ -32,14 +32,14 @@
 	State    health.State
 }
 
-// Load is an engine's report.
-type Load struct {
+// LoadReport is an engine's report.
+type LoadReport struct {
 	Report engineapi.LoadReport
 	// Age is the time since the report was received, beside its own age.
 	Age time.Duration
 }
 
-// DigestDue asks for a Share.
+// DigestDue asks for a SendDigest command.
 type DigestDue struct{}
 
 // DigestReceived is a peer's digest, received at the given time. Digests of one peer
@@ -56,13 +56,13 @@
 	Why member.Why
 }
 
-// Share is the answer to DigestDue.
-type Share struct{ Digest Digest }
+// SendDigest is the answer to DigestDue.
+type SendDigest struct{ Digest Digest }
 
 func (DigestDue) isEvent()      {}
 func (DigestReceived) isEvent() {}
 func (PeerGone) isEvent()       {}
-func (Share) isCommand()        {}
+func (SendDigest) isCommand()   {}
 
 // seenLoad is the newest report of an upstream.
 type seenLoad struct {
@@ -84,7 +84,7 @@
 	for _, id := range sortedKeys(r.upstreams) {
 		r.describe(&d, id, r.upstreams[id])
 	}
-	r.emit(Share{Digest: d})
+	r.emit(SendDigest{Digest: d})
 }
 
 // describe adds one upstream to a digest.
@@ -99,7 +99,7 @@
 		d.Health = append(d.Health, Observation{Upstream: id, State: state})
 	}
 	if u.load != nil && !u.load.relayed && r.now.Sub(u.load.at) < loadTold {
-		d.Loads = append(d.Loads, Load{Report: u.load.report, Age: r.now.Sub(u.load.at)})
+		d.Loads = append(d.Loads, LoadReport{Report: u.load.report, Age: r.now.Sub(u.load.at)})
 	}
 }
 
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -162,7 +162,7 @@
 
 // note records a decision about a request.
 func (r *Router) note(req *request, step DecisionStep, reason outcome.Reason, detail string) {
-	r.emit(Note{Decision: r.decision(req, step, reason, detail)})
+	r.emit(RecordDecision{Decision: r.decision(req, step, reason, detail)})
 }
 
 // decision describes a step of a request.
--- a/decide/router/status.go
+++ b/decide/router/status.go
@@ -5,14 +5,14 @@
 	"mimosaarch.example/decide/health"
 )
 
-// StatusDue asks for a Show.
+// StatusDue asks for a ReportStatus command.
 type StatusDue struct{}
 
-// Show is the answer to StatusDue.
-type Show struct{ Status Status }
+// ReportStatus is the answer to StatusDue.
+type ReportStatus struct{ Status Status }
 
-func (StatusDue) isEvent() {}
-func (Show) isCommand()    {}
+func (StatusDue) isEvent()      {}
+func (ReportStatus) isCommand() {}
 
 // Status is what a node shows operators of its decisions.
 type Status struct {
@@ -73,7 +73,7 @@
 	for _, id := range sortedKeys(r.upstreams) {
 		s.Upstreams = append(s.Upstreams, r.upstreamStatus(id, r.upstreams[id]))
 	}
-	r.emit(Show{Status: s})
+	r.emit(ReportStatus{Status: s})
 }
 
 // upstreamStatus shows one upstream.
--- a/node/effects.go
+++ b/node/effects.go
@@ -21,13 +21,13 @@
 		n.cancelStream(c)
 	case router.Claim, router.Release, router.Settle:
 		n.claim(c)
-	case router.Share:
+	case router.SendDigest:
 		n.share(c)
-	case router.Show:
+	case router.ReportStatus:
 		n.showStatus(c)
 	case router.Finish:
 		n.finish(c)
-	case router.Note:
+	case router.RecordDecision:
 		n.note(c.Decision)
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -67,7 +67,7 @@
 }
 
 // share hands the newest digest to the duty that asked.
-func (n *Node) share(c router.Share) {
+func (n *Node) share(c router.SendDigest) {
 	if err := n.shared.Offer(c.Digest); err != nil {
 		n.telemetry.Failure("digest_not_taken")
 	}
@@ -126,7 +126,7 @@
 	}
 	for _, l := range d.Loads {
 		if !l.Relayed {
-			out.Loads = append(out.Loads, router.Load{Report: l.Report, Age: time.Duration(l.AgeNs)})
+			out.Loads = append(out.Loads, router.LoadReport{Report: l.Report, Age: time.Duration(l.AgeNs)})
 		}
 	}
 	return out
