--- a/decide/queue/queue.go
+++ b/decide/queue/queue.go
@@ -92,10 +92,10 @@
 	q.opts = withDefaults(opts)
 }
 
-// SetService sets the expected time to serve a request of mean cost. Zero
+// SetServiceTime sets the expected time to serve a request of mean cost. Zero
 // means not known. A cheaper request is expected to take its share of it, a
 // dearer one no more: what is refused for it could not have been served.
-func (q *Queue) SetService(expected time.Duration) { q.service = max(expected, 0) }
+func (q *Queue) SetServiceTime(expected time.Duration) { q.service = max(expected, 0) }
 
 // Push adds an item. It refuses with *FullError when there is no room and
 // with *DuplicateError when the request waits already; neither changes
--- a/decide/queue/queue_test.go
+++ b/decide/queue/queue_test.go
@@ -136,7 +136,7 @@
 
 func TestExpired(t *testing.T) {
 	q := newQueue(Options{})
-	q.SetService(200 * time.Millisecond)
+	q.SetServiceTime(200 * time.Millisecond)
 	mustPush(t, q, Item{ID: "past", Account: "a", Enqueued: t0, Deadline: at(50)})
 	mustPush(t, q, Item{ID: "hopeless", Account: "a", Enqueued: t0, Deadline: at(299)})
 	mustPush(t, q, Item{ID: "just", Account: "a", Enqueued: t0, Deadline: at(300)})
@@ -155,7 +155,7 @@
 // A cheap request is not refused for the time that dear ones take.
 func TestServiceTimeGoesByCost(t *testing.T) {
 	q := newQueue(Options{})
-	q.SetService(2 * time.Second)
+	q.SetServiceTime(2 * time.Second)
 	mustPush(t, q, Item{ID: "dear", Account: "a", Cost: 1000, Enqueued: t0})
 	q.Pop(t0)
 	for cost, want := range map[float64]bool{100: false, 1000: true, 5000: true} {
--- a/decide/router/service.go
+++ b/decide/router/service.go
@@ -108,7 +108,7 @@
 	} else {
 		s.expected += time.Duration(expectedWeight * float64(took-s.expected))
 	}
-	s.queue.SetService(s.expected)
+	s.queue.SetServiceTime(s.expected)
 }
 
 // allows reports whether the account may call the service.
