--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -108,8 +108,8 @@
 // Accounts counts the accounts with a bucket.
 func (l *Limiter) Accounts() int { return len(l.buckets) }
 
-// Part gives this VM's part of an account's rate, in cost a second.
-func (l *Limiter) Part(now time.Time, account fleet.Account) float64 {
+// LocalRate gives this VM's part of an account's rate, in cost a second.
+func (l *Limiter) LocalRate(now time.Time, account fleet.Account) float64 {
 	if b, ok := l.buckets[account.ID]; ok {
 		b.refill(l, now, account)
 		return b.part
@@ -176,7 +176,7 @@
 	before := b.part
 	if rate != b.rate || b.version != l.version || now.Sub(b.partAt) >= partEvery {
 		b.rate = rate
-		b.part = rate * l.share(now, b.account, b.told.least(now, l.opts.Hold))
+		b.part = rate * l.share(now, b.account, b.told.least(now, l.opts.HoldDown))
 		b.partAt = now
 		b.version = l.version
 	}
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -87,7 +87,7 @@
 					b.admitted++
 				}
 			}
-			sum += l.Part(b.now, b.account)
+			sum += l.LocalRate(b.now, b.account)
 		}
 		b.most = max(b.most, sum/b.account.Rate)
 	}
@@ -201,7 +201,7 @@
 	side := func() float64 {
 		sum := 0.0
 		for i := 6; i < vms; i++ {
-			sum += b.limiters[i].Part(b.now, b.account)
+			sum += b.limiters[i].LocalRate(b.now, b.account)
 		}
 		return sum / b.account.Rate
 	}
@@ -239,7 +239,7 @@
 func TestDemandMovesTheParts(t *testing.T) {
 	b := newBench(1, 100*time.Millisecond, 0)
 	b.run(8*time.Second, func() { b.demand[0] = 200 })
-	if got := b.limiters[0].Part(b.now, b.account) / b.account.Rate; got < 0.5 {
+	if got := b.limiters[0].LocalRate(b.now, b.account) / b.account.Rate; got < 0.5 {
 		t.Errorf("the only busy VM has %.3f of the rate, want over half", got)
 	}
 	if ok, _ := b.limiters[1].Take(b.now, b.account, 1); !ok {
--- a/decide/limit/options.go
+++ b/decide/limit/options.go
@@ -12,7 +12,7 @@
 	DefaultMaxAccounts = 65536
 	DefaultMaxPeers    = 1024
 	DefaultTopK        = 64
-	DefaultHold        = 2 * time.Second
+	DefaultHoldDown    = 2 * time.Second
 	DefaultRetryMin    = 100 * time.Millisecond
 	DefaultRetryMax    = 30 * time.Second
 	DefaultRate        = 10.0
@@ -27,9 +27,9 @@
 	MaxPeers int
 	// TopK is the most accounts in a digest, sent or taken in.
 	TopK int
-	// Hold is twice the age a peer's digest may have when it is taken in,
+	// HoldDown is twice the age a peer's digest may have when it is taken in,
 	// and the time after which a rise of the own demand counts.
-	Hold time.Duration
+	HoldDown time.Duration
 	// RetryMin and RetryMax bound the time to come back.
 	RetryMin, RetryMax time.Duration
 }
@@ -39,7 +39,7 @@
 	o.MaxAccounts = defaults.Positive(o.MaxAccounts, DefaultMaxAccounts)
 	o.MaxPeers = defaults.Positive(o.MaxPeers, DefaultMaxPeers)
 	o.TopK = defaults.Positive(o.TopK, DefaultTopK)
-	o.Hold = defaults.Positive(o.Hold, DefaultHold)
+	o.HoldDown = defaults.Positive(o.HoldDown, DefaultHoldDown)
 	o.RetryMin = defaults.Positive(o.RetryMin, DefaultRetryMin)
 	o.RetryMax = defaults.Positive(o.RetryMax, DefaultRetryMax)
 	return o
--- a/decide/limit/part.go
+++ b/decide/limit/part.go
@@ -26,7 +26,7 @@
 	free := 1 - float64(l.neverHeard())/float64(l.fleet())
 	others := 0.0
 	for _, peer := range l.order {
-		stale := peer.stale(now, l.opts.Hold)
+		stale := peer.stale(now, l.opts.HoldDown)
 		c, told := p.claim(peer.vm)
 		switch {
 		case stale && told:
--- a/decide/limit/peers.go
+++ b/decide/limit/peers.go
@@ -78,7 +78,7 @@
 	}
 	for account, b := range l.hot {
 		demand := demands[account]
-		b.told.add(now, demand, l.opts.Hold)
+		b.told.add(now, demand, l.opts.HoldDown)
 		l.setOwn(now, account, demand)
 		if demand == 0 && b.told.quiet() && b.demandAt(now) <= l.worthTelling(b) {
 			delete(l.hot, account)
