--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -133,7 +133,7 @@
 func (p *picker) due() []ids.Life {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conditions.Due(p.opts.Now())
+	return p.conditions.ProbesDue(p.opts.Now())
 }
 
 // silentFor tells how long an upstream has not answered.
@@ -261,14 +261,14 @@
 func (p *picker) reached() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Reached()
+	p.conditions.ConnectivityRestored()
 }
 
 // paced takes the pace that an upstream reports of itself.
 func (p *picker) paced(u *directory.Upstream, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Paced(p.opts.Now(), u.ID, pace)
+	p.conditions.SetPace(p.opts.Now(), u.ID, pace)
 }
 
 // notReached tells that no connection to an upstream could be made: its process
@@ -298,7 +298,7 @@
 func (p *picker) full(u *directory.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Full(p.opts.Now(), u.ID)
+	p.conditions.RefusedFull(p.opts.Now(), u.ID)
 }
 
 // refused tells that an upstream refused though it has room.
--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -235,7 +235,7 @@
 	}
 	for _, h := range c {
 		if e := s.servers[h.Engine.ID]; e.ended || !e.up.Layers.Covers(h.Layers) || !s.hasRoom(e, h.Layers) {
-			s.full.Full(now, h.Engine.ID)
+			s.full.RefusedFull(now, h.Engine.ID)
 			return false
 		}
 	}
--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -182,12 +182,12 @@
 	conditions := condition.New()
 	b := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.Paced(start, life("a"), 5)
+	conditions.SetPace(start, life("a"), 5)
 	if got := choose(t, b, v, request); got != "b=0-80" {
 		t.Errorf("with a slow: %s", got)
 	}
-	conditions.Paced(start, life("a"), 1)
-	conditions.Full(start, life("a"))
+	conditions.SetPace(start, life("a"), 1)
+	conditions.RefusedFull(start, life("a"))
 	if got := choose(t, b, v, request); got != "b=0-80" {
 		t.Errorf("with a full: %s", got)
 	}
@@ -243,7 +243,7 @@
 	conditions := condition.New()
 	b := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.Paced(start, life("b"), 4)
+	conditions.SetPace(start, life("b"), 4)
 	streams := 0
 	for c, _ := b.Choose(start, model(), v, request); c.Has(life("a")); c, _ = b.Choose(start, model(), v, request) {
 		b.Began(start, c, request)
@@ -266,7 +266,7 @@
 	conditions := condition.New()
 	b := New(conditions)
 	only, twin := engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80)
-	conditions.Full(start, only.ID)
+	conditions.RefusedFull(start, only.ID)
 	c, err := b.Choose(start, model(), view(only), request)
 	if err != nil || b.Full(start, c) == nil || b.Full(start, c).ID != only.ID {
 		t.Errorf("chain %s, error %v", c, err)
--- a/decide/chain/fleet_test.go
+++ b/decide/chain/fleet_test.go
@@ -158,7 +158,7 @@
 	there := p.firsts[first]
 	if there >= simSlots+simQueue {
 		r.Avoid[first] = true
-		n.full.Full(now, first)
+		n.full.RefusedFull(now, first)
 		return false
 	}
 	if there >= simSlots {
--- a/decide/chain/shortage_test.go
+++ b/decide/chain/shortage_test.go
@@ -28,11 +28,11 @@
 		engine("b", "z2", "fast", 40, 80),
 	)
 	m := pipedModel()
-	conditions.Full(start, life("a2"))
+	conditions.RefusedFull(start, life("a2"))
 	now, crossed, after := start, 0, 0
 	for i := range 100 {
 		now = now.Add(10 * time.Millisecond)
-		conditions.Full(now, life("a2"))
+		conditions.RefusedFull(now, life("a2"))
 		c, err := b.Choose(now, m, v, request)
 		if err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 	if err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
-	if due := conditions.Due(late); len(due) != 1 || due[0] != life("a") {
+	if due := conditions.ProbesDue(late); len(due) != 1 || due[0] != life("a") {
 		t.Errorf("to be asked: %v", due)
 	}
 	conditions.Answered(life("a"), "z1")
--- a/decide/condition/condition.go
+++ b/decide/condition/condition.go
@@ -141,9 +141,9 @@
 	return z != nil && now.Before(z.suspectUntil)
 }
 
-// Reached tells that this node reaches others again after it was cut off: what
+// ConnectivityRestored tells that this node reaches others again after it was cut off: what
 // was out of reach behind the cut is believed well.
-func (t *Table) Reached() {
+func (t *Table) ConnectivityRestored() {
 	for _, z := range t.zones {
 		for id := range z.silent {
 			if b := t.upstreams[id]; b != nil {
@@ -155,8 +155,8 @@
 	clear(t.zones)
 }
 
-// Full tells that an upstream refused for want of room.
-func (t *Table) Full(now time.Time, id ids.Life) { t.of(id).fullUntil = now.Add(fullFor) }
+// RefusedFull tells that an upstream refused for want of room.
+func (t *Table) RefusedFull(now time.Time, id ids.Life) { t.of(id).fullUntil = now.Add(fullFor) }
 
 // IsFull reports whether an upstream refused for want of room just now.
 func (t *Table) IsFull(now time.Time, id ids.Life) bool {
@@ -194,8 +194,8 @@
 	return true
 }
 
-// Paced takes a reported pace: how many times as long as usual an upstream takes.
-func (t *Table) Paced(now time.Time, id ids.Life, pace float64) {
+// SetPace takes a reported pace: how many times as long as usual an upstream takes.
+func (t *Table) SetPace(now time.Time, id ids.Life, pace float64) {
 	b := t.of(id)
 	b.pace = max(pace, 1)
 	b.pacedAt, b.askedAt = now, now
@@ -234,9 +234,9 @@
 	return now.Sub(b.silentSince)
 }
 
-// Due gives the upstreams whose report should be asked for: of slow ones once it
+// ProbesDue gives the upstreams whose report should be asked for: of slow ones once it
 // is old, of silent ones once their suspicion has ended; each once in that time.
-func (t *Table) Due(now time.Time) []ids.Life {
+func (t *Table) ProbesDue(now time.Time) []ids.Life {
 	var due []ids.Life
 	for id, b := range t.silent {
 		if !now.Before(b.suspectUntil) && now.Sub(b.askedAt) >= suspectFor {
--- a/decide/condition/condition_test.go
+++ b/decide/condition/condition_test.go
@@ -52,11 +52,11 @@
 
 func TestPaceIsBelievedForAWhile(t *testing.T) {
 	table := New()
-	table.Paced(at(0), life("a"), 12)
+	table.SetPace(at(0), life("a"), 12)
 	if table.Pace(at(9999), life("a")) != 12 || table.Pace(at(10000), life("a")) != 1 {
 		t.Error("pace is not believed for 10 s")
 	}
-	table.Paced(at(0), life("a"), 0.5)
+	table.SetPace(at(0), life("a"), 0.5)
 	if table.Pace(at(1), life("a")) != 1 {
 		t.Error("pace is at least 1")
 	}
@@ -90,25 +90,25 @@
 
 func TestReportsOfSlowUpstreamsAreDueAgain(t *testing.T) {
 	table := New()
-	table.Paced(at(0), life("slow"), 12)
-	table.Paced(at(0), life("usual"), 1)
-	if due := table.Due(at(1000)); len(due) != 0 {
+	table.SetPace(at(0), life("slow"), 12)
+	table.SetPace(at(0), life("usual"), 1)
+	if due := table.ProbesDue(at(1000)); len(due) != 0 {
 		t.Errorf("due early: %v", due)
 	}
-	if due := table.Due(at(1500)); len(due) != 1 || due[0] != life("slow") {
+	if due := table.ProbesDue(at(1500)); len(due) != 1 || due[0] != life("slow") {
 		t.Errorf("due: %v", due)
 	}
-	if due := table.Due(at(1600)); len(due) != 0 {
+	if due := table.ProbesDue(at(1600)); len(due) != 0 {
 		t.Errorf("due twice: %v", due)
 	}
-	if due := table.Due(at(3000)); len(due) != 1 {
+	if due := table.ProbesDue(at(3000)); len(due) != 1 {
 		t.Error("one whose report did not come is not due again")
 	}
-	if due := table.Due(at(10000)); len(due) != 0 {
+	if due := table.ProbesDue(at(10000)); len(due) != 0 {
 		t.Errorf("due though no longer believed slow: %v", due)
 	}
-	table.Paced(at(10000), life("slow"), 1)
-	if due := table.Due(at(12000)); len(due) != 0 {
+	table.SetPace(at(10000), life("slow"), 1)
+	if due := table.ProbesDue(at(12000)); len(due) != 0 {
 		t.Errorf("due though it has recovered: %v", due)
 	}
 }
@@ -120,7 +120,7 @@
 		table.Unreachable(at(0), id, "z")
 	}
 	table.Failed(at(0), life("crashed"))
-	table.Reached()
+	table.ConnectivityRestored()
 	if table.Suspected(at(1), life("a"), "z") || table.Suspected(at(1), life("other"), "z") || table.ZoneSuspected(at(1), "z") {
 		t.Error("what was behind the cut is still suspected")
 	}
