--- a/decide/configorder/errors.go
+++ b/decide/configorder/errors.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// BackwardsError tells that an object is older than the one in force.
-type BackwardsError struct {
+// StaleVersionError tells that an object is older than the one in force.
+type StaleVersionError struct {
 	Key string
-	// Version is the object's; InForce is the one that stands.
-	Version, InForce int64
+	// Version is the object's; Active is the one that stands.
+	Version, Active int64
 }
 
 // Error implements error.
-func (e *BackwardsError) Error() string {
-	return fmt.Sprintf("object %s: version %d is older than %d", e.Key, e.Version, e.InForce)
+func (e *StaleVersionError) Error() string {
+	return fmt.Sprintf("object %s: version %d is older than %d", e.Key, e.Version, e.Active)
 }
 
 // InvalidObjectError tells that an object holds no valid document. The one in
@@ -35,11 +35,11 @@
 // Unwrap gives the cause.
 func (e *InvalidObjectError) Unwrap() error { return e.Cause }
 
-// KeyError tells that a document belongs under another key.
-type KeyError struct{ Want string }
+// KeyMismatchError tells that a document belongs under another key.
+type KeyMismatchError struct{ Want string }
 
 // Error implements error.
-func (e *KeyError) Error() string { return "the document belongs under " + e.Want }
+func (e *KeyMismatchError) Error() string { return "the document belongs under " + e.Want }
 
 // FullError tells that a limit of the Settings is reached.
 type FullError struct {
--- a/decide/configorder/store.go
+++ b/decide/configorder/store.go
@@ -111,7 +111,7 @@
 		return false, nil
 	}
 	if object.Version < old.good.Version {
-		return false, &BackwardsError{Key: object.Key, Version: object.Version, InForce: old.good.Version}
+		return false, &StaleVersionError{Key: object.Key, Version: object.Version, Active: old.good.Version}
 	}
 	return s.replace(old, object)
 }
@@ -119,7 +119,7 @@
 // applyNew takes an object of a key not known so far.
 func (s *Store) applyNew(object platformapi.Object, floor int64) (bool, error) {
 	if object.Version <= floor {
-		return false, &BackwardsError{Key: object.Key, Version: object.Version, InForce: floor}
+		return false, &StaleVersionError{Key: object.Key, Version: object.Version, Active: floor}
 	}
 	if len(s.entries) >= s.settings.MaxObjects && !s.forgetDeletion() {
 		return false, s.full(object.Key)
@@ -182,7 +182,7 @@
 		return nil, err
 	}
 	if want := fleet.Key(doc); want != object.Key {
-		return nil, &KeyError{Want: want}
+		return nil, &KeyMismatchError{Want: want}
 	}
 	return doc, nil
 }
--- a/decide/configorder/store_test.go
+++ b/decide/configorder/store_test.go
@@ -72,7 +72,7 @@
 	if s.Config() != before {
 		t.Error("an invalid object changed the configuration")
 	}
-	var backwards *BackwardsError
+	var backwards *StaleVersionError
 	if _, err := s.Apply(profile("p", 2)); !errors.As(err, &backwards) {
 		t.Errorf("got %v, want a *BackwardsError", err)
 	}
@@ -114,7 +114,7 @@
 	mustApply(t, s, platformapi.Object{Key: fleet.ProfilePrefix + "b", Version: 5, Deleted: true}, true)
 	_ = s.Config()
 	mustApply(t, s, profile("c", 6), true)
-	var backwards *BackwardsError
+	var backwards *StaleVersionError
 	if _, err := s.Apply(profile("b", 4)); !errors.As(err, &backwards) {
 		t.Errorf("a forgotten deletion was undone: %v", err)
 	}
--- a/node/config.go
+++ b/node/config.go
@@ -21,7 +21,7 @@
 // configProblem counts and logs an object that was refused, or a failed call.
 func (n *Node) configProblem(err error) {
 	var invalid *configorder.InvalidObjectError
-	var backwards *configorder.BackwardsError
+	var backwards *configorder.StaleVersionError
 	switch {
 	case errors.As(err, &invalid):
 		n.telemetry.Failure("config_object")
