--- a/decide/router/admit.go
+++ b/decide/router/admit.go
@@ -11,15 +11,19 @@
 	"mimosaarch.example/decide/queue"
 )
 
-// Advice on when to come back where nothing is measured.
 const (
-	retrySoon  = time.Second
-	retryLater = 5 * time.Second
+	// defaultRetryAfter is the advised retry delay where no measurement is
+	// available.
+	defaultRetryAfter = time.Second
+	// noUpstreamRetryAfter is the advised retry delay when no upstream serves a
+	// service.
+	noUpstreamRetryAfter = 5 * time.Second
 )
 
-// arrive admits a request to its service's queue or refuses it at once.
-func (r *Router) arrive(ev RequestArrived) {
-	req := &request{arrive: ev, arrived: r.now}
+// requestArrived admits a request to its service's queue or refuses it. An ID
+// that is already held is ignored.
+func (r *Router) requestArrived(ev RequestArrived) {
+	req := &request{arrival: ev, arrived: r.now}
 	if _, known := r.requests[ev.ID]; known {
 		return
 	}
@@ -32,8 +36,8 @@
 	r.dispatch(req.svc)
 }
 
-// admit makes each check of a new request in turn, cheapest first, and queues
-// it. Its error is the refusal.
+// admit runs the checks for a new request, cheapest first, and queues it. It
+// returns the refusal, or nil.
 func (r *Router) admit(req *request) *outcome.Error {
 	checks := []func(*request) *outcome.Error{
 		r.checkNode,
@@ -49,50 +53,52 @@
 			return err
 		}
 	}
-	if r.hold(req) {
+	if r.deferSuspected(req) {
 		return nil
 	}
 	return r.enqueue(req)
 }
 
-// checkNode refuses when the node cannot take requests.
+// checkNode refuses the request if the node is draining, has no configuration or
+// holds MaxRequests requests.
 func (r *Router) checkNode(*request) *outcome.Error {
 	switch {
 	case r.draining:
-		return outcome.Refuse(outcome.Draining, "this node is stopping", r.spread(retrySoon))
+		return outcome.Refuse(outcome.Draining, "this node is stopping", r.withJitter(defaultRetryAfter))
 	case r.config == nil:
-		return outcome.Refuse(outcome.NotReady, "no configuration yet", r.spread(retrySoon))
+		return outcome.Refuse(outcome.NotReady, "no configuration yet", r.withJitter(defaultRetryAfter))
 	case len(r.requests) >= r.opts.MaxRequests:
-		return outcome.Refuse(outcome.QueueFull, "the node holds its most requests", r.spread(retrySoon))
+		return outcome.Refuse(outcome.QueueFull, "the node holds its most requests", r.withJitter(defaultRetryAfter))
 	}
 	return nil
 }
 
-// checkAccount finds the client account by the hash of its key.
+// checkAccount looks up the client account by the hash of the bearer key.
 func (r *Router) checkAccount(req *request) *outcome.Error {
-	account, ok := r.config.AccountsByKey[req.arrive.KeySHA256]
-	if !ok || req.arrive.KeySHA256 == "" {
+	account, ok := r.config.AccountsByKey[req.arrival.KeySHA256]
+	if !ok || req.arrival.KeySHA256 == "" {
 		return outcome.Refuse(outcome.Unauthorized, "missing or unknown key", 0)
 	}
 	req.account = account
 	return nil
 }
 
-// checkService finds the service and, for a plain call, its route.
+// checkService looks up the service and, for a plain call, its route. It refuses
+// a service that is unknown, of the other type, or not allowed for the account.
 func (r *Router) checkService(req *request) *outcome.Error {
-	svc, ok := r.services[req.arrive.Service]
-	if !ok || svc.model() != (req.arrive.Method == "") {
-		return outcome.Refuse(outcome.UnknownService, string(req.arrive.Service), 0)
+	svc, ok := r.services[req.arrival.Service]
+	if !ok || svc.isModel() != (req.arrival.Method == "") {
+		return outcome.Refuse(outcome.UnknownService, string(req.arrival.Service), 0)
 	}
-	if !allows(req.account, req.arrive.Service) {
+	if !mayCall(req.account, req.arrival.Service) {
 		return outcome.Refuse(outcome.Forbidden, "the account may not call this service", 0)
 	}
 	req.svc = svc
-	if svc.model() {
-		req.idempotent = req.arrive.IdempotencyKey == ""
+	if svc.isModel() {
+		req.idempotent = req.arrival.IdempotencyKey == ""
 		return nil
 	}
-	route, ok := findRoute(svc.def.Routes, req.arrive.Method, req.arrive.Path)
+	route, ok := findRoute(svc.def.Routes, req.arrival.Method, req.arrival.Path)
 	if !ok {
 		return outcome.Refuse(outcome.UnknownService, "no such route", 0)
 	}
@@ -100,7 +106,8 @@
 	return nil
 }
 
-// findRoute gives the route with the longest prefix that fits.
+// findRoute returns the route with the longest matching prefix; false if none
+// matches.
 func findRoute(routes []fleet.Route, method, path string) (fleet.Route, bool) {
 	best := -1
 	for i, route := range routes {
@@ -117,9 +124,10 @@
 	return routes[best], true
 }
 
-// checkDeadline sets the deadline and refuses one that has passed.
+// checkDeadline sets the request's deadline, by default from the profile, and
+// refuses the request if it has passed.
 func (r *Router) checkDeadline(req *request) *outcome.Error {
-	req.deadline = req.arrive.Deadline
+	req.deadline = req.arrival.Deadline
 	if req.deadline.IsZero() {
 		req.deadline = r.now.Add(req.svc.profile.Deadline.D())
 	}
@@ -129,53 +137,54 @@
 	return nil
 }
 
-// checkQuarantine refuses a request that is known to crash upstreams.
+// checkQuarantine refuses a quarantined request, which has crashed upstreams.
 func (r *Router) checkQuarantine(req *request) *outcome.Error {
-	held, until := req.svc.blamer.Quarantined(r.now, req.fingerprint())
+	held, until := req.svc.quarantine.Quarantined(r.now, req.fingerprint())
 	if !held {
 		return nil
 	}
 	return outcome.Refuse(outcome.Quarantined, "this request has crashed upstreams", until.Sub(r.now))
 }
 
-// checkUpstreams refuses when nothing could serve the request.
+// checkUpstreams refuses the request if no upstream can serve it.
 func (r *Router) checkUpstreams(req *request) *outcome.Error {
-	if req.svc.servable() || r.joining(req.svc) {
+	if req.svc.servable() || r.awaitsFirstReport(req.svc) {
 		return nil
 	}
-	return outcome.Refuse(outcome.NoUpstream, "no upstream serves this", r.spread(retryLater))
+	return outcome.Refuse(outcome.NoUpstream, "no upstream serves this", r.withJitter(noUpstreamRetryAfter))
 }
 
-// joining reports whether an engine was listed so lately that its load has not
-// been asked for: a request may wait for it.
-func (r *Router) joining(svc *service) bool {
+// awaitsFirstReport reports whether an engine of the service was listed so
+// recently that its first load report may still arrive. Requests may wait for it.
+func (r *Router) awaitsFirstReport(svc *service) bool {
 	for _, id := range svc.members {
 		u := r.upstreams[id]
-		if u != nil && u.model && !u.reported && !u.leaving() && r.now.Sub(u.firstListed) < warmUp {
+		if u != nil && u.isModel && !u.reported && !u.leaving() && r.now.Sub(u.firstListed) < warmUpTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// servable reports whether some chain or upstream is known.
+// servable reports whether the service has a chain of engines or an upstream that
+// may get work.
 func (s *service) servable() bool {
-	if s.model() {
+	if s.isModel() {
 		return s.graph != nil && len(s.graph.Heads()) > 0
 	}
 	return len(s.upstreams) > 0
 }
 
-// checkLimit takes the request from its account's rate.
+// checkLimit charges the request to its account's rate limit.
 func (r *Router) checkLimit(req *request) *outcome.Error {
 	ok, retryAfter := r.limiter.Take(r.now, req.account, 1)
 	if ok {
 		return nil
 	}
-	return outcome.Refuse(outcome.AccountLimit, "the account's rate is used up", r.spread(retryAfter))
+	return outcome.Refuse(outcome.AccountLimit, "the account's rate is used up", r.withJitter(retryAfter))
 }
 
-// enqueue puts the request in its queue, unless it could not be served in time.
+// enqueue queues the request, unless it is expected to miss its deadline.
 func (r *Router) enqueue(req *request) *outcome.Error {
 	q := req.svc.queue
 	item := r.item(req)
@@ -190,22 +199,22 @@
 	return nil
 }
 
-// hold makes a request that is suspected to crash upstreams wait out of the
-// queue; it reports whether the request has to.
-func (r *Router) hold(req *request) bool {
-	_, until := req.svc.blamer.Suspected(r.now, req.fingerprint())
-	if r.unjudged(req) {
-		until = r.now.Add(judgePace)
+// deferSuspected delays a request that is suspected of crashing upstreams,
+// without queueing it. It reports whether the request was delayed.
+func (r *Router) deferSuspected(req *request) bool {
+	_, until := req.svc.quarantine.Suspected(r.now, req.fingerprint())
+	if r.awaitsCrashConfirmation(req) {
+		until = r.now.Add(crashCheckInterval)
 	}
 	if !until.After(r.now) {
 		return false
 	}
 	r.note(req, StepQueued, outcome.Quarantined, "waits for the judgement of a crash")
-	r.later(req, until.Sub(r.now))
+	r.requeueAfter(req, until.Sub(r.now))
 	return true
 }
 
-// pushRefusal turns a queue's error into the caller's.
+// pushRefusal converts an error of Queue.Push to a refusal.
 func (r *Router) pushRefusal(req *request, err error) *outcome.Error {
 	retryAfter := req.svc.queue.RetryAfter(r.now)
 	var full *queue.FullError
@@ -215,34 +224,35 @@
 	return outcome.Refuse(outcome.QueueFull, err.Error(), retryAfter)
 }
 
-// item describes the request to its queue.
+// item returns the queue item of the request.
 func (r *Router) item(req *request) queue.Item {
 	return queue.Item{
-		ID:       req.arrive.ID,
+		ID:       req.arrival.ID,
 		Account:  req.account.ID,
 		Weight:   req.account.Weight,
-		Priority: req.arrive.Priority,
+		Priority: req.arrival.Priority,
 		Deadline: req.deadline,
 		Cost:     req.cost(),
 		Enqueued: r.now,
 	}
 }
 
-// spread adds up to half of d, so that callers do not come back together.
-func (r *Router) spread(d time.Duration) time.Duration {
+// withJitter returns d plus up to half of d, so that callers don't retry all at
+// once.
+func (r *Router) withJitter(d time.Duration) time.Duration {
 	return d + time.Duration(r.rand.Float64()*float64(d)/2)
 }
 
-// refuse answers a request that was never held.
+// refuse answers a request that was not admitted.
 func (r *Router) refuse(req *request, err *outcome.Error) {
 	r.note(req, StepRefused, err.Reason, err.Detail)
-	r.emit(Finish{ID: req.arrive.ID, Err: err})
+	r.emit(Finish{ID: req.arrival.ID, Err: err})
 }
 
 // forget drops a request that is answered and has nothing in flight.
 func (r *Router) forget(req *request) {
-	delete(r.requests, req.arrive.ID)
+	delete(r.requests, req.arrival.ID)
 	req.svc.retries = slices.DeleteFunc(req.svc.retries, func(d delayedRetry) bool {
-		return d.id == req.arrive.ID
+		return d.id == req.arrival.ID
 	})
 }
--- a/decide/router/attempt.go
+++ b/decide/router/attempt.go
@@ -7,7 +7,7 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// attemptStarted notes that the upstream confirmed the start.
+// attemptStarted records that the upstream confirmed the start of an attempt.
 func (r *Router) attemptStarted(ev AttemptStarted) {
 	req := r.inFlight(ev.ID, ev.Attempt)
 	if req == nil {
@@ -19,8 +19,8 @@
 	r.note(req, StepStarted, "", "")
 }
 
-// inFlight gives the request whose attempt is in flight; nil for an event of
-// an attempt that is no longer.
+// inFlight returns the request whose given attempt is in flight; nil if that
+// attempt has been superseded or has ended.
 func (r *Router) inFlight(id ids.Request, attempt ids.Attempt) *request {
 	req := r.requests[id]
 	if req == nil || req.state != sending || req.attempt != attempt {
@@ -29,71 +29,72 @@
 	return req
 }
 
-// attemptEnded draws the consequences of an attempt's end: for the load, for
-// the health of its upstreams, and for the request.
+// attemptEnded updates load, health and quarantine for the end of an attempt, and
+// completes, retries or fails the request.
 func (r *Router) attemptEnded(ev AttemptEnded) {
 	req := r.inFlight(ev.ID, ev.Attempt)
 	if req == nil {
 		return
 	}
-	r.blame(req, ev)
+	r.recordAttemptHealth(req, ev)
 	chain := req.chain
-	joining := req.resume != nil
-	r.free(req)
-	r.settleQueue(req, ev.Phase == outcome.Finished)
+	rejoining := req.resume != nil
+	r.unreserve(req)
+	r.releaseQueueSlot(req, ev.Phase == outcome.Finished)
 	req.resume = nil
-	if !joining && !ev.Phase.ProvesNotRun() {
+	if !rejoining && !ev.Phase.ProvesNotRun() {
 		req.mayHaveRun = true
 	}
 	switch {
 	case ev.Phase == outcome.Finished:
-		r.attemptFinished(req, joining)
+		r.attemptFinished(req, rejoining)
 	case req.prior != nil:
 		r.joinFailed(req, chain, ev)
 	default:
-		r.attemptFailed(req, chain, joining, ev)
+		r.attemptFailed(req, chain, rejoining, ev)
 	}
 	r.dispatch(req.svc)
 }
 
-// settleQueue tells the queue that a request it gave out is in flight no more;
-// only a whole answer counts as work done.
-func (r *Router) settleQueue(req *request, whole bool) {
-	if req.popped == 0 {
+// releaseQueueSlot tells the queue that a popped request is no longer in flight.
+// Only a complete answer counts as work done.
+func (r *Router) releaseQueueSlot(req *request, complete bool) {
+	if req.inFlightCost == 0 {
 		return
 	}
 	cost := 0.0
-	if whole {
-		cost = req.popped
+	if complete {
+		cost = req.inFlightCost
 	}
 	req.svc.queue.Finished(r.now, cost)
-	req.popped = 0
+	req.inFlightCost = 0
 }
 
-// attemptFinished ends a request whose whole answer was delivered.
-func (r *Router) attemptFinished(req *request, joining bool) {
-	if !joining {
-		req.svc.finished(r.now.Sub(req.sentAt))
+// attemptFinished completes a request whose complete answer was delivered.
+func (r *Router) attemptFinished(req *request, rejoining bool) {
+	if !rejoining {
+		req.svc.observeServiceTime(r.now.Sub(req.sentAt))
 	}
-	req.svc.blamer.Succeeded(r.now, req.fingerprint())
+	req.svc.quarantine.Succeeded(r.now, req.fingerprint())
 	if req.claim != nil {
 		done := *req.claim
 		done.State = ClaimDone
-		keep := req.svc.profile.ClaimRetention.D()
-		r.emit(Settle{ID: req.arrive.ID, Record: done, Retention: keep})
+		retention := req.svc.profile.ClaimRetention.D()
+		r.emit(Settle{ID: req.arrival.ID, Record: done, Retention: retention})
 	}
 	r.finish(req, nil)
 	r.forget(req)
 }
 
-// attemptFailed decides what follows an attempt that gave no whole answer.
-func (r *Router) attemptFailed(req *request, chain topology.Chain, joining bool, ev AttemptEnded) {
+// attemptFailed retries, rejoins or fails a request whose attempt ended without a
+// complete answer.
+func (r *Router) attemptFailed(req *request, chain topology.Chain, rejoining bool, ev AttemptEnded) {
 	r.note(req, StepFailed, ev.Reason, ev.Detail)
 	if ev.Reason == outcome.UpstreamBusy && ev.Phase == outcome.Refused && !req.answered {
-		r.busy(req, ev)
+		r.retryBusy(req, ev)
 		return
 	}
-	decision := retry.Decide(r.retryInput(req, joining, ev))
+	decision := retry.Decide(r.retryInput(req, rejoining, ev))
 	switch decision.Action {
 	case retry.Retry:
 		r.retry(req, ev)
@@ -104,8 +105,8 @@
 	}
 }
 
-// giveUp ends a request with a failure: at once where no claim of its own
-// stands, or once the claim of a request that was not run is released.
+// giveUp fails a request. If the request was not run and its claim is held, the
+// answer waits until the claim is released.
 func (r *Router) giveUp(req *request, err *outcome.Error) {
 	if req.mayHaveRun && err.Outcome == outcome.NotRun {
 		err.Outcome = outcome.Unknown
@@ -116,12 +117,12 @@
 		return
 	}
 	req.state = releasing
-	req.cause = err
-	r.emit(Release{ID: req.arrive.ID, Record: *req.claim})
+	req.pendingErr = err
+	r.emit(Release{ID: req.arrival.ID, Record: *req.claim})
 }
 
-// callerGone stops the work of a caller that went away. A request with a
-// claimed key runs on: its caller can come back with the key.
+// callerGone stops the work for a caller that disconnected. A request with a
+// claimed idempotency key continues, because its caller can return with the key.
 func (r *Router) callerGone(ev CallerGone) {
 	req := r.requests[ev.ID]
 	if req == nil || req.answered {
@@ -133,7 +134,7 @@
 		req.svc.queue.Remove(ev.ID)
 		r.giveUp(req, gone)
 	case sending:
-		if req.keyed() {
+		if req.needsClaim() {
 			return
 		}
 		gone.Outcome = outcome.Unknown
--- a/decide/router/claim.go
+++ b/decide/router/claim.go
@@ -6,32 +6,33 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// claim asks for the request's key before the attempt is sent. The record
-// names the upstream, so that a repeat through another VM can find the run.
+// claim claims the request's idempotency key before the attempt is sent. The
+// record names the upstream, so that a repeat through another VM can find the
+// running stream.
 func (r *Router) claim(req *request) {
 	req.state = claiming
 	record := ClaimRecord{
 		Account:     req.account.ID,
-		Key:         req.arrive.IdempotencyKey,
-		Fingerprint: req.arrive.Fingerprint,
-		Request:     req.arrive.ID,
+		Key:         req.arrival.IdempotencyKey,
+		Fingerprint: req.arrival.Fingerprint,
+		Request:     req.arrival.ID,
 		VM:          r.opts.VM,
 		Upstream:    req.head(),
 		Attempt:     req.attempt,
 		Epoch:       r.book.Estimate(r.now, req.head()).Epoch,
 		State:       ClaimHeld,
 	}
-	req.pending = &record
+	req.pendingClaim = &record
 	r.emit(Claim{
-		ID:        req.arrive.ID,
+		ID:        req.arrival.ID,
 		Record:    record,
 		Over:      req.prior,
 		Retention: req.svc.profile.ClaimRetention.D(),
 	})
 }
 
-// claimEnded sends the attempt whose claim was won, and answers one that was
-// not.
+// claimEnded sends the attempt if its claim was won. Otherwise it answers the
+// request or joins the earlier one.
 func (r *Router) claimEnded(ev ClaimEnded) {
 	req := r.requests[ev.ID]
 	if req == nil || req.state != claiming {
@@ -41,48 +42,48 @@
 		r.claimWon(req)
 		return
 	}
-	r.free(req)
-	r.settleQueue(req, false)
+	r.unreserve(req)
+	r.releaseQueueSlot(req, false)
 	r.claimLost(req, ev)
 	r.dispatch(req.svc)
 }
 
-// claimWon sends the attempt, or gives the claim back when its request has
-// been answered meanwhile.
+// claimWon sends the attempt, or releases the claim if the request has been
+// answered in the meantime.
 func (r *Router) claimWon(req *request) {
-	req.claim = req.pending
-	req.pending = nil
+	req.claim = req.pendingClaim
+	req.pendingClaim = nil
 	req.prior = nil
 	r.note(req, StepClaimed, "", "")
 	if !req.answered {
 		r.send(req)
 		return
 	}
-	r.free(req)
-	r.settleQueue(req, false)
+	r.unreserve(req)
+	r.releaseQueueSlot(req, false)
 	r.giveUp(req, outcome.Refuse(outcome.CallerGone, "", 0))
 }
 
-// claimLost answers a request whose key was not won.
+// claimLost handles a request whose key was not won.
 func (r *Router) claimLost(req *request, ev ClaimEnded) {
 	if ev.Result == ClaimTaken {
 		r.duplicate(req, ev.Prior)
 		return
 	}
 	detail := "the platform did not confirm the idempotency key"
-	r.giveUp(req, outcome.Refuse(outcome.ClaimUnavailable, detail, r.spread(retrySoon)))
+	r.giveUp(req, outcome.Refuse(outcome.ClaimUnavailable, detail, r.withJitter(defaultRetryAfter)))
 }
 
-// duplicate answers a request whose key belongs to an earlier one: by that
-// one's stream where it can be joined.
+// duplicate handles a request whose key belongs to an earlier one. It joins the
+// stream of the earlier request where possible.
 func (r *Router) duplicate(req *request, prior ClaimRecord) {
-	if prior.Fingerprint != req.arrive.Fingerprint {
+	if prior.Fingerprint != req.arrival.Fingerprint {
 		r.giveUp(req, outcome.Refuse(outcome.KeyReused, "the key came with another request before", 0))
 		return
 	}
 	u := r.upstreams[prior.Upstream]
-	if !req.svc.model() || u == nil || req.answered {
-		r.giveUp(req, r.earlier(prior))
+	if !req.svc.isModel() || u == nil || req.answered {
+		r.giveUp(req, r.earlierOutcome(prior))
 		return
 	}
 	req.prior = &prior
@@ -93,8 +94,9 @@
 	r.send(req)
 }
 
-// earlier answers a repeat with what is known of the earlier request.
-func (r *Router) earlier(prior ClaimRecord) *outcome.Error {
+// earlierOutcome returns the answer to a repeat whose earlier request cannot be
+// joined: already run, still running or unknown.
+func (r *Router) earlierOutcome(prior ClaimRecord) *outcome.Error {
 	detail := "first sent as " + string(prior.Request)
 	if prior.State == ClaimDone {
 		return &outcome.Error{Outcome: outcome.AlreadyRun, Reason: outcome.DuplicateDone, Detail: detail}
@@ -106,43 +108,44 @@
 		Outcome:    outcome.Running,
 		Reason:     outcome.DuplicateRunning,
 		Detail:     detail,
-		RetryAfter: r.spread(retrySoon),
+		RetryAfter: r.withJitter(defaultRetryAfter),
 	}
 }
 
-// joinFailed follows an attempt to rejoin an earlier request's stream. Where
-// the engine does not hold it and its VM is gone, the engine is asked to
-// forbid its start, which proves that it was not run.
+// joinFailed handles a failed attempt to join an earlier request's stream. If the
+// engine doesn't have the stream and the VM of the earlier request is gone,
+// joinFailed asks the engine to refuse any later start of it. A confirmation
+// proves that the earlier request was not run.
 func (r *Router) joinFailed(req *request, chain topology.Chain, ev AttemptEnded) {
 	prior := req.prior
 	r.note(req, StepFailed, ev.Reason, ev.Detail)
 	mayTakeOver := ev.Reason == outcome.UpstreamRefused && prior.State == ClaimHeld && !r.alive(prior.VM)
 	if !mayTakeOver || req.answered {
-		r.giveUp(req, r.earlier(*prior))
+		r.giveUp(req, r.earlierOutcome(*prior))
 		return
 	}
-	req.state = forbidding
-	r.emit(CancelStream{ID: req.arrive.ID, Address: chain[0].Address, Stream: prior.Request})
+	req.state = cancellingEarlier
+	r.emit(CancelStream{ID: req.arrival.ID, Address: chain[0].Address, Stream: prior.Request})
 }
 
-// streamCancelled takes over the claim of a request that is proved not to
-// have started, and never will.
+// streamCancelled queues the request again, to take over the claim, if the
+// earlier request has provably not started and never will.
 func (r *Router) streamCancelled(ev StreamCancelled) {
 	req := r.requests[ev.ID]
-	if req == nil || req.state != forbidding {
+	if req == nil || req.state != cancellingEarlier {
 		return
 	}
 	if req.answered || !provesNotStarted(ev, *req.prior) {
-		r.giveUp(req, r.earlier(*req.prior))
+		r.giveUp(req, r.earlierOutcome(*req.prior))
 		return
 	}
-	r.requeueOne(req)
+	r.enqueueAgain(req)
 	req.state = waiting
 	r.dispatch(req.svc)
 }
 
-// provesNotStarted reports whether the engine forbade the start in the same
-// process life that the claim names.
+// provesNotStarted reports whether the engine cancelled the stream before its
+// start, in the epoch that the claim names.
 func provesNotStarted(ev StreamCancelled, prior ClaimRecord) bool {
 	return ev.Answered &&
 		ev.Reply.State == engineapi.CancelNotStarted &&
@@ -150,13 +153,13 @@
 		ev.Reply.Epoch == prior.Epoch
 }
 
-// claimReleased gives the answer that waited for the release. An unconfirmed
-// release goes on by itself; the answer is true all the same.
+// claimReleased gives the answer that waited for the release of the claim. The
+// adapter continues an unconfirmed release; the answer is correct either way.
 func (r *Router) claimReleased(ev ClaimReleased) {
 	req := r.requests[ev.ID]
 	if req == nil || req.state != releasing {
 		return
 	}
-	r.finish(req, req.cause)
+	r.finish(req, req.pendingErr)
 	r.forget(req)
 }
--- a/decide/router/command.go
+++ b/decide/router/command.go
@@ -8,91 +8,94 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// Command is one thing for an adapter to do.
+// Command is an action for an adapter to carry out.
 type Command interface{ isCommand() }
 
-// Send runs one attempt. The adapter answers with exactly one AttemptEnded.
+// Send runs one attempt of a request. The adapter replies with exactly one
+// AttemptEnded.
 type Send struct {
 	ID      ids.Request
 	Attempt ids.Attempt
-	// Chain is the engines of a model request, the head first. For a plain
-	// request it is the one upstream to call.
+	// Chain holds the engines of a model request, the first stage first. For a
+	// plain request it holds the one upstream to call.
 	Chain topology.Chain
-	// Model tells the kind of request.
+	// Model is true for a model request and false for a plain call.
 	Model bool
-	// Layers is the model's count of layers.
+	// Layers is the model's number of layers.
 	Layers int
-	// Resume asks to rejoin the running stream of an earlier attempt at
-	// Chain[0] instead of starting: set when a claim names another VM's work.
+	// Resume, if not nil, asks to rejoin a running stream at Chain[0] instead of
+	// starting a new one: the stream of the request's own earlier attempt, or
+	// that of an earlier request with the same idempotency key.
 	Resume *Resume
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// ConnectTimeout and StallAfter are the profile's.
+	// ConnectTimeout and StallAfter come from the service's profile.
 	ConnectTimeout, StallAfter time.Duration
 }
 
-// Resume names a running stream to rejoin.
+// Resume identifies a running stream to rejoin.
 type Resume struct {
-	// Request and Attempt name the stream at the engine.
+	// Request and Attempt identify the stream at the engine.
 	Request ids.Request
 	Attempt ids.Attempt
-	// Epoch is the engine's process life it ran in; empty when not known.
+	// Epoch names the engine process that runs the stream; empty if unknown.
 	Epoch string
 }
 
-// Cancel stops an attempt; the adapter closes its connection and cancels it at
+// Cancel stops an attempt: the adapter closes its connection and cancels it at
 // the upstream. AttemptEnded still follows.
 type Cancel struct {
 	ID      ids.Request
 	Attempt ids.Attempt
 }
 
-// Finish gives the caller the final answer. It is the last command of a
-// request. Err is nil when the whole answer was delivered.
+// Finish gives the caller the final answer. Each request gets exactly one. Err is
+// nil if the complete answer was delivered.
 type Finish struct {
 	ID  ids.Request
 	Err *outcome.Error
-	// Attempts that were sent.
+	// Attempts is the number of attempts made.
 	Attempts int
 }
 
-// Claim asks for the request's idempotency key to be claimed through the
-// platform before a send.
+// Claim claims the request's idempotency key through the platform before an
+// attempt is sent. The adapter replies with exactly one ClaimEnded.
 //
-// A claim by the same Request as the one that stands replaces it, so that the
-// record names the upstream of the newest attempt. The adapter answers with
-// exactly one ClaimEnded.
+// A claim by the same request as the current one replaces it, so that the record
+// names the upstream of the newest attempt.
 type Claim struct {
 	ID     ids.Request
 	Record ClaimRecord
-	// Over is an earlier claim that may be replaced, since its request is
-	// proved not to have run and never will; nil when there is none.
+	// Over is an earlier claim that may be replaced, because its request provably
+	// was not run and never will be; nil if there is none.
 	Over *ClaimRecord
-	// Retention is how long the key is remembered.
+	// Retention is how long the key is kept.
 	Retention time.Duration
 }
 
-// CancelStream asks an engine to forbid the start of a request that another
-// VM may have sent. The adapter answers with exactly one StreamCancelled.
+// CancelStream asks an engine to cancel the stream of a request that another VM
+// may have sent, and to refuse any later start of it. The adapter replies with
+// exactly one StreamCancelled.
 type CancelStream struct {
 	ID      ids.Request
 	Address string
-	// Stream is the request as the engine knows it.
+	// Stream is the ID of the earlier request.
 	Stream ids.Request
 }
 
-// Release gives a claim back, since its request was not run. The adapter
-// answers with exactly one ClaimReleased.
+// Release releases the claim of a request that was not run. The adapter replies
+// with exactly one ClaimReleased.
 type Release struct {
 	ID     ids.Request
 	Record ClaimRecord
 }
 
-// Settle marks a claim as done, so that repeats learn its outcome.
+// Settle marks a claim as done, so that repeats of the request learn that it has
+// run.
 type Settle struct {
 	ID     ids.Request
 	Record ClaimRecord
-	// Retention is how long the key is remembered from now on.
+	// Retention is how long the key is kept from now on.
 	Retention time.Duration
 }
 
@@ -101,45 +104,48 @@
 
 // States of a claim.
 const (
-	// ClaimHeld: the request may have been sent.
+	// ClaimHeld means that the request may have been sent.
 	ClaimHeld ClaimState = "held"
-	// ClaimDone: the request has finished.
+	// ClaimDone means that the request has finished.
 	ClaimDone ClaimState = "done"
 )
 
-// ClaimRecord is what the platform keeps of one idempotency key.
+// ClaimRecord is what the platform stores for one idempotency key.
 type ClaimRecord struct {
-	// Account and Key together are claimed; Key is the caller's.
+	// Account and Key together identify the claim. Key is the caller's.
 	Account ids.Account `json:"account"`
 	Key     string      `json:"key"`
-	// Fingerprint of the request the key came with.
+	// Fingerprint is that of the request that claimed the key.
 	Fingerprint string `json:"fingerprint"`
-	// Request, VM, Upstream and Attempt name the one run.
+	// Request, VM, Upstream and Attempt identify the one run of the request.
 	Request  ids.Request  `json:"request"`
 	VM       ids.VM       `json:"vm"`
 	Upstream ids.Upstream `json:"upstream"`
 	Attempt  ids.Attempt  `json:"attempt"`
-	// Epoch is the upstream's process life at the claim; empty if not known.
+	// Epoch names the upstream process at the time of the claim; empty if
+	// unknown.
 	Epoch string     `json:"epoch,omitempty"`
 	State ClaimState `json:"state"`
 }
 
-// ClaimResult is what came of a Claim.
+// ClaimResult is the result of a Claim.
 type ClaimResult int
 
 const (
-	// ClaimWon: the key is ours, and the request may be sent.
+	// ClaimWon means that the request owns the key and may be sent.
 	ClaimWon ClaimResult = iota
-	// ClaimTaken: the key was claimed before; Prior tells by which request.
+	// ClaimTaken means that another request owns the key; ClaimEnded.Prior names
+	// it.
 	ClaimTaken
-	// ClaimFailed: the platform could not be asked, and no claim of ours
-	// stands or will stand.
+	// ClaimFailed means that the platform could not be reached and that the claim
+	// does not exist and never will.
 	ClaimFailed
-	// ClaimUncertain: our claim may yet stand; the adapter goes on to release it.
+	// ClaimUncertain means that the claim may exist. The adapter keeps trying to
+	// release it.
 	ClaimUncertain
 )
 
-// Decision is one step of the record that explains a request.
+// Decision is one step in the record that explains the handling of a request.
 type Decision struct {
 	At      time.Time       `json:"at"`
 	ID      ids.Request     `json:"request"`
@@ -150,14 +156,14 @@
 	Outcome outcome.Outcome `json:"outcome,omitempty"`
 	Reason  outcome.Reason  `json:"reason,omitempty"`
 	Detail  string          `json:"detail,omitempty"`
-	// Wait is the time the request waited before this step.
+	// Wait is the time from the arrival of the request to this step.
 	Wait time.Duration `json:"wait_ns,omitempty"`
 }
 
-// DecisionStep names a kind of decision.
+// DecisionStep is a kind of decision.
 type DecisionStep string
 
-// Steps of a request's record.
+// Steps of a Decision.
 const (
 	StepAdmitted DecisionStep = "admitted"
 	StepQueued   DecisionStep = "queued"
@@ -171,7 +177,7 @@
 	StepFinished DecisionStep = "finished"
 )
 
-// RecordDecision records a decision.
+// RecordDecision adds a decision to the record of a request.
 type RecordDecision struct{ Decision Decision }
 
 func (Send) isCommand()           {}
--- a/decide/router/config.go
+++ b/decide/router/config.go
@@ -7,9 +7,9 @@
 	"mimosaarch.example/core/ids"
 )
 
-// configSeen puts a configuration in force. Requests of a service that is no
-// longer defined run to their end; new ones are refused.
-func (r *Router) configSeen(ev ConfigReceived) {
+// configReceived makes a configuration active. Requests of a service that was
+// removed run to their end; new ones are refused.
+func (r *Router) configReceived(ev ConfigReceived) {
 	r.config = ev.Config
 	for name, def := range ev.Config.Services {
 		r.setService(name, def)
@@ -23,7 +23,7 @@
 	r.rebuildAll()
 }
 
-// setService adds or updates one service and its health policy.
+// setService adds or updates a service and its health policy.
 func (r *Router) setService(name ids.Service, def fleet.Service) {
 	profile := r.profileOf(def)
 	r.health.SetPolicy(name, profile.Health)
@@ -34,7 +34,7 @@
 	r.services[name] = newService(def, profile, r.rand)
 }
 
-// dropService forgets a service that holds no request.
+// dropService removes a service, unless a request of it is still held.
 func (r *Router) dropService(name ids.Service) {
 	for _, req := range r.requests {
 		if req.svc == r.services[name] {
@@ -44,8 +44,8 @@
 	delete(r.services, name)
 }
 
-// profileOf gives the policy a service runs under; the defaults when its
-// profile is not known.
+// profileOf returns the profile of a service, or the default profile if its own
+// is unknown.
 func (r *Router) profileOf(def fleet.Service) fleet.Profile {
 	if p, ok := r.config.Profiles[def.Profile]; ok {
 		return p
@@ -53,8 +53,8 @@
 	return fleet.DefaultProfile()
 }
 
-// sortedKeys lists a map's keys in order, so that decisions do not depend on
-// the order of maps.
+// sortedKeys returns a map's keys in order, so that decisions don't depend on the
+// iteration order of maps.
 func sortedKeys[K ~string, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -9,7 +9,7 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// dispatch launches waiting requests of a service while chains have room.
+// dispatch starts waiting requests of a service while chains have capacity.
 func (r *Router) dispatch(svc *service) {
 	for {
 		item, ok := svc.queue.Next(r.now)
@@ -26,63 +26,65 @@
 			return
 		}
 		svc.queue.Pop(r.now)
-		req.popped = item.Cost
+		req.inFlightCost = item.Cost
 		r.launch(req, chain)
 	}
 }
 
-// pick chooses a chain for the request; false when none has room. One that
-// leads to the upstream that was full just now is drawn anew, once: to exclude
-// that one would set off the search of all chains, over slow links too.
+// pick chooses a chain for the request; false if none has capacity. If the chain
+// begins at the upstream that was just full, pick draws once more. It doesn't
+// exclude that upstream, because an exclusion triggers a search of all chains,
+// including those over slow links.
 func (r *Router) pick(req *request) (topology.Chain, bool) {
-	chain, ok := r.pickUsable(req)
-	if ok && chain[0].ID == req.full {
-		return r.pickUsable(req)
+	chain, ok := r.pickAvoidingFailed(req)
+	if ok && chain[0].ID == req.lastBusy {
+		return r.pickAvoidingFailed(req)
 	}
 	return chain, ok
 }
 
-// pickUsable chooses among the upstreams that the request has not failed at,
-// or, where nothing else is left, among all.
-func (r *Router) pickUsable(req *request) (topology.Chain, bool) {
-	if len(req.failed) == 0 {
+// pickAvoidingFailed chooses a chain without the upstreams at which the request
+// has failed or, if there is none, any chain.
+func (r *Router) pickAvoidingFailed(req *request) (topology.Chain, bool) {
+	if len(req.failedAt) == 0 {
 		return r.pickExcluding(req, nil)
 	}
-	chain, ok := r.pickExcluding(req, req.exclude)
+	chain, ok := r.pickExcluding(req, req.hasFailedAt)
 	if !ok {
 		return r.pickExcluding(req, nil)
 	}
 	return chain, ok
 }
 
-// pickExcluding chooses among the upstreams that exclude does not name.
+// pickExcluding chooses a chain without the upstreams for which exclude returns
+// true. A nil exclude excludes none.
 func (r *Router) pickExcluding(req *request, exclude func(ids.Upstream) bool) (topology.Chain, bool) {
 	want := balancer.Request{
-		Service: req.arrive.Service,
-		Prefix:  req.arrive.PrefixHash,
+		Service: req.arrival.Service,
+		Prefix:  req.arrival.PrefixHash,
 		Tokens:  int(req.cost()),
 		Zone:    r.opts.Zone,
 		Exclude: exclude,
 	}
-	if req.svc.model() {
-		return req.svc.picker.Pick(r.now, want, r)
+	if req.svc.isModel() {
+		return req.svc.chainPicker.Pick(r.now, want, r)
 	}
-	one, ok := req.svc.plain.PickPlain(r.now, want, req.svc.upstreams, r)
+	one, ok := req.svc.plainPicker.PickPlain(r.now, want, req.svc.upstreams, r)
 	if !ok {
 		return nil, false
 	}
 	return topology.Chain{one}, true
 }
 
-// launch starts the next attempt on the chain: at once, or after the claim of
-// the request's idempotency key.
+// launch starts the next attempt on the chain. A request that needs a claim is
+// sent once its idempotency key is claimed.
 func (r *Router) launch(req *request, chain topology.Chain) {
 	req.chain = chain
-	req.full = ""
+	req.lastBusy = ""
 	req.attempt++
 	req.stream = req.attempt
 	r.reserve(req)
-	if req.keyed() {
+	if req.needsClaim() {
 		r.claim(req)
 		return
 	}
@@ -96,15 +98,15 @@
 	}
 }
 
-// free takes the attempt out of the load of its chain.
-func (r *Router) free(req *request) {
+// unreserve removes the attempt from the load of each engine of its chain.
+func (r *Router) unreserve(req *request) {
 	for _, e := range req.chain {
 		r.untrack(e.ID, req)
 	}
 	req.chain = nil
 }
 
-// send emits the attempt.
+// send emits the Send command for the current attempt.
 func (r *Router) send(req *request) {
 	req.state = sending
 	req.sentAt = r.now
@@ -112,13 +114,13 @@
 	if req.attempt == 1 {
 		req.svc.budget.First(r.now)
 	}
-	r.trial(req)
+	r.startTrials(req)
 	r.note(req, StepSent, "", "")
 	r.emit(Send{
-		ID:             req.arrive.ID,
+		ID:             req.arrival.ID,
 		Attempt:        req.attempt,
 		Chain:          req.chain,
-		Model:          req.svc.model(),
+		Model:          req.svc.isModel(),
 		Layers:         req.svc.def.Layers,
 		Resume:         req.resume,
 		Remaining:      req.remaining(r.now),
@@ -127,15 +129,16 @@
 	})
 }
 
-// trial tells the health tracker that a half-open upstream gets its trial.
-func (r *Router) trial(req *request) {
+// startTrials tells the health tracker that half-open upstreams of the chain get
+// their trial request.
+func (r *Router) startTrials(req *request) {
 	for _, e := range req.chain {
 		r.health.TryTrial(r.now, e.ID)
 	}
 }
 
-// finish gives the final answer, once. The request is forgotten when nothing
-// of it is in flight any more.
+// finish gives the final answer, unless the request has one. The caller forgets
+// the request once nothing of it is in flight.
 func (r *Router) finish(req *request, err *outcome.Error) {
 	if req.answered {
 		return
@@ -146,10 +149,10 @@
 		reason = err.Reason
 	}
 	r.noteFinish(req, err, reason)
-	r.emit(Finish{ID: req.arrive.ID, Err: err, Attempts: int(req.attempt)})
+	r.emit(Finish{ID: req.arrival.ID, Err: err, Attempts: int(req.attempt)})
 }
 
-// noteFinish records the final answer.
+// noteFinish records the final answer as a decision.
 func (r *Router) noteFinish(req *request, err *outcome.Error, reason outcome.Reason) {
 	decision := r.decision(req, StepFinished, reason, "")
 	decision.Outcome = outcome.Complete
--- a/decide/router/event.go
+++ b/decide/router/event.go
@@ -1,7 +1,10 @@
-// Package router composes the decision libraries for one node. It takes typed
-// events with a time and returns typed commands; it has no socket, goroutine,
-// clock, global random source or log call. A Router is not safe for
-// concurrent use: one goroutine feeds it.
+// Package router makes the decisions of one node for every request: admission,
+// rate limits, queueing, choice of upstreams, claims of idempotency keys, retries
+// and quarantine. It composes the other packages under decide.
+//
+// A Router takes typed events with a time and returns typed commands. It uses no
+// socket, goroutine, clock, global random source or logger. A Router is not safe
+// for concurrent use.
 package router
 
 import (
@@ -14,104 +17,111 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// Event is one thing that happened, told to the Router by an adapter.
+// Event is something that happened, reported to the Router by an adapter.
 type Event interface{ isEvent() }
 
-// RequestArrived is a new request whose body has been read whole and checked for form.
+// RequestArrived is a new request whose body has been read completely and whose
+// syntax has been checked.
 type RequestArrived struct {
 	ID      ids.Request
 	Service ids.Service
 	// Method and Path are those of a plain call; empty for a model request.
 	Method, Path string
-	// KeySHA256 is the hex SHA-256 of the bearer key; empty when none came.
+	// KeySHA256 is the hex SHA-256 of the bearer key; empty if there was none.
 	KeySHA256 string
-	// IdempotencyKey is the caller's own key; empty when none came.
+	// IdempotencyKey is chosen by the caller; empty if there was none.
 	IdempotencyKey string
-	// Fingerprint hashes service, method, path and body: it tells a repeat
-	// of the same request from another one.
+	// Fingerprint is a hash of service, method, path and body. It distinguishes a
+	// repeat of a request from another request with the same key.
 	Fingerprint string
 	Priority    int
-	// Deadline is on the node's own clock; zero means none was given.
+	// Deadline is on this node's clock; zero if the caller gave none.
 	Deadline time.Time
-	// PromptTokens and MaxTokens estimate a model request's work.
+	// PromptTokens and MaxTokens are the estimated prompt length and the maximum
+	// output of a model request.
 	PromptTokens, MaxTokens int
-	// PrefixHash names the prompt's prefix for cache affinity; 0 means none.
+	// PrefixHash identifies the prompt's prefix for cache affinity; 0 if there is
+	// none.
 	PrefixHash uint64
 }
 
-// CallerGone tells that the caller of a request went away.
+// CallerGone reports that the caller of a request disconnected.
 type CallerGone struct{ ID ids.Request }
 
-// AttemptStarted tells that the upstream confirmed the start.
+// AttemptStarted reports that the upstream confirmed the start of an attempt.
 type AttemptStarted struct {
 	ID      ids.Request
 	Attempt ids.Attempt
-	// Epoch names the upstream's process life; empty for plain services.
+	// Epoch names the upstream process; empty for plain services.
 	Epoch string
 }
 
-// AttemptEnded tells how an attempt ended. Exactly one follows each Send.
+// AttemptEnded reports the end of an attempt. Exactly one follows each Send.
 type AttemptEnded struct {
 	ID      ids.Request
 	Attempt ids.Attempt
 	Phase   outcome.Phase
 	// Reason is empty when Phase is Finished.
 	Reason outcome.Reason
-	// Upstream is the stage at fault where known, else the one called.
+	// Upstream is the stage at fault if known, otherwise the upstream that was
+	// called.
 	Upstream ids.Upstream
-	// Tokens delivered to the caller so far, over all attempts.
+	// Tokens is the number of tokens delivered to the caller so far, over all
+	// attempts.
 	Tokens int
-	// RetryAfter is the upstream's own advice; zero means none.
+	// RetryAfter is the retry delay that the upstream advised; zero if none.
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// ClaimEnded tells what came of a Claim.
+// ClaimEnded reports the result of a Claim.
 type ClaimEnded struct {
 	ID     ids.Request
 	Result ClaimResult
-	// Prior is the claim that stood already when Result is ClaimTaken.
+	// Prior is the existing claim if Result is ClaimTaken.
 	Prior ClaimRecord
 }
 
-// ClaimReleased tells that a Release took effect, or that the platform could
-// not be asked (Confirmed false); the release then goes on by itself.
+// ClaimReleased reports the end of a Release. Confirmed is false if the platform
+// could not be reached; the adapter then keeps trying.
 type ClaimReleased struct {
 	ID        ids.Request
 	Confirmed bool
 }
 
-// StreamCancelled tells what a CancelStream met.
+// StreamCancelled reports the result of a CancelStream.
 type StreamCancelled struct {
 	ID ids.Request
-	// Answered is false when the engine could not be asked.
+	// Answered is false if the engine could not be reached.
 	Answered bool
 	Reply    engineapi.CancelReply
 }
 
-// LoadReported is an engine's report of itself, polled or relayed by a peer.
+// LoadReported is an engine's load report, polled by this node.
 type LoadReported struct {
 	Report engineapi.LoadReport
-	// At is when the report was asked for on this node's clock: the engine lived then.
+	// At is when the report was requested, on this node's clock. The engine was
+	// running at that time.
 	At time.Time
 }
 
-// LoadPollFailed tells that an engine did not answer a poll.
+// LoadPollFailed reports that an engine did not answer a load poll.
 type LoadPollFailed struct{ Upstream ids.Upstream }
 
 // VMListReceived is the platform's list of VMs.
 type VMListReceived struct{ List platformapi.VMList }
 
-// ConfigReceived is the newest set of configuration, changed as a whole.
+// ConfigReceived is a complete new configuration.
 type ConfigReceived struct{ Config *Config }
 
-// Drain starts the planned stop of this node: no new requests.
+// Drain starts the planned stop of this node: it refuses new requests and
+// finishes those it holds.
 type Drain struct{}
 
-// Tick tells the time; sent every TickInterval.
+// Tick reports that time has passed. It must be sent every TickInterval.
 type Tick struct{}
 
-// TickInterval is the pace of Tick.
+// TickInterval is the interval between Tick events.
 const TickInterval = 20 * time.Millisecond
 
 func (RequestArrived) isEvent()  {}
@@ -128,8 +138,8 @@
 func (Drain) isEvent()           {}
 func (Tick) isEvent()            {}
 
-// Config is the configuration in force, indexed for the Router. It is never
-// changed after it is handed over.
+// Config is the active configuration, indexed for the Router. It must not be
+// modified after it is passed to one.
 type Config struct {
 	Profiles map[ids.Profile]fleet.Profile
 	Services map[ids.Service]fleet.Service
--- a/decide/router/graph.go
+++ b/decide/router/graph.go
@@ -11,20 +11,20 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// describe takes the engine's layers, capacity and links from its report, and
-// reports whether anything changed.
-func (u *upstream) describe(report engineapi.LoadReport) bool {
+// applyReport updates the layers, capacity and links of an engine from its load
+// report. It reports whether anything changed by more than the tolerance.
+func (u *upstream) applyReport(report engineapi.LoadReport) bool {
 	before := u.engine
 	u.engine.First = report.First
 	u.engine.Last = report.Last
 	u.engine.Slots = report.Slots
-	if !near(before.Rate, report.TokensPerSecond) {
+	if !withinTolerance(before.Rate, report.TokensPerSecond) {
 		u.engine.Rate = report.TokensPerSecond
 	}
-	links := linksOf(u.engine.ID, report.Links)
-	relinked := !slices.EqualFunc(u.links, links, nearLink)
-	changed := !u.reported || u.engine != before || u.leavingSaid != report.Leaving || relinked
-	u.leavingSaid = report.Leaving
+	links := convertLinks(u.engine.ID, report.Links)
+	relinked := !slices.EqualFunc(u.links, links, linkWithinTolerance)
+	changed := !u.reported || u.engine != before || u.leavingPerReport != report.Leaving || relinked
+	u.leavingPerReport = report.Leaving
 	u.reported = true
 	if relinked {
 		u.links = links
@@ -32,24 +32,24 @@
 	return changed
 }
 
-// nearPart is the part by which a measured figure may differ from the one in
-// use before it counts as another: each change makes a graph and a plan anew.
-const nearPart = 0.2
+// reportTolerance is the relative difference up to which a measured value counts
+// as unchanged. Each change rebuilds the graph and the plan of chains.
+const reportTolerance = 0.2
 
-// near reports whether a figure is close to the one in use.
-func near(used, now float64) bool {
-	return math.Abs(now-used) <= nearPart*math.Abs(used)
+// withinTolerance reports whether a new value counts as equal to the one in use.
+func withinTolerance(used, now float64) bool {
+	return math.Abs(now-used) <= reportTolerance*math.Abs(used)
 }
 
-// nearLink reports whether a link is close to the one in use.
-func nearLink(used, now topology.Link) bool {
+// linkWithinTolerance reports whether a link counts as equal to the one in use.
+func linkWithinTolerance(used, now topology.Link) bool {
 	return used.From == now.From && used.To == now.To &&
-		near(used.Rate, now.Rate) &&
-		near(float64(used.Latency), float64(now.Latency))
+		withinTolerance(used.Rate, now.Rate) &&
+		withinTolerance(float64(used.Latency), float64(now.Latency))
 }
 
-// linksOf converts an engine's report of its links.
-func linksOf(from ids.Upstream, reported []engineapi.Link) []topology.Link {
+// convertLinks converts the links in the load report of the engine from.
+func convertLinks(from ids.Upstream, reported []engineapi.Link) []topology.Link {
 	links := make([]topology.Link, len(reported))
 	for i, l := range reported {
 		links[i] = topology.Link{
@@ -62,7 +62,7 @@
 	return links
 }
 
-// rebuildAll makes the upstreams of every service anew.
+// rebuildAll rebuilds the upstreams and graphs of all services.
 func (r *Router) rebuildAll() {
 	for _, name := range r.serviceNames {
 		r.dirty[name] = true
@@ -70,7 +70,7 @@
 	r.rebuildGraphs()
 }
 
-// rebuildGraphs makes the upstreams of each changed service anew.
+// rebuildGraphs rebuilds the upstreams and graphs of the services marked dirty.
 func (r *Router) rebuildGraphs() {
 	for _, name := range r.serviceNames {
 		if r.dirty[name] {
@@ -80,7 +80,8 @@
 	clear(r.dirty)
 }
 
-// rebuild makes the upstreams of one service anew from what is known.
+// rebuild rebuilds the members, usable upstreams and graph of one service, and
+// updates its members in the health tracker.
 func (r *Router) rebuild(name ids.Service, svc *service) {
 	var engines []topology.Engine
 	var links []topology.Link
@@ -91,7 +92,7 @@
 			continue
 		}
 		members = append(members, id)
-		u.leavingOperators = slices.Contains(svc.def.Leaving, id)
+		u.leavingPerConfig = slices.Contains(svc.def.Leaving, id)
 		if !u.usable() {
 			continue
 		}
@@ -101,7 +102,7 @@
 	svc.upstreams = engines
 	svc.members = members
 	svc.graph = nil
-	if svc.model() && len(engines) > 0 {
+	if svc.isModel() && len(engines) > 0 {
 		svc.graph = topology.NewGraph(svc.def.Layers, engines, links)
 	}
 	r.health.SetMembers(r.now, name, members)
@@ -110,14 +111,14 @@
 	}
 }
 
-// usable reports whether the upstream may be given new work, its health apart.
+// usable reports whether the upstream may get new work, apart from its health.
 func (u *upstream) usable() bool {
-	return u.listed && !u.leaving() && (u.reported || !u.model)
+	return u.listed && !u.leaving() && (u.reported || !u.isModel)
 }
 
-// leaving reports whether the upstream is leaving, by whoever's word.
+// leaving reports whether any source says that the upstream is leaving.
 func (u *upstream) leaving() bool {
-	return u.leavingListed || u.leavingSaid || u.leavingOperators || len(u.leavingPeers) > 0
+	return u.leavingPerList || u.leavingPerReport || u.leavingPerConfig || len(u.leavingPerPeers) > 0
 }
 
 // Graph implements balancer.View.
--- a/decide/router/property_test.go
+++ b/decide/router/property_test.go
@@ -16,98 +16,100 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same interleavings in every run.
+	// A fixed seed makes every run use the same event orders.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// world plays the adapters around a Router and checks its promises.
-type world struct {
+// harness stands in for the adapters around a Router and checks its invariants.
+type harness struct {
 	t        *rapid.T
 	script   *script
 	arrived  map[ids.Request]RequestArrived
 	finished map[ids.Request]*Finish
-	// flying holds the attempt in flight of each request.
-	flying map[ids.Request]Send
-	// mayHaveRun marks requests of which some attempt is not proved not run.
+	// inFlight holds the attempt in flight of each request.
+	inFlight map[ids.Request]Send
+	// mayHaveRun holds the requests that an attempt may have run.
 	mayHaveRun map[ids.Request]bool
-	// claiming and releasing hold the questions to the platform.
-	claiming  map[ids.Request]Claim
-	won       map[ids.Request]ids.Attempt
-	releasing map[ids.Request]bool
-	asking    map[ids.Request]bool
+	// claiming, releasing and cancelling hold the commands that have no reply
+	// yet; won holds the attempts whose claim was won.
+	claiming   map[ids.Request]Claim
+	won        map[ids.Request]ids.Attempt
+	releasing  map[ids.Request]bool
+	cancelling map[ids.Request]bool
 }
 
-// step feeds one event and checks each command.
-func (w *world) step(ev Event) {
-	for _, c := range w.script.router.Step(w.script.now, ev) {
-		w.check(c)
+// step passes one event to the Router and checks each command it returns.
+func (h *harness) step(ev Event) {
+	for _, c := range h.script.router.Step(h.script.now, ev) {
+		h.check(c)
 	}
 }
 
-// check checks one command against what has happened.
-func (w *world) check(c Command) {
+// check checks one command against the events so far.
+func (h *harness) check(c Command) {
 	switch c := c.(type) {
 	case Send:
-		w.checkSend(c)
+		h.checkSend(c)
 	case Claim:
-		w.claiming[c.ID] = c
+		h.claiming[c.ID] = c
 	case Release:
-		w.releasing[c.ID] = true
+		h.releasing[c.ID] = true
 	case CancelStream:
-		w.asking[c.ID] = true
+		h.cancelling[c.ID] = true
 	case Finish:
-		w.checkFinish(c)
+		h.checkFinish(c)
 	}
 }
 
-// checkSend fails when a request may run twice.
-func (w *world) checkSend(c Send) {
-	if _, twice := w.flying[c.ID]; twice {
-		w.t.Fatalf("%s: two attempts in flight", c.ID)
+// checkSend fails if the attempt could run a request twice.
+func (h *harness) checkSend(c Send) {
+	if _, twice := h.inFlight[c.ID]; twice {
+		h.t.Fatalf("%s: two attempts in flight", c.ID)
 	}
-	a := w.arrived[c.ID]
+	a := h.arrived[c.ID]
 	mayRepeat := a.IdempotencyKey == "" && a.Method != "POST"
-	if c.Resume == nil && !mayRepeat && w.mayHaveRun[c.ID] {
-		w.t.Fatalf("%s: sent again although it may have run", c.ID)
+	if c.Resume == nil && !mayRepeat && h.mayHaveRun[c.ID] {
+		h.t.Fatalf("%s: started again although it may have run", c.ID)
 	}
-	if c.Resume == nil && a.IdempotencyKey != "" && w.won[c.ID] != c.Attempt {
-		w.t.Fatalf("%s: attempt %d sent without its claim", c.ID, c.Attempt)
+	if c.Resume == nil && a.IdempotencyKey != "" && h.won[c.ID] != c.Attempt {
+		h.t.Fatalf("%s: attempt %d sent without its claim", c.ID, c.Attempt)
 	}
-	w.flying[c.ID] = c
+	h.inFlight[c.ID] = c
 }
 
-// checkFinish fails on a second answer and on an untrue "not run".
-func (w *world) checkFinish(c Finish) {
-	if w.finished[c.ID] != nil {
-		w.t.Fatalf("%s: answered twice", c.ID)
+// checkFinish fails on a second answer, and on "not run" for a request that may
+// have run.
+func (h *harness) checkFinish(c Finish) {
+	if h.finished[c.ID] != nil {
+		h.t.Fatalf("%s: answered twice", c.ID)
 	}
-	w.finished[c.ID] = &c
+	h.finished[c.ID] = &c
 	if c.Err == nil || c.Err.Outcome != outcome.NotRun {
 		return
 	}
-	flying, inFlight := w.flying[c.ID]
-	if w.mayHaveRun[c.ID] || (inFlight && flying.Resume == nil) {
-		w.t.Fatalf("%s: not_run %s although it may have run", c.ID, c.Err.Reason)
+	sent, isInFlight := h.inFlight[c.ID]
+	if h.mayHaveRun[c.ID] || (isInFlight && sent.Resume == nil) {
+		h.t.Fatalf("%s: answered not_run (%s) although it may have run", c.ID, c.Err.Reason)
 	}
 }
 
-// arrive begins a request of a random kind.
-func (w *world) arrive() {
-	id := ids.Request(fmt.Sprintf("r%d", len(w.arrived)))
+// arrive starts a request of a random kind.
+func (h *harness) arrive() {
+	id := ids.Request(fmt.Sprintf("r%d", len(h.arrived)))
 	kinds := []func(*RequestArrived){
 		nil, withKey, booking,
 		func(a *RequestArrived) { booking(a); withKey(a) },
 		func(a *RequestArrived) { booking(a); a.Method, a.Path = "GET", "/slots" },
 	}
-	ev := arrive(id, rapid.SampledFrom(kinds).Draw(w.t, "kind"))
-	w.arrived[id] = ev
-	w.step(ev)
+	ev := newArrival(id, rapid.SampledFrom(kinds).Draw(h.t, "kind"))
+	h.arrived[id] = ev
+	h.step(ev)
 }
 
-// endings are the ways an attempt can end.
+// endings are the ways in which an attempt that starts a request can end.
 var endings = []struct {
 	phase  outcome.Phase
 	reason outcome.Reason
@@ -125,7 +127,7 @@
 	{outcome.Started, outcome.Cancelled},
 }
 
-// rejoinEndings are the ways an attempt that only rejoins can end.
+// rejoinEndings are the ways in which an attempt that rejoins a stream can end.
 var rejoinEndings = []struct {
 	phase  outcome.Phase
 	reason outcome.Reason
@@ -136,112 +138,115 @@
 	{outcome.Started, outcome.UpstreamLost},
 }
 
-// end ends a random attempt in flight.
-func (w *world) end() {
-	if len(w.flying) == 0 {
+// endAttempt ends a random attempt in flight.
+func (h *harness) endAttempt() {
+	if len(h.inFlight) == 0 {
 		return
 	}
-	sent := w.flying[rapid.SampledFrom(sortedKeys(w.flying)).Draw(w.t, "attempt")]
-	delete(w.flying, sent.ID)
-	ways := endings
+	sent := h.inFlight[rapid.SampledFrom(sortedKeys(h.inFlight)).Draw(h.t, "attempt")]
+	delete(h.inFlight, sent.ID)
+	choices := endings
 	if sent.Resume != nil {
-		ways = rejoinEndings
+		choices = rejoinEndings
 	}
-	way := rapid.SampledFrom(ways).Draw(w.t, "ending")
-	if sent.Resume == nil && !way.phase.ProvesNotRun() {
-		w.mayHaveRun[sent.ID] = true
+	ending := rapid.SampledFrom(choices).Draw(h.t, "ending")
+	if sent.Resume == nil && !ending.phase.ProvesNotRun() {
+		h.mayHaveRun[sent.ID] = true
 	}
-	w.step(AttemptEnded{
-		ID: sent.ID, Attempt: sent.Attempt, Phase: way.phase, Reason: way.reason, Upstream: sent.Chain[0].ID,
+	h.step(AttemptEnded{
+		ID: sent.ID, Attempt: sent.Attempt, Phase: ending.phase, Reason: ending.reason, Upstream: sent.Chain[0].ID,
 	})
 }
 
-// answerClaim answers a random claim.
-func (w *world) answerClaim() {
-	if len(w.claiming) == 0 {
+// answerClaim answers a random Claim.
+func (h *harness) answerClaim() {
+	if len(h.claiming) == 0 {
 		return
 	}
-	id := rapid.SampledFrom(sortedKeys(w.claiming)).Draw(w.t, "claim")
-	c := w.claiming[id]
-	delete(w.claiming, id)
+	id := rapid.SampledFrom(sortedKeys(h.claiming)).Draw(h.t, "claim")
+	c := h.claiming[id]
+	delete(h.claiming, id)
 	results := []ClaimResult{ClaimWon, ClaimTaken, ClaimFailed, ClaimUncertain}
-	ev := ClaimEnded{ID: id, Result: rapid.SampledFrom(results).Draw(w.t, "result")}
+	ev := ClaimEnded{ID: id, Result: rapid.SampledFrom(results).Draw(h.t, "result")}
 	switch ev.Result {
 	case ClaimWon:
-		w.won[id] = c.Record.Attempt
+		h.won[id] = c.Record.Attempt
 	case ClaimTaken:
 		ev.Prior = prior(func(p *ClaimRecord) {
-			p.State = rapid.SampledFrom([]ClaimState{ClaimHeld, ClaimDone}).Draw(w.t, "state")
-			p.VM = rapid.SampledFrom([]ids.VM{"vm-2", "dead"}).Draw(w.t, "vm")
+			p.State = rapid.SampledFrom([]ClaimState{ClaimHeld, ClaimDone}).Draw(h.t, "state")
+			p.VM = rapid.SampledFrom([]ids.VM{"vm-2", "dead"}).Draw(h.t, "vm")
 		})
 	}
-	w.step(ev)
+	h.step(ev)
 }
 
-// answerRest answers a random release or question for a cancelled stream.
-func (w *world) answerRest() {
-	if len(w.releasing) > 0 {
-		id := rapid.SampledFrom(sortedKeys(w.releasing)).Draw(w.t, "release")
-		delete(w.releasing, id)
-		w.step(ClaimReleased{ID: id, Confirmed: rapid.Bool().Draw(w.t, "confirmed")})
+// answerOthers answers a random Release and a random CancelStream.
+func (h *harness) answerOthers() {
+	if len(h.releasing) > 0 {
+		id := rapid.SampledFrom(sortedKeys(h.releasing)).Draw(h.t, "release")
+		delete(h.releasing, id)
+		h.step(ClaimReleased{ID: id, Confirmed: rapid.Bool().Draw(h.t, "confirmed")})
 	}
-	if len(w.asking) > 0 {
-		id := rapid.SampledFrom(sortedKeys(w.asking)).Draw(w.t, "ask")
-		delete(w.asking, id)
-		state := rapid.SampledFrom([]string{engineapi.CancelNotStarted, engineapi.CancelFinished}).Draw(w.t, "state")
-		w.step(StreamCancelled{ID: id, Answered: true, Reply: engineapi.CancelReply{State: state, Epoch: "e-head-1"}})
+	if len(h.cancelling) > 0 {
+		id := rapid.SampledFrom(sortedKeys(h.cancelling)).Draw(h.t, "ask")
+		delete(h.cancelling, id)
+		state := rapid.SampledFrom([]string{engineapi.CancelNotStarted, engineapi.CancelFinished}).Draw(h.t, "state")
+		h.step(StreamCancelled{ID: id, Answered: true, Reply: engineapi.CancelReply{State: state, Epoch: "e-head-1"}})
 	}
 }
 
-// pass lets a random time pass.
-func (w *world) pass() {
-	d := rapid.SampledFrom([]time.Duration{TickInterval, time.Second, 11 * time.Second}).Draw(w.t, "time")
-	w.script.now = w.script.now.Add(d)
-	w.step(Tick{})
+// advance advances the time by a random step.
+func (h *harness) advance() {
+	d := rapid.SampledFrom([]time.Duration{TickInterval, time.Second, 11 * time.Second}).Draw(h.t, "time")
+	h.script.now = h.script.now.Add(d)
+	h.step(Tick{})
 }
 
-// leave makes a random caller go away.
-func (w *world) leave() {
-	if len(w.arrived) > 0 {
-		w.step(CallerGone{ID: rapid.SampledFrom(sortedKeys(w.arrived)).Draw(w.t, "gone")})
+// disconnect makes a random caller disconnect.
+func (h *harness) disconnect() {
+	if len(h.arrived) > 0 {
+		h.step(CallerGone{ID: rapid.SampledFrom(sortedKeys(h.arrived)).Draw(h.t, "gone")})
 	}
 }
 
-// settle answers everything until nothing is in flight.
-func (w *world) settle() {
+// answerAll ends and answers everything until nothing is in flight.
+func (h *harness) answerAll() {
 	for range 200 {
-		w.end()
-		w.answerClaim()
-		w.answerRest()
-		w.script.now = w.script.now.Add(12 * time.Second)
-		w.step(Tick{})
+		h.endAttempt()
+		h.answerClaim()
+		h.answerOthers()
+		h.script.now = h.script.now.Add(12 * time.Second)
+		h.step(Tick{})
 	}
 }
 
-func TestPromisesOverInterleavings(t *testing.T) {
+// For any order of events, every request must be answered exactly once and never
+// with a false "not run", no request that must run once may be sent twice, and no
+// request or load count may be left behind.
+func TestInvariantsOverInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{
+		h := &harness{
 			t: t, script: newScript(), arrived: make(map[ids.Request]RequestArrived),
-			finished: make(map[ids.Request]*Finish), flying: make(map[ids.Request]Send),
+			finished: make(map[ids.Request]*Finish), inFlight: make(map[ids.Request]Send),
 			mayHaveRun: make(map[ids.Request]bool), claiming: make(map[ids.Request]Claim),
-			won: make(map[ids.Request]ids.Attempt), releasing: make(map[ids.Request]bool), asking: make(map[ids.Request]bool),
+			won: make(map[ids.Request]ids.Attempt), releasing: make(map[ids.Request]bool), cancelling: make(map[ids.Request]bool),
 		}
-		actions := []func(){w.arrive, w.arrive, w.end, w.end, w.answerClaim, w.answerRest, w.pass, w.leave}
+		actions := []func(){h.arrive, h.arrive, h.endAttempt, h.endAttempt, h.answerClaim, h.answerOthers, h.advance, h.disconnect}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			actions[rapid.IntRange(0, len(actions)-1).Draw(t, "action")]()
 		}
-		w.settle()
-		for id := range w.arrived {
-			if w.finished[id] == nil {
+		h.answerAll()
+		for id := range h.arrived {
+			if h.finished[id] == nil {
 				t.Fatalf("%s was never answered", id)
 			}
 		}
-		if n := w.script.router.Requests(); n != 0 {
-			t.Fatalf("%d requests are held for ever", n)
+		if n := h.script.router.Requests(); n != 0 {
+			t.Fatalf("%d requests are still held at the end", n)
 		}
-		for id, u := range w.script.router.upstreams {
+		for id, u := range h.script.router.upstreams {
 			if len(u.running) != 0 {
-				t.Fatalf("%s still counts %d requests", id, len(u.running))
+				t.Fatalf("upstream %s still counts %d requests in flight", id, len(u.running))
 			}
 		}
 	})
--- a/decide/router/request.go
+++ b/decide/router/request.go
@@ -10,89 +10,95 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// state is where a request stands on this node.
-type state int
+// requestState is the state of a request on this node.
+type requestState int
 
 const (
-	// waiting in its service's queue; nothing has been sent.
-	waiting state = iota
-	// claiming its idempotency key; a chain is reserved, nothing is sent by
-	// this attempt.
+	// waiting: in the queue of its service, or delayed before it is queued again.
+	// Nothing is in flight.
+	waiting requestState = iota
+	// claiming: the idempotency key is being claimed. A chain is reserved, but
+	// this attempt has sent nothing.
 	claiming
 	// sending: an attempt is in flight.
 	sending
-	// releasing its claim before "not run" is said.
+	// releasing: the claim is being released before the request is answered as
+	// not run.
 	releasing
-	// forbidding the start of an earlier request with the same key.
-	forbidding
+	// cancellingEarlier: an engine is asked to refuse the start of an earlier
+	// request with the same key.
+	cancellingEarlier
 )
 
-// request is one request held by the node.
+// request is a request held by the node.
 type request struct {
-	arrive  RequestArrived
+	arrival RequestArrived
 	account fleet.Account
 	svc     *service
-	// arrived is the time of RequestArrived; queued that of the last entry to the queue.
+	// arrived is the time of the RequestArrived event, queued the time at which
+	// the request was last queued.
 	arrived, queued time.Time
 	deadline        time.Time
-	// popped is the cost the queue counts in flight for this request; 0 when
-	// it counts none.
-	popped float64
-	// idempotent tells that the request may run more than once.
+	// inFlightCost is the cost that the queue counts as in flight for this
+	// request; 0 if none.
+	inFlightCost float64
+	// idempotent is true if the request may run more than once.
 	idempotent bool
-	state      state
+	state      requestState
 	attempt    ids.Attempt
-	// stream is the attempt that started the stream in flight; it differs
-	// from attempt when that rejoins it.
+	// stream is the attempt that started the stream in flight. It differs from
+	// attempt if that one rejoined the stream.
 	stream ids.Attempt
 	chain  topology.Chain
-	// sentAt is the time the attempt in flight was emitted, startedAt the
-	// time the upstream confirmed it; zero before.
+	// sentAt is when the attempt in flight was emitted, startedAt when the
+	// upstream confirmed its start; zero before.
 	sentAt, startedAt time.Time
-	// epoch is the head's process life as it confirmed the start.
+	// epoch names the process of the chain's first engine that confirmed the
+	// start.
 	epoch string
-	// failed holds the upstreams this request has failed at.
-	failed []ids.Upstream
-	// rejoins counts the attempts that only rejoined the running stream.
+	// failedAt holds the upstreams at which this request has failed.
+	failedAt []ids.Upstream
+	// rejoins is the number of attempts that rejoined the running stream.
 	rejoins int
-	// busy counts the attempts that met an upstream without room; full is
-	// the last of these, which the next choice avoids where it can.
-	busy int
-	full ids.Upstream
-	// lostAt holds the upstreams that lost this request's connection or failed
-	// its stage: possible crashes.
+	// busyCount is the number of attempts refused for lack of capacity. lastBusy
+	// is the upstream of the last one, which the next choice avoids if it can.
+	busyCount int
+	lastBusy  ids.Upstream
+	// lostAt holds the upstreams that lost this request's connection or failed as
+	// its stage, and so may have crashed.
 	lostAt []ids.Upstream
-	// mayHaveRun tells that some attempt was not proved not to have run.
+	// mayHaveRun is true if an attempt may have run the request.
 	mayHaveRun bool
-	// claim is the record that stands in the platform for this request; nil
-	// when none does.
+	// claim is the record of the claim that this request holds in the platform;
+	// nil if none.
 	claim *ClaimRecord
-	// pending is the record being claimed; nil when none is.
-	pending *ClaimRecord
-	// resume names the running stream that the attempt in flight rejoins; nil
-	// when the attempt starts one.
+	// pendingClaim is the record being claimed; nil if none.
+	pendingClaim *ClaimRecord
+	// resume identifies the stream that the attempt in flight rejoins; nil if the
+	// attempt starts a new one.
 	resume *Resume
-	// prior is the claim of an earlier request with the same key, whose run
-	// is rejoined; nil when there is none.
+	// prior is the claim of an earlier request with the same key, whose stream
+	// this request joins; nil if none.
 	prior *ClaimRecord
-	// answered tells that Finish was emitted; the request is kept only until
-	// its attempt or claim has ended.
+	// answered is true once Finish was emitted. The request is then kept only
+	// until its attempt or claim has ended.
 	answered bool
-	// cause is the refusal to be given once the claim is released.
-	cause *outcome.Error
+	// pendingErr is the answer to give once the claim is released.
+	pendingErr *outcome.Error
 }
 
-// keyed tells that the request's idempotency key has to be claimed.
-func (q *request) keyed() bool { return !q.idempotent && q.arrive.IdempotencyKey != "" }
+// needsClaim reports whether the idempotency key must be claimed before the
+// request is sent.
+func (q *request) needsClaim() bool { return !q.idempotent && q.arrival.IdempotencyKey != "" }
 
-// fingerprint names the request to the quarantine.
+// fingerprint returns the fingerprint of the request for the quarantine.
 func (q *request) fingerprint() quarantine.Fingerprint {
-	return quarantine.Fingerprint(q.arrive.Fingerprint)
+	return quarantine.Fingerprint(q.arrival.Fingerprint)
 }
 
-// exclude reports whether the request has failed at the upstream.
-func (q *request) exclude(id ids.Upstream) bool {
-	for _, f := range q.failed {
+// hasFailedAt reports whether the request has failed at the upstream.
+func (q *request) hasFailedAt(id ids.Upstream) bool {
+	for _, f := range q.failedAt {
 		if f == id {
 			return true
 		}
@@ -100,26 +106,27 @@
 	return false
 }
 
-// starts counts the attempts that tried to start the request: neither those
-// that met an upstream without room nor those that only rejoined its stream,
-// which have a bound of their own.
-func (q *request) starts() int { return int(q.attempt) - q.busy - q.rejoins }
+// starts returns the number of attempts that tried to start the request. It
+// excludes attempts refused for lack of capacity and attempts that rejoined the
+// request's stream, which have their own limit.
+func (q *request) starts() int { return int(q.attempt) - q.busyCount - q.rejoins }
 
-// remaining is the time until the deadline; never negative.
+// remaining returns the time until the deadline; never negative.
 func (q *request) remaining(now time.Time) time.Duration {
 	return max(0, q.deadline.Sub(now))
 }
 
-// cost estimates the token steps the request needs.
+// cost returns the estimated number of token steps that the request needs.
 func (q *request) cost() float64 {
-	return float64(max(1, q.arrive.MaxTokens+q.arrive.PromptTokens/promptTokensPerStep))
+	return float64(max(1, q.arrival.MaxTokens+q.arrival.PromptTokens/promptTokensPerStep))
 }
 
-// promptTokensPerStep is the prompt tokens an engine takes in one step, used
-// only to estimate work.
+// promptTokensPerStep is the number of prompt tokens that an engine is assumed to
+// process in one step, for cost estimates.
 const promptTokensPerStep = 64
 
-// head is the upstream that is called; empty when no chain is chosen.
+// head returns the upstream that is called, the first of the chain; empty if no
+// chain is chosen.
 func (q *request) head() ids.Upstream {
 	if len(q.chain) == 0 {
 		return ""
@@ -127,7 +134,7 @@
 	return q.chain[0].ID
 }
 
-// chainIDs names the engines of a chain.
+// chainIDs returns the IDs of the engines of a chain.
 func chainIDs(c topology.Chain) []ids.Upstream {
 	names := make([]ids.Upstream, len(c))
 	for i, e := range c {
--- a/decide/router/retry.go
+++ b/decide/router/retry.go
@@ -10,30 +10,30 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// busy queues a request again that an upstream had no room for. That is no
-// failure: it costs neither one of the request's attempts nor the budget of
-// retries, and ends with the deadline.
-func (r *Router) busy(req *request, ev AttemptEnded) {
-	req.busy++
-	req.full = ev.Upstream
+// retryBusy queues a request again after an upstream refused it for lack of
+// capacity. This doesn't count as a failure: it uses neither the request's
+// attempts nor the retry budget, and is limited only by the deadline.
+func (r *Router) retryBusy(req *request, ev AttemptEnded) {
+	req.busyCount++
+	req.lastBusy = ev.Upstream
 	r.note(req, StepRetried, ev.Reason, string(ev.Upstream))
-	r.later(req, retry.Backoff(ids.Attempt(req.busy), r.rand))
+	r.requeueAfter(req, retry.Backoff(ids.Attempt(req.busyCount), r.rand))
 }
 
-// later queues a request again after a wait.
-func (r *Router) later(req *request, wait time.Duration) {
+// requeueAfter queues a request again after a delay.
+func (r *Router) requeueAfter(req *request, wait time.Duration) {
 	req.state = waiting
-	req.svc.retries = append(req.svc.retries, delayedRetry{id: req.arrive.ID, at: r.now.Add(wait)})
+	req.svc.retries = append(req.svc.retries, delayedRetry{id: req.arrival.ID, at: r.now.Add(wait)})
 }
 
-// retryInput describes the failed attempt to the retry rules.
-func (r *Router) retryInput(req *request, joining bool, ev AttemptEnded) retry.Input {
-	held, _ := req.svc.blamer.Quarantined(r.now, req.fingerprint())
+// retryInput returns the input of retry.Decide for a failed attempt.
+func (r *Router) retryInput(req *request, rejoining bool, ev AttemptEnded) retry.Input {
+	held, _ := req.svc.quarantine.Quarantined(r.now, req.fingerprint())
 	return retry.Input{
 		Phase:             ev.Phase,
 		Reason:            ev.Reason,
-		EarlierMayHaveRun: req.mayHaveRun && (joining || ev.Phase.ProvesNotRun()),
-		Rejoining:         joining,
+		EarlierMayHaveRun: req.mayHaveRun && (rejoining || ev.Phase.ProvesNotRun()),
+		Rejoining:         rejoining,
 		Idempotent:        req.idempotent,
 		Keyed:             req.claim != nil,
 		Attempts:          req.starts(),
@@ -41,15 +41,16 @@
 		Remaining:         req.remaining(r.now),
 		BudgetAllows:      req.svc.budget.Available(r.now),
 		Delivered:         ev.Tokens,
-		Continuable:       req.svc.model(),
-		Resumable:         req.svc.model(),
+		Continuable:       req.svc.isModel(),
+		Resumable:         req.svc.isModel(),
 		StreamLost:        r.streamLost(ev) || req.rejoins >= req.svc.profile.Retry.Attempts,
 		CallerGone:        req.answered,
 		Quarantined:       held,
 	}
 }
 
-// streamLost reports whether the engine is known not to hold the stream.
+// streamLost reports whether the end of the attempt shows that the engine no
+// longer has the stream.
 func (r *Router) streamLost(ev AttemptEnded) bool {
 	switch ev.Reason {
 	case outcome.ConnectFailed, outcome.StageFailed, outcome.Cancelled, outcome.LedgerViolation, outcome.UpstreamRefused:
@@ -58,7 +59,7 @@
 	return false
 }
 
-// failure makes the caller's error from a decision to give up.
+// failure returns the error for the caller after a decision not to retry.
 func (r *Router) failure(req *request, decision retry.Decision, ev AttemptEnded) *outcome.Error {
 	retryAfter := max(ev.RetryAfter, req.svc.queue.RetryAfter(r.now))
 	return &outcome.Error{
@@ -69,21 +70,22 @@
 	}
 }
 
-// retry queues the request again after its backoff, to go elsewhere.
+// retry queues the request again after its backoff, to be sent to another
+// upstream. It fails the request if the retry budget is used up.
 func (r *Router) retry(req *request, ev AttemptEnded) {
 	if !req.svc.budget.Allow(r.now, ev.Reason) {
-		r.giveUp(req, outcome.Refuse(outcome.RetryBudget, "", r.spread(retrySoon)))
+		r.giveUp(req, outcome.Refuse(outcome.RetryBudget, "", r.withJitter(defaultRetryAfter)))
 		return
 	}
 	if ev.Upstream != "" {
-		req.failed = append(req.failed, ev.Upstream)
+		req.failedAt = append(req.failedAt, ev.Upstream)
 	}
 	r.note(req, StepRetried, ev.Reason, string(ev.Upstream))
-	r.later(req, retry.Backoff(req.attempt, r.rand))
+	r.requeueAfter(req, retry.Backoff(req.attempt, r.rand))
 }
 
-// requeue puts the retries whose backoff is over back into the queue.
-func (r *Router) requeue(svc *service) {
+// resumeDue continues the requests of a service whose delay is over.
+func (r *Router) resumeDue(svc *service) {
 	due := func(d delayedRetry) bool { return !d.at.After(r.now) }
 	var ready []delayedRetry
 	for _, d := range svc.retries {
@@ -93,33 +95,34 @@
 	}
 	svc.retries = slices.DeleteFunc(svc.retries, due)
 	for _, d := range ready {
-		r.resumeWork(r.requests[d.id], d.rejoin)
+		r.resumeDelayed(r.requests[d.id], d.rejoin)
 	}
 }
 
-// resumeWork goes on with a request that has waited out its delay.
-func (r *Router) resumeWork(req *request, rejoin topology.Chain) {
+// resumeDelayed continues a request after its delay: it rejoins the stream if a
+// chain is given, and queues the request otherwise.
+func (r *Router) resumeDelayed(req *request, rejoin topology.Chain) {
 	if rejoin != nil {
 		r.startRejoin(req, rejoin)
 		return
 	}
-	r.release(req)
+	r.requeueDelayed(req)
 }
 
-// release queues a request that has waited out its delay, unless it has been
-// judged meanwhile to crash upstreams, or its judgement is still due.
-func (r *Router) release(req *request) {
+// requeueDelayed queues a request after its delay, unless it has been quarantined
+// in the meantime or has to wait for the confirmation of a crash.
+func (r *Router) requeueDelayed(req *request) {
 	if err := r.checkQuarantine(req); err != nil {
 		r.giveUp(req, err)
 		return
 	}
-	if !r.hold(req) {
-		r.requeueOne(req)
+	if !r.deferSuspected(req) {
+		r.enqueueAgain(req)
 	}
 }
 
-// requeueOne queues a request again; a full queue ends it.
-func (r *Router) requeueOne(req *request) {
+// enqueueAgain queues a request again. The request fails if the queue is full.
+func (r *Router) enqueueAgain(req *request) {
 	if err := req.svc.queue.Push(r.now, r.item(req)); err != nil {
 		r.giveUp(req, r.pushRefusal(req, err))
 		return
@@ -127,8 +130,8 @@
 	req.queued = r.now
 }
 
-// rejoin asks the engine for the rest of the request's own running stream, on
-// a new connection: at once the first time, later after a wait.
+// rejoin asks the engine for the rest of the request's own running stream on a
+// new connection: at once the first time, after a backoff later.
 func (r *Router) rejoin(req *request, chain topology.Chain, ev AttemptEnded) {
 	r.note(req, StepJoined, ev.Reason, string(chain[0].ID))
 	req.rejoins++
@@ -138,12 +141,12 @@
 	}
 	req.state = waiting
 	wait := retry.Backoff(ids.Attempt(req.rejoins), r.rand)
-	req.svc.retries = append(req.svc.retries, delayedRetry{id: req.arrive.ID, at: r.now.Add(wait), rejoin: chain})
+	req.svc.retries = append(req.svc.retries, delayedRetry{id: req.arrival.ID, at: r.now.Add(wait), rejoin: chain})
 }
 
-// startRejoin sends the attempt that rejoins.
+// startRejoin sends an attempt that rejoins the stream on the given chain.
 func (r *Router) startRejoin(req *request, chain topology.Chain) {
-	req.resume = &Resume{Request: req.arrive.ID, Attempt: req.stream, Epoch: req.epoch}
+	req.resume = &Resume{Request: req.arrival.ID, Attempt: req.stream, Epoch: req.epoch}
 	req.attempt++
 	req.chain = chain
 	r.reserve(req)
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -11,18 +11,19 @@
 	"mimosaarch.example/decide/load"
 )
 
-// Options sets up a Router. All fields but Seed are required.
+// Options configures a Router. All fields except Seed are required.
 type Options struct {
-	// VM and Zone are the node's own.
+	// VM and Zone identify this node.
 	VM   ids.VM
 	Zone ids.Zone
-	// MaxRequests bounds the requests held at once, waiting ones included.
+	// MaxRequests is the maximum number of requests held at once, including
+	// waiting ones.
 	MaxRequests int
-	// Seed starts the Router's own random source.
+	// Seed seeds the Router's random source.
 	Seed uint64
 }
 
-// Router holds every decision of one node. Make it with New.
+// Router holds the decision state of one node. Create it with New.
 type Router struct {
 	opts     Options
 	rand     *rand.Rand
@@ -30,31 +31,32 @@
 	draining bool
 	requests map[ids.Request]*request
 	services map[ids.Service]*service
-	// serviceNames are the keys of services, sorted.
+	// serviceNames holds the keys of services, sorted.
 	serviceNames []ids.Service
-	// upstreams holds what is known of each back end, by the VM list and by
-	// its own reports.
+	// upstreams holds the state of each upstream, from the VM list and load
+	// reports.
 	upstreams map[ids.Upstream]*upstream
 	book      *load.Book
 	health    *health.Tracker
 	limiter   *limit.Limiter
-	// vms are the entry VMs of the platform's newest list.
-	vms         map[ids.VM]bool
+	// entryVMs holds the live entry VMs in the platform's newest list.
+	entryVMs    map[ids.VM]bool
 	vmsRevision int64
-	// firstList is the time of the first list of VMs.
-	firstList time.Time
-	// gone are the peers that are not heard from any more.
-	gone map[ids.VM]bool
-	// warm is set once the node could serve.
-	warm bool
-	// dirty names the services whose upstreams have to be made anew.
+	// firstVMList is when the first VM list arrived.
+	firstVMList time.Time
+	// gonePeers holds the peers whose digests no longer arrive.
+	gonePeers map[ids.VM]bool
+	// wasReady is set once the node could serve requests, and stays set.
+	wasReady bool
+	// dirty holds the services whose upstreams and graph must be rebuilt.
 	dirty map[ids.Service]bool
-	out   []Command
-	now   time.Time
+	// commands and now are the result and the time of the current step.
+	commands []Command
+	now      time.Time
 }
 
-// New makes a Router without configuration; it refuses requests until it has
-// seen one.
+// New returns a Router without configuration. It refuses requests until it
+// receives one.
 func New(opts Options) *Router {
 	return &Router{
 		opts:      opts,
@@ -62,8 +64,8 @@
 		requests:  make(map[ids.Request]*request),
 		services:  make(map[ids.Service]*service),
 		upstreams: make(map[ids.Upstream]*upstream),
-		vms:       make(map[ids.VM]bool),
-		gone:      make(map[ids.VM]bool),
+		entryVMs:  make(map[ids.VM]bool),
+		gonePeers: make(map[ids.VM]bool),
 		dirty:     make(map[ids.Service]bool),
 		book:      load.New(load.Settings{}),
 		health:    health.New(health.Options{}),
@@ -74,15 +76,14 @@
 // seedStream is the second half of the random source's seed.
 const seedStream = 0x726f75746572
 
-// Step takes one event that happened at now and returns what is to be done,
-// in order. Times must not go backwards. The slice is valid until the next
-// call.
+// Step processes an event that happened at now and returns the commands to carry
+// out, in order. Times must not decrease. The slice is valid until the next call.
 func (r *Router) Step(now time.Time, event Event) []Command {
 	r.now = now
-	r.out = r.out[:0]
+	r.commands = r.commands[:0]
 	switch ev := event.(type) {
 	case RequestArrived:
-		r.arrive(ev)
+		r.requestArrived(ev)
 	case CallerGone:
 		r.callerGone(ev)
 	case AttemptStarted:
@@ -96,19 +97,19 @@
 	case StreamCancelled:
 		r.streamCancelled(ev)
 	case LoadReported:
-		r.loadSeen(ev)
+		r.loadReported(ev)
 	case LoadPollFailed:
-		r.loadFailed(ev)
+		r.loadPollFailed(ev)
 	case VMListReceived:
-		r.vmsSeen(ev)
+		r.vmListReceived(ev)
 	case ConfigReceived:
-		r.configSeen(ev)
+		r.configReceived(ev)
 	case DigestDue:
 		r.digestDue()
 	case StatusDue:
 		r.statusDue()
 	case DigestReceived:
-		r.peerSeen(ev)
+		r.digestReceived(ev)
 	case PeerGone:
 		r.peerGone(ev)
 	case Drain:
@@ -116,22 +117,23 @@
 	case Tick:
 		r.tick()
 	}
-	return r.out
+	return r.commands
 }
 
-// Requests is the count of requests held; a draining node may stop at zero.
+// Requests returns the number of requests held. A draining node may stop when it
+// is zero.
 func (r *Router) Requests() int { return len(r.requests) }
 
-// Ready reports whether the node can take requests: it has a configuration,
-// knows upstreams that can serve, and is not draining. Once ready, a node stays
-// so when its upstreams fail: to take it from callers would not help them.
+// Ready reports whether the node can take requests: it has a configuration, knows
+// upstreams that can serve, and is not draining. A node stays ready when its
+// upstreams fail, because withdrawing it from callers would not help them.
 func (r *Router) Ready() bool {
-	r.warm = r.warm || (r.asked() && len(r.dirty) == 0 && r.serves())
-	return r.config != nil && r.warm && !r.draining
+	r.wasReady = r.wasReady || (r.allPolled() && len(r.dirty) == 0 && r.anyServable())
+	return r.config != nil && r.wasReady && !r.draining
 }
 
-// serves reports whether some service has upstreams that can serve it.
-func (r *Router) serves() bool {
+// anyServable reports whether some service has upstreams that can serve it.
+func (r *Router) anyServable() bool {
 	for _, svc := range r.services {
 		if svc.servable() {
 			return true
@@ -140,36 +142,39 @@
 	return false
 }
 
-// warmUp is how long the first list of VMs may be in use before the node is
-// ready although some engines' load is still not known.
-const warmUp = 2 * time.Second
+// warmUpTimeout is how long the node waits, after the first VM list, for every
+// engine to be polled before it reports ready without them. It is also how long
+// requests wait for a newly listed engine to report.
+const warmUpTimeout = 2 * time.Second
 
-// asked reports whether every listed engine has answered a poll or failed to.
-func (r *Router) asked() bool {
-	if r.vmsRevision > 0 && r.now.Sub(r.firstList) > warmUp {
+// allPolled reports whether a VM list has arrived and every listed engine has
+// answered a load poll or failed to. After warmUpTimeout it returns true in any
+// case.
+func (r *Router) allPolled() bool {
+	if r.vmsRevision > 0 && r.now.Sub(r.firstVMList) > warmUpTimeout {
 		return true
 	}
 	for _, u := range r.upstreams {
-		if u.model && u.listed && !u.asked {
+		if u.isModel && u.listed && !u.polled {
 			return false
 		}
 	}
 	return r.vmsRevision > 0
 }
 
-// emit adds a command to the current step's.
-func (r *Router) emit(c Command) { r.out = append(r.out, c) }
+// emit adds a command to the result of the current step.
+func (r *Router) emit(c Command) { r.commands = append(r.commands, c) }
 
 // note records a decision about a request.
 func (r *Router) note(req *request, step DecisionStep, reason outcome.Reason, detail string) {
 	r.emit(RecordDecision{Decision: r.decision(req, step, reason, detail)})
 }
 
-// decision describes a step of a request.
+// decision returns the record of a step of a request.
 func (r *Router) decision(req *request, step DecisionStep, reason outcome.Reason, detail string) Decision {
 	return Decision{
 		At:      r.now,
-		ID:      req.arrive.ID,
+		ID:      req.arrival.ID,
 		Account: req.account.ID,
 		Step:    step,
 		Attempt: req.attempt,
--- a/decide/router/router_test.go
+++ b/decide/router/router_test.go
@@ -11,12 +11,14 @@
 	"mimosaarch.example/decide/member"
 )
 
-// pastBackoff is longer than any wait before a retry.
+// pastBackoff is longer than any backoff before a retry.
 const pastBackoff = 2 * time.Second
 
+// A request that may run more than once must be retried at another upstream after
+// a lost connection.
 func TestIdempotentGoesElsewhere(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", nil))
+	s.step(newArrival("r", nil))
 	s.expect(t, "send r attempt 1")
 	s.ended(outcome.Started, outcome.UpstreamLost)
 	first := s.sent[0].Chain[0].ID
@@ -35,6 +37,8 @@
 	}
 }
 
+// A request that may run only once must not be sent again after an attempt that
+// may have run it.
 func TestUnkeyedBookingIsSentOnce(t *testing.T) {
 	for _, test := range []struct {
 		phase  outcome.Phase
@@ -46,7 +50,7 @@
 		{outcome.Started, outcome.UpstreamInvalid, "finish r unknown upstream_invalid"},
 	} {
 		s := newScript()
-		s.step(arrive("r", booking))
+		s.step(newArrival("r", booking))
 		s.expect(t, "send r attempt 1")
 		s.ended(test.phase, test.reason)
 		s.tick(pastBackoff)
@@ -54,17 +58,20 @@
 	}
 }
 
+// A request that may run only once must be retried after an attempt that did not
+// run it.
 func TestBookingRefusedBeforeStartIsRetried(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", booking))
+	s.step(newArrival("r", booking))
 	s.ended(outcome.Refused, outcome.UpstreamRefused)
 	s.tick(pastBackoff)
 	s.expect(t, "send r attempt 1", "send r attempt 2")
 }
 
+// The idempotency key must be claimed before the request is sent.
 func TestKeyIsClaimedBeforeTheSend(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", withKey))
+	s.step(newArrival("r", withKey))
 	s.expect(t, "claim k for r attempt 1")
 	s.step(ClaimEnded{ID: "r", Result: ClaimWon})
 	s.expect(t, "send r attempt 1")
@@ -72,19 +79,22 @@
 	s.expect(t, "settle k", "finish r complete")
 }
 
+// A request must not be sent without its claim.
 func TestClaimThatFailsSendsNothing(t *testing.T) {
 	for _, result := range []ClaimResult{ClaimFailed, ClaimUncertain} {
 		s := newScript()
-		s.step(arrive("r", withKey))
+		s.step(newArrival("r", withKey))
 		s.step(ClaimEnded{ID: "r", Result: result})
 		s.tick(pastBackoff)
 		s.expect(t, "claim k for r attempt 1", "finish r not_run claim_unavailable")
 	}
 }
 
-func TestClaimIsReleasedBeforeNotRunIsSaid(t *testing.T) {
+// The claim must be released before the caller is told that the request was not
+// run. Otherwise a repeat could be refused because of the claim.
+func TestClaimIsReleasedBeforeNotRunAnswer(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", withKey))
+	s.step(newArrival("r", withKey))
 	s.step(ClaimEnded{ID: "r", Result: ClaimWon})
 	s.text = nil
 	for range 3 {
@@ -99,18 +109,18 @@
 	s.expect(t, "finish r not_run attempts_exhausted")
 }
 
-// TestClaimWonAfterTheDeadline answers at the deadline and gives the claim
-// back when it turns out to be won.
+// A request must be answered at its deadline while its claim is pending, and a
+// claim won after that must be released.
 func TestClaimWonAfterTheDeadline(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", withKey))
+	s.step(newArrival("r", withKey))
 	s.tick(11 * time.Second)
 	s.expect(t, "claim k for r attempt 1", "finish r not_run deadline_expired")
 	s.step(ClaimEnded{ID: "r", Result: ClaimWon})
 	s.expect(t, "release k")
 }
 
-// prior is the claim of a request that another VM sent.
+// prior returns the claim of a request that another VM sent.
 func prior(change func(*ClaimRecord)) ClaimRecord {
 	record := ClaimRecord{
 		Account: "school", Key: "k", Fingerprint: "f", Request: "old", VM: "vm-2",
@@ -122,15 +132,18 @@
 	return record
 }
 
+// A repeat must join the running stream of the earlier request.
 func TestRepeatJoinsTheRunningStream(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", withKey))
+	s.step(newArrival("r", withKey))
 	s.step(ClaimEnded{ID: "r", Result: ClaimTaken, Prior: prior(nil)})
 	s.expect(t, "claim k for r attempt 1", "resume r attempt 3 of old at head-1")
 	s.ended(outcome.Finished, "")
 	s.expect(t, "finish r complete")
 }
 
+// A repeat that cannot join the stream must be answered with the state of the
+// earlier request.
 func TestRepeatThatCannotJoin(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -147,7 +160,7 @@
 		if test.gone {
 			s.step(PeerGone{VM: "vm-2", Why: member.Silent})
 		}
-		s.step(arrive("r", withKey))
+		s.step(newArrival("r", withKey))
 		s.step(ClaimEnded{ID: "r", Result: ClaimTaken, Prior: test.prior})
 		s.text = nil
 		s.ended(outcome.MaybeSent, test.reason)
@@ -157,16 +170,18 @@
 	}
 }
 
+// A key that was used for another request must be refused.
 func TestKeyOfAnotherRequest(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", withKey))
+	s.step(newArrival("r", withKey))
 	other := prior(func(p *ClaimRecord) { p.Fingerprint = "another" })
 	s.step(ClaimEnded{ID: "r", Result: ClaimTaken, Prior: other})
 	s.expect(t, "claim k for r attempt 1", "finish r not_run key_reused")
 }
 
-// TestTakeOver repeats a request whose VM died before the engine had it: only
-// the engine's word, in the process life that the claim names, allows it.
+// A repeat may take over the claim of a request whose VM died before the request
+// reached the engine. Only a confirmation from the engine, in the epoch that the
+// claim names, allows this.
 func TestTakeOver(t *testing.T) {
 	for _, test := range []struct {
 		reply engineapi.CancelReply
@@ -187,7 +202,7 @@
 	} {
 		s := newScript()
 		s.step(PeerGone{VM: "vm-2", Why: member.Silent})
-		s.step(arrive("r", withKey))
+		s.step(newArrival("r", withKey))
 		s.step(ClaimEnded{ID: "r", Result: ClaimTaken, Prior: prior(nil)})
 		s.ended(outcome.MaybeSent, outcome.UpstreamRefused)
 		s.expect(t, "claim k for r attempt 1", "resume r attempt 3 of old at head-1", "cancel stream old at head-1")
@@ -196,9 +211,11 @@
 	}
 }
 
+// A request whose deadline passes while an attempt is in flight must be answered
+// at once and its attempt cancelled.
 func TestDeadlineInFlightIsAnsweredAtOnce(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", nil))
+	s.step(newArrival("r", nil))
 	s.tick(11 * time.Second)
 	s.expect(t, "send r attempt 1", "finish r unknown deadline_expired", "cancel r attempt 1")
 	s.ended(outcome.Started, outcome.Cancelled)
@@ -206,12 +223,14 @@
 	s.expect(t)
 }
 
+// The attempt of a caller that disconnected must be cancelled, unless the request
+// has a claimed key.
 func TestCallerGone(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", nil))
+	s.step(newArrival("r", nil))
 	s.step(CallerGone{ID: "r"})
 	s.expect(t, "send r attempt 1", "finish r unknown caller_gone", "cancel r attempt 1")
-	s.step(arrive("keyed", withKey))
+	s.step(newArrival("keyed", withKey))
 	s.step(ClaimEnded{ID: "keyed", Result: ClaimWon})
 	s.step(CallerGone{ID: "keyed"})
 	s.expect(t, "claim k for keyed attempt 1", "send keyed attempt 1")
@@ -219,16 +238,17 @@
 	s.expect(t, "settle k", "finish keyed complete")
 }
 
+// A draining node must refuse new requests and finish those it holds.
 func TestDrainRefusesNewAndFinishesOld(t *testing.T) {
 	s := newScript()
-	s.step(arrive("old", nil))
+	s.step(newArrival("old", nil))
 	s.step(Drain{})
-	s.step(arrive("new", nil))
+	s.step(newArrival("new", nil))
 	s.expect(t, "send old attempt 1", "finish new not_run draining")
 	s.ended(outcome.Finished, "")
 	s.expect(t, "finish old complete")
 	if s.router.Ready() {
-		t.Error("a draining node is ready")
+		t.Error("a draining node reports ready")
 	}
 }
 
@@ -245,12 +265,13 @@
 		{func(a *RequestArrived) { a.Deadline = epoch }, outcome.DeadlineExpired},
 	} {
 		s := newScript()
-		s.step(arrive("r", test.change))
+		s.step(newArrival("r", test.change))
 		s.expect(t, "finish r not_run "+string(test.want))
 	}
 }
 
-// TestLeaving gives an upstream that is leaving no new work, by whoever's word.
+// A leaving upstream must get no new work, whichever source reports that it is
+// leaving.
 func TestLeaving(t *testing.T) {
 	leave := map[string]func(*script){
 		"its own word": func(s *script) {
@@ -285,7 +306,7 @@
 		tell(s)
 		s.tick(TickInterval)
 		for i := range 12 {
-			s.step(arrive(ids.Request(rune('a'+i)), nil))
+			s.step(newArrival(ids.Request(rune('a'+i)), nil))
 		}
 		if len(s.sent) == 0 {
 			t.Errorf("%s: nothing was sent", name)
@@ -299,13 +320,13 @@
 	}
 }
 
-// TestRequestWaitsForEnginesJustListed queues a request while the engines that
-// could serve it have not been asked, and refuses once they had their time.
+// A request must wait while the engines that could serve it were just listed and
+// have not been polled. It must be refused once warmUpTimeout has passed.
 func TestRequestWaitsForEnginesJustListed(t *testing.T) {
 	s := &script{router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}), now: epoch}
 	s.step(ConfigReceived{Config: testConfig()})
 	s.vms("vm-1")
-	s.step(arrive("early", nil))
+	s.step(newArrival("early", nil))
 	s.expect(t)
 	s.load("head-1", 0, 3)
 	s.load("tail-1", 4, 7)
@@ -315,17 +336,17 @@
 	s = &script{router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}), now: epoch}
 	s.step(ConfigReceived{Config: testConfig()})
 	s.vms("vm-1")
-	s.tick(2 * warmUp)
-	s.step(arrive("late", nil))
+	s.tick(2 * warmUpTimeout)
+	s.step(newArrival("late", nil))
 	s.expect(t, "finish late not_run no_upstream")
 }
 
-// TestRequestLostTwiceWaitsForTheJudgement holds a request that lost two
-// engines until it is known whether they have crashed: no third one is tried.
-func TestRequestLostTwiceWaitsForTheJudgement(t *testing.T) {
+// A request that was lost at two engines must wait until it is known whether they
+// crashed. Sending it to a third engine could crash that one too.
+func TestRequestLostTwiceWaitsForCrashConfirmation(t *testing.T) {
 	lose := func() *script {
 		s := newScript()
-		s.step(arrive("r", nil))
+		s.step(newArrival("r", nil))
 		s.ended(outcome.MaybeSent, outcome.UpstreamLost)
 		for len(s.sent) < 2 || s.sent[len(s.sent)-1].Resume != nil {
 			if last := s.sent[len(s.sent)-1]; last.Resume != nil && s.router.requests["r"].state == sending {
@@ -342,27 +363,26 @@
 	}
 	s := lose()
 	for range 10 {
-		s.tick(judgePace)
+		s.tick(crashCheckInterval)
 	}
 	s.expect(t)
 
 	alive := lose()
-	alive.now = alive.now.Add(judgePace)
+	alive.now = alive.now.Add(crashCheckInterval)
 	alive.load("head-1", 0, 3)
 	alive.load("head-2", 0, 3)
 	for range 10 {
-		alive.tick(judgePace)
+		alive.tick(crashCheckInterval)
 	}
 	if len(alive.text) == 0 {
-		t.Error("a request whose engines live on is not sent again")
+		t.Error("a request whose engines did not crash was not sent again")
 	}
 }
 
-// TestBusyIsNoFailure sends a request on after more refusals for lack of room
-// than it has attempts.
+// Refusals for lack of capacity must not use up the attempts of a request.
 func TestBusyIsNoFailure(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", nil))
+	s.step(newArrival("r", nil))
 	for range 6 {
 		s.ended(outcome.Refused, outcome.UpstreamBusy)
 		s.tick(pastBackoff / 2)
@@ -378,13 +398,13 @@
 		}
 	}
 	if same > 4 {
-		t.Errorf("the full one of two heads was tried again %d of 6 times", same)
+		t.Errorf("the upstream that was just full was chosen again %d of 6 times", same)
 	}
 }
 
-// TestGraphIsKeptWhileFiguresAreNear makes chains anew for a change that counts,
-// and not for the scatter of measured figures.
-func TestGraphIsKeptWhileFiguresAreNear(t *testing.T) {
+// The graph of chains must be rebuilt for significant changes in load reports,
+// but not for measurement noise.
+func TestGraphIsKeptWithinTolerance(t *testing.T) {
 	s := newScript()
 	tell := func(rate float64, latency time.Duration) {
 		s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
@@ -397,24 +417,24 @@
 	graph := s.router.Graph("drafts")
 	tell(110, 900*time.Microsecond)
 	if s.router.Graph("drafts") != graph {
-		t.Error("the graph was made anew for scatter")
+		t.Error("the graph was rebuilt for changes within the tolerance")
 	}
 	tell(130, time.Millisecond)
 	slower := s.router.Graph("drafts")
 	if slower == graph {
-		t.Error("a changed rate was passed over")
+		t.Error("the graph was not rebuilt for a changed rate")
 	}
 	tell(130, 2*time.Millisecond)
 	if s.router.Graph("drafts") == slower {
-		t.Error("a changed link was passed over")
+		t.Error("the graph was not rebuilt for a changed link")
 	}
 }
 
-// TestRejoinsDoNotUseUpAttempts starts a request as often as its attempts allow,
-// though each lost connection costs a rejoin that fails as well.
+// Rejoins that fail must not reduce the number of starts allowed, although each
+// lost connection costs one.
 func TestRejoinsDoNotUseUpAttempts(t *testing.T) {
 	s := newScript()
-	s.step(arrive("r", nil))
+	s.step(newArrival("r", nil))
 	starts := 0
 	for range 200 {
 		req := s.router.requests["r"]
@@ -424,7 +444,7 @@
 		if req.state != sending {
 			s.load("head-1", 0, 3)
 			s.load("head-2", 0, 3)
-			s.tick(judgePace)
+			s.tick(crashCheckInterval)
 			continue
 		}
 		if s.sent[len(s.sent)-1].Resume != nil {
@@ -435,6 +455,6 @@
 		s.ended(outcome.Started, outcome.UpstreamLost)
 	}
 	if most := s.router.services["drafts"].profile.Retry.Attempts; starts != most {
-		t.Errorf("%d starts of %d allowed: %q", starts, most, s.text)
+		t.Errorf("%d starts, want the %d allowed: %q", starts, most, s.text)
 	}
 }
--- a/decide/router/script_test.go
+++ b/decide/router/script_test.go
@@ -17,20 +17,20 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// epoch is the time at which scripts begin.
+// epoch is the time at which scripts start.
 var epoch = time.Unix(1_000_000, 0)
 
-// script feeds a Router events and keeps the commands it gave as text.
+// script passes events to a Router and records the commands it returns as text.
 type script struct {
 	router *Router
 	now    time.Time
 	text   []string
-	// sent holds each Send, in order.
+	// sent holds every Send, in order.
 	sent []Send
 }
 
-// newScript makes a Router that knows two chains of two engines and one plain
-// upstream.
+// newScript returns a script whose Router knows two engines for each half of the
+// layers and one plain upstream.
 func newScript() *script {
 	s := &script{
 		router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}),
@@ -49,7 +49,8 @@
 	return s
 }
 
-// testConfig has one account, a model and a plain service.
+// testConfig returns a configuration with one account, a model service and a
+// plain service.
 func testConfig() *Config {
 	key := sha256.Sum256([]byte("key"))
 	account := fleet.Account{ID: "school", Rate: 1000}.WithDefaults()
@@ -68,7 +69,7 @@
 	}
 }
 
-// vms tells the Router the VM list with the given entry VMs.
+// vms passes a VM list with the given entry VMs and all upstreams.
 func (s *script) vms(entry ...string) {
 	list := platformapi.VMList{Revision: s.router.vmsRevision + 1}
 	for _, id := range entry {
@@ -81,29 +82,29 @@
 	s.step(VMListReceived{List: list})
 }
 
-// load tells the Router an engine's report.
+// load passes a load report of an engine with the given first and last layer.
 func (s *script) load(name string, first, last int) {
 	s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
 		Engine: name, Epoch: "e-" + name, Model: "drafts", First: first, Last: last, Slots: 8, TokensPerSecond: 100,
 	}})
 }
 
-// step feeds one event.
+// step passes one event.
 func (s *script) step(ev Event) {
 	for _, c := range s.router.Step(s.now, ev) {
-		s.keep(c)
+		s.record(c)
 	}
 }
 
-// tick lets time pass.
+// tick advances the time by d and passes a Tick.
 func (s *script) tick(d time.Duration) {
 	s.now = s.now.Add(d)
 	s.step(Tick{})
 }
 
-// keep notes a command as text; the engines' names are left out where which
-// of them is taken is not the point.
-func (s *script) keep(c Command) {
+// record appends a command to text. It omits the engine names of a Send, because
+// most tests accept any chain.
+func (s *script) record(c Command) {
 	switch c := c.(type) {
 	case Send:
 		s.sent = append(s.sent, c)
@@ -135,7 +136,7 @@
 	}
 }
 
-// expect compares the commands since the last call.
+// expect compares the commands since the last call with want.
 func (s *script) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if diff := cmp.Diff(strings.Join(want, "\n"), strings.Join(s.text, "\n")); diff != "" {
@@ -144,8 +145,9 @@
 	s.text = nil
 }
 
-// arrive makes a request of the known account.
-func arrive(id ids.Request, change func(*RequestArrived)) RequestArrived {
+// newArrival returns a request of the configured account, after an optional
+// change.
+func newArrival(id ids.Request, change func(*RequestArrived)) RequestArrived {
 	key := sha256.Sum256([]byte("key"))
 	ev := RequestArrived{ID: id, Service: "drafts", KeySHA256: hex.EncodeToString(key[:]), Fingerprint: "f-" + string(id), MaxTokens: 10}
 	if change != nil {
@@ -154,13 +156,14 @@
 	return ev
 }
 
-// withKey gives a request an idempotency key.
+// withKey adds an idempotency key to a request.
 func withKey(a *RequestArrived) { a.IdempotencyKey, a.Fingerprint = "k", "f" }
 
-// booking makes it a call of the plain service that may not be repeated.
+// booking turns a request into a call of the plain service that may run only
+// once.
 func booking(a *RequestArrived) { a.Service, a.Method, a.Path = "booking", "POST", "/bookings" }
 
-// ended makes the end of the newest attempt sent.
+// ended ends the newest attempt sent.
 func (s *script) ended(phase outcome.Phase, reason outcome.Reason) {
 	last := s.sent[len(s.sent)-1]
 	s.step(AttemptEnded{ID: last.ID, Attempt: last.Attempt, Phase: phase, Reason: reason, Upstream: last.Chain[0].ID})
--- a/decide/router/service.go
+++ b/decide/router/service.go
@@ -13,30 +13,33 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// service is one routed service with its policy and its queue.
+// service is a service with its policy, its queue and its upstreams.
 type service struct {
-	def     fleet.Service
-	profile fleet.Profile
-	queue   *queue.Queue
-	budget  *retry.Budget
-	blamer  *quarantine.Blamer
-	// picker chooses chains of a model service, plain the upstream of a
-	// plain one.
-	picker balancer.Picker
-	plain  *balancer.Plain
-	// graph holds the engines of a model service; nil when there are none.
+	def        fleet.Service
+	profile    fleet.Profile
+	queue      *queue.Queue
+	budget     *retry.Budget
+	quarantine *quarantine.Blamer
+	// chainPicker chooses the chains of a model service, plainPicker the upstream
+	// of a plain one.
+	chainPicker balancer.Picker
+	plainPicker *balancer.Plain
+	// graph connects the usable engines of a model service; nil if there are
+	// none.
 	graph *topology.Graph
-	// upstreams are all that may be given work, in the order of their names.
+	// upstreams holds the upstreams that may get new work, sorted by ID.
 	upstreams []topology.Engine
-	// members names the listed upstreams of either kind, leaving ones too.
+	// members holds the IDs of all listed upstreams, including leaving ones,
+	// sorted.
 	members []ids.Upstream
-	// expected is the smoothed time from send to finish.
-	expected time.Duration
-	// retries wait out their backoff before they are queued again.
+	// meanServiceTime is a moving average of the time from send to finish.
+	meanServiceTime time.Duration
+	// retries holds the requests that wait before they are queued again.
 	retries []delayedRetry
 }
 
-// delayedRetry is a request that waits out its backoff before it is queued.
+// delayedRetry is a request that is queued again, or rejoins its stream, at a
+// given time.
 type delayedRetry struct {
 	id ids.Request
 	at time.Time
@@ -44,21 +47,21 @@
 	rejoin topology.Chain
 }
 
-// newService makes a service without upstreams.
+// newService returns a service without upstreams.
 func newService(def fleet.Service, profile fleet.Profile, rng *rand.Rand) *service {
 	s := &service{
-		def:     def,
-		profile: profile,
-		queue:   queue.New(queueOptions(profile), rng),
-		budget:  retry.NewBudget(profile.Retry),
-		blamer:  quarantine.New(quarantineOptions(profile)),
-		plain:   balancer.NewPlain(rng.Uint64()),
+		def:         def,
+		profile:     profile,
+		queue:       queue.New(queueOptions(profile), rng),
+		budget:      retry.NewBudget(profile.Retry),
+		quarantine:  quarantine.New(quarantineOptions(profile)),
+		plainPicker: balancer.NewPlain(rng.Uint64()),
 	}
 	s.setStrategy(rng)
 	return s
 }
 
-// update puts a changed definition or policy in force.
+// update applies a changed definition or profile.
 func (s *service) update(def fleet.Service, profile fleet.Profile, rng *rand.Rand) {
 	changed := profile.Strategy != s.profile.Strategy || profile.TokenInterval != s.profile.TokenInterval
 	s.def = def
@@ -68,10 +71,10 @@
 	}
 	s.queue.SetOptions(queueOptions(profile))
 	s.budget.SetPolicy(profile.Retry)
-	s.blamer.SetOptions(quarantineOptions(profile))
+	s.quarantine.SetOptions(quarantineOptions(profile))
 }
 
-// quarantineOptions takes a quarantine's bounds from a profile.
+// quarantineOptions returns the quarantine options of a profile.
 func quarantineOptions(p fleet.Profile) quarantine.Options {
 	return quarantine.Options{
 		After: p.Health.QuarantineAfter,
@@ -79,40 +82,43 @@
 	}
 }
 
-// setStrategy makes the picker anew. A name that is not known, which a checked
-// profile cannot hold, leaves the default strategy.
+// setStrategy creates the chain picker. An unknown strategy, which validation of
+// profiles excludes, selects the default one.
 func (s *service) setStrategy(rng *rand.Rand) {
 	opts := balancer.Options{TokenInterval: s.profile.TokenInterval.D()}
 	picker, err := balancer.New(s.profile.Strategy, opts, rng.Uint64())
 	if err != nil {
 		picker, _ = balancer.New(fleet.StrategyFlow, opts, rng.Uint64())
 	}
-	s.picker = picker
+	s.chainPicker = picker
 }
 
-// model reports whether the service is a model service.
-func (s *service) model() bool { return s.def.Type == fleet.ServiceModel }
+// isModel reports whether the service is a model service, as opposed to a plain
+// one.
+func (s *service) isModel() bool { return s.def.Type == fleet.ServiceModel }
 
-// queueOptions takes a queue's bounds from a profile.
+// queueOptions returns the queue options of a profile.
 func queueOptions(p fleet.Profile) queue.Options {
 	return queue.Options{Length: p.Queue.Length, PerAccount: p.Queue.PerAccount}
 }
 
-// expectedWeight is the weight of a new figure in service.expected.
-const expectedWeight = 0.1
+// serviceTimeSmoothing is the weight of a new sample in meanServiceTime.
+const serviceTimeSmoothing = 0.1
 
-// finished takes in how long a request took from send to finish.
-func (s *service) finished(took time.Duration) {
-	if s.expected == 0 {
-		s.expected = took
+// observeServiceTime updates the mean service time with the time that a request
+// took from send to finish.
+func (s *service) observeServiceTime(took time.Duration) {
+	if s.meanServiceTime == 0 {
+		s.meanServiceTime = took
 	} else {
-		s.expected += time.Duration(expectedWeight * float64(took-s.expected))
+		s.meanServiceTime += time.Duration(serviceTimeSmoothing * float64(took-s.meanServiceTime))
 	}
-	s.queue.SetServiceTime(s.expected)
+	s.queue.SetServiceTime(s.meanServiceTime)
 }
 
-// allows reports whether the account may call the service.
-func allows(account fleet.Account, name ids.Service) bool {
+// mayCall reports whether the account may call the service. An account without a
+// list of services may call all.
+func mayCall(account fleet.Account, name ids.Service) bool {
 	if len(account.Services) == 0 {
 		return true
 	}
--- a/decide/router/status.go
+++ b/decide/router/status.go
@@ -8,42 +8,43 @@
 // StatusDue asks for a ReportStatus command.
 type StatusDue struct{}
 
-// ReportStatus is the answer to StatusDue.
+// ReportStatus is the reply to StatusDue.
 type ReportStatus struct{ Status Status }
 
 func (StatusDue) isEvent()      {}
 func (ReportStatus) isCommand() {}
 
-// Status is what a node shows operators of its decisions.
+// Status is the part of a node's decision state that is shown to operators.
 type Status struct {
 	Ready    bool `json:"ready"`
 	Draining bool `json:"draining"`
-	// Requests counts those held, Waiting those of them in queues.
+	// Requests is the number of requests held, Waiting the number of those in
+	// queues.
 	Requests  int              `json:"requests"`
 	Waiting   int              `json:"waiting"`
 	Upstreams []UpstreamStatus `json:"upstreams"`
 }
 
-// UpstreamStatus is one upstream as this node sees it.
+// UpstreamStatus is the state of one upstream as this node sees it.
 type UpstreamStatus struct {
 	ID      ids.Upstream `json:"id"`
 	Zone    ids.Zone     `json:"zone"`
 	Service ids.Service  `json:"service"`
-	// State is up, ejected, half_open, returning, leaving, gone or
-	// not_reported.
+	// State is up, ejected, half_open, returning, leaving, gone or not_reported.
 	State string `json:"state"`
-	// InFlight estimates the requests there, of all VMs.
+	// InFlight is the estimated number of requests there, from all VMs.
 	InFlight float64 `json:"in_flight"`
 	Slots    int     `json:"slots"`
-	// Rate is the token steps a second it reports at full batch.
+	// Rate is the token steps per second that it reports at full batch.
 	Rate float64 `json:"rate"`
-	// Weight is the part of its capacity in use, 0 to 1.
+	// Weight is the fraction of its capacity in use by this node, between 0 and
+	// 1.
 	Weight float64 `json:"weight"`
-	// Reason tells why it is not simply in use; may be empty.
+	// Reason explains the state; empty if there is nothing to explain.
 	Reason string `json:"reason,omitempty"`
 }
 
-// States of UpstreamStatus beside those of health.
+// States of UpstreamStatus in addition to those of package health.
 const (
 	stateGone        = "gone"
 	stateNotReported = "not_reported"
@@ -51,16 +52,16 @@
 
 // Reasons of UpstreamStatus.
 const (
-	reasonListed     = "by the platform's list"
-	reasonSaid       = "by its own word"
-	reasonOperators  = "by the service's document"
+	reasonList       = "by the platform's list"
+	reasonReport     = "by its own word"
+	reasonConfig     = "by the service's document"
 	reasonPeers      = "by a peer's word"
 	reasonOffList    = "no longer on the platform's list"
 	reasonNoReport   = "no load report yet"
 	reasonNotOnChain = "no chain of layers leads through it"
 )
 
-// statusDue shows the newest of this node.
+// statusDue emits the current status of this node.
 func (r *Router) statusDue() {
 	s := Status{
 		Ready:    r.Ready(),
@@ -76,7 +77,7 @@
 	r.emit(ReportStatus{Status: s})
 }
 
-// upstreamStatus shows one upstream.
+// upstreamStatus returns the status of one upstream.
 func (r *Router) upstreamStatus(id ids.Upstream, u *upstream) UpstreamStatus {
 	state, reason := r.upstreamState(id, u)
 	return UpstreamStatus{
@@ -92,29 +93,30 @@
 	}
 }
 
-// upstreamState tells how an upstream is used and why.
+// upstreamState returns the state of an upstream and the reason for it.
 func (r *Router) upstreamState(id ids.Upstream, u *upstream) (state, reason string) {
 	switch {
 	case !u.listed:
 		return stateGone, reasonOffList
-	case u.leavingListed:
-		return health.Leaving.String(), reasonListed
-	case u.leavingSaid:
-		return health.Leaving.String(), reasonSaid
-	case u.leavingOperators:
-		return health.Leaving.String(), reasonOperators
-	case len(u.leavingPeers) > 0:
+	case u.leavingPerList:
+		return health.Leaving.String(), reasonList
+	case u.leavingPerReport:
+		return health.Leaving.String(), reasonReport
+	case u.leavingPerConfig:
+		return health.Leaving.String(), reasonConfig
+	case len(u.leavingPerPeers) > 0:
 		return health.Leaving.String(), reasonPeers
-	case u.model && !u.reported:
+	case u.isModel && !u.reported:
 		return stateNotReported, reasonNoReport
 	}
-	return r.health.State(r.now, id).String(), r.offChain(id, u)
+	return r.health.State(r.now, id).String(), r.offChainReason(id, u)
 }
 
-// offChain tells when no chain leads through an engine in use.
-func (r *Router) offChain(id ids.Upstream, u *upstream) string {
+// offChainReason returns reasonNotOnChain if no chain leads through an engine in
+// use, and otherwise an empty string.
+func (r *Router) offChainReason(id ids.Upstream, u *upstream) string {
 	svc := r.services[u.engine.Service]
-	if !u.model || svc == nil || svc.graph == nil {
+	if !u.isModel || svc == nil || svc.graph == nil {
 		return ""
 	}
 	if _, ok := svc.graph.Index(id); ok {
--- a/decide/router/tick.go
+++ b/decide/router/tick.go
@@ -7,22 +7,24 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// tick does what depends on the passing of time alone.
+// tick does the work that depends only on time: it expires requests, resumes
+// delayed ones and dispatches waiting ones.
 func (r *Router) tick() {
 	for _, name := range r.serviceNames {
 		svc := r.services[name]
-		r.expire(svc)
-		r.requeue(svc)
+		r.expireQueued(svc)
+		r.resumeDue(svc)
 	}
-	r.expireInFlight()
+	r.expireRequests()
 	r.rebuildGraphs()
 	for _, name := range r.serviceNames {
 		r.dispatch(r.services[name])
 	}
 }
 
-// expire refuses the waiting requests that can't be served in time any more.
-func (r *Router) expire(svc *service) {
+// expireQueued refuses the queued requests that can no longer meet their
+// deadline.
+func (r *Router) expireQueued(svc *service) {
 	for _, item := range svc.queue.Expired(r.now) {
 		req := r.requests[item.ID]
 		if req == nil {
@@ -36,9 +38,9 @@
 	}
 }
 
-// expireInFlight answers the requests whose deadline passes while something
-// of them is in flight, and stops that.
-func (r *Router) expireInFlight() {
+// expireRequests answers all requests whose deadline has passed, and cancels
+// their attempts in flight.
+func (r *Router) expireRequests() {
 	for _, id := range r.expiredIDs() {
 		req := r.requests[id]
 		switch req.state {
@@ -47,8 +49,8 @@
 			r.emit(Cancel{ID: id, Attempt: req.attempt})
 		case claiming, releasing:
 			r.finish(req, r.expiredError())
-		case forbidding:
-			r.finish(req, r.earlier(*req.prior))
+		case cancellingEarlier:
+			r.finish(req, r.earlierOutcome(*req.prior))
 		case waiting:
 			req.svc.queue.Remove(id)
 			r.giveUp(req, r.expiredError())
@@ -56,13 +58,14 @@
 	}
 }
 
-// expiredError is the answer to a request with nothing in flight upstream.
+// expiredError returns the answer to an expired request that has nothing in
+// flight upstream.
 func (r *Router) expiredError() *outcome.Error {
-	return outcome.Refuse(outcome.DeadlineExpired, "", r.spread(retrySoon))
+	return outcome.Refuse(outcome.DeadlineExpired, "", r.withJitter(defaultRetryAfter))
 }
 
-// expiredIDs lists the unanswered requests whose deadline has passed, in the
-// order of their names.
+// expiredIDs returns the unanswered requests whose deadline has passed, sorted by
+// ID.
 func (r *Router) expiredIDs() []ids.Request {
 	var expired []ids.Request
 	for id, req := range r.requests {
--- a/decide/router/upstream.go
+++ b/decide/router/upstream.go
@@ -7,59 +7,60 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// upstream is one back end of the platform's list.
+// upstream is one engine or plain server in the platform's list.
 type upstream struct {
-	// engine describes it to the choice of chains; of a plain service only
-	// ID, Address, Zone and Service are set.
+	// engine describes the upstream to the topology package. For a plain service,
+	// only ID, Address, Zone and Service are set.
 	engine topology.Engine
-	// model tells an engine from a plain service.
-	model bool
-	// listed is false once the platform's list no longer names it.
+	// isModel is true for an engine and false for an upstream of a plain service.
+	isModel bool
+	// listed is false once the platform's list no longer contains the upstream.
 	listed bool
-	// firstListed is when the list first named it.
+	// firstListed is when the list first contained the upstream.
 	firstListed time.Time
-	// These tell by whose word the upstream is leaving: the platform's list's,
-	// its own, the operators', or peers'.
-	leavingListed, leavingSaid, leavingOperators bool
-	leavingPeers                                 map[ids.VM]bool
-	// load is its newest report; nil before the first.
-	load *seenLoad
-	// asked is true once the engine has answered a poll or failed to.
-	asked bool
-	// reported is true once the engine's layers are known from its report.
+	// The leaving fields say which sources report that the upstream is leaving:
+	// the platform's list, its own load report, the service's configuration, or
+	// peers.
+	leavingPerList, leavingPerReport, leavingPerConfig bool
+	leavingPerPeers                                    map[ids.VM]bool
+	// load is its newest load report; nil before the first.
+	load *receivedLoad
+	// polled is true once the engine has answered a load poll or failed to.
+	polled bool
+	// reported is true once the engine's layers are known from a load report.
 	reported bool
-	epoch    string
-	links    []topology.Link
+	// epoch names the process that sent the newest load report.
+	epoch string
+	links []topology.Link
 	// running holds the requests of this VM in flight there.
 	running map[ids.Request]*request
-	// suspect is a possible crash that waits for its confirmation; nil when
-	// there is none.
-	suspect *suspect
+	// possibleCrash is a crash that has not been confirmed; nil if none.
+	possibleCrash *possibleCrash
 }
 
-// loadSeen takes in an engine's report of itself.
-func (r *Router) loadSeen(ev LoadReported) {
-	r.takeLoad(seenLoad{report: ev.Report, at: ev.At})
+// loadReported applies a load report that this node polled.
+func (r *Router) loadReported(ev LoadReported) {
+	r.applyLoad(receivedLoad{report: ev.Report, at: ev.At})
 }
 
-// takeLoad takes in a report, polled or relayed. One older than the newest is
-// passed over.
-func (r *Router) takeLoad(l seenLoad) {
+// applyLoad applies a load report, polled or relayed by a peer. It ignores
+// reports that are older than the newest one.
+func (r *Router) applyLoad(l receivedLoad) {
 	report := l.report
 	id := ids.Upstream(report.Engine)
 	u := r.upstreams[id]
-	if u == nil || !u.model || (u.load != nil && l.at.Before(u.load.at)) {
+	if u == nil || !u.isModel || (u.load != nil && l.at.Before(u.load.at)) {
 		return
 	}
-	u.asked = true
+	u.polled = true
 	if err := r.book.Report(r.now, report, l.at); err != nil {
 		return
 	}
 	u.load = &l
-	u.cleared(l)
+	u.clearPossibleCrash(l)
 	r.health.Reported(r.now, id)
-	r.epochSeen(u, report.Epoch)
-	if u.describe(report) {
+	r.observeEpoch(u, report.Epoch)
+	if u.applyReport(report) {
 		r.dirty[u.engine.Service] = true
 	}
 	for _, l := range u.links {
@@ -67,38 +68,40 @@
 	}
 }
 
-// epochSeen notices a new process life of an upstream: what ran there is gone.
-func (r *Router) epochSeen(u *upstream, epoch string) {
+// observeEpoch detects that an upstream was restarted. Everything that ran in the
+// previous process is lost.
+func (r *Router) observeEpoch(u *upstream, epoch string) {
 	if u.epoch == epoch {
 		return
 	}
 	if u.epoch != "" {
-		r.ended(u)
+		r.processEnded(u)
 	}
 	u.epoch = epoch
 	r.health.Epoch(r.now, u.engine.ID, epoch)
 }
 
-// ended blames the end of an upstream's process life on what was in flight
-// as it was lost, or, where no loss has shown yet, on what is in flight now.
-func (r *Router) ended(u *upstream) {
-	if u.suspected(r.now) {
-		r.confirmDeath(u)
+// processEnded reports the end of an upstream's process as a crash. It attributes
+// the crash to the requests in flight when the first connection was lost or, if
+// none was lost yet, to those in flight now.
+func (r *Router) processEnded(u *upstream) {
+	if u.crashSuspected(r.now) {
+		r.confirmCrash(u)
 		return
 	}
-	r.died(u, u.epoch, u.fingerprints())
+	r.reportCrash(u, u.epoch, u.fingerprints())
 }
 
-// loadFailed takes in that an engine did not answer a poll.
-func (r *Router) loadFailed(ev LoadPollFailed) {
+// loadPollFailed records that an engine did not answer a load poll.
+func (r *Router) loadPollFailed(ev LoadPollFailed) {
 	u := r.upstreams[ev.Upstream]
 	if u == nil {
 		return
 	}
-	u.asked = true
+	u.polled = true
 	r.health.ReportMissed(r.now, ev.Upstream)
 	r.book.Failed(r.now, ev.Upstream)
-	r.confirmDeath(u)
+	r.confirmCrash(u)
 }
 
 // track counts a request in the load of an upstream.
@@ -107,20 +110,20 @@
 	if u == nil {
 		return
 	}
-	u.running[req.arrive.ID] = req
-	// A book that is full only loses precision of the estimate.
+	u.running[req.arrival.ID] = req
+	// An error means that the book is full. The load estimate is then less precise.
 	_ = r.book.Sent(r.now, id)
 }
 
-// untrack takes a request out of the load of an upstream.
+// untrack removes a request from the load of an upstream.
 func (r *Router) untrack(id ids.Upstream, req *request) {
 	u := r.upstreams[id]
 	if u == nil {
 		return
 	}
-	if _, ok := u.running[req.arrive.ID]; !ok {
+	if _, ok := u.running[req.arrival.ID]; !ok {
 		return
 	}
-	delete(u.running, req.arrive.ID)
+	delete(u.running, req.arrival.ID)
 	r.book.Ended(r.now, id)
 }
--- a/decide/router/vms.go
+++ b/decide/router/vms.go
@@ -5,22 +5,22 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// vmsSeen takes in the platform's list of VMs, unless it is older than the
+// vmListReceived applies the platform's list of VMs, unless it is older than the
 // one in use.
-func (r *Router) vmsSeen(ev VMListReceived) {
+func (r *Router) vmListReceived(ev VMListReceived) {
 	if ev.List.Revision < r.vmsRevision {
 		return
 	}
 	if r.vmsRevision == 0 {
-		r.firstList = r.now
+		r.firstVMList = r.now
 	}
 	r.vmsRevision = ev.List.Revision
 	for _, u := range r.upstreams {
 		u.listed = false
 	}
-	r.vms = make(map[ids.VM]bool)
+	r.entryVMs = make(map[ids.VM]bool)
 	for _, vm := range ev.List.VMs {
-		r.vmSeen(vm)
+		r.addVM(vm)
 	}
 	for id, u := range r.upstreams {
 		if !u.listed && len(u.running) == 0 {
@@ -28,39 +28,39 @@
 			r.book.Forget(id)
 		}
 	}
-	r.limiter.SetFleet(r.now, max(1, len(r.vms)))
+	r.limiter.SetFleet(r.now, max(1, len(r.entryVMs)))
 	r.rebuildAll()
 }
 
-// vmSeen takes in one VM of the list.
-func (r *Router) vmSeen(vm platformapi.VM) {
+// addVM adds one VM of the list.
+func (r *Router) addVM(vm platformapi.VM) {
 	switch vm.Role {
 	case platformapi.RoleEntry:
 		if vm.State == platformapi.StateLive {
-			r.vms[ids.VM(vm.ID)] = true
+			r.entryVMs[ids.VM(vm.ID)] = true
 		}
 	case platformapi.RoleEngine, platformapi.RolePlain:
-		r.upstreamSeen(vm)
+		r.addUpstream(vm)
 	}
 }
 
-// upstreamSeen takes in one upstream of the list.
-func (r *Router) upstreamSeen(vm platformapi.VM) {
+// addUpstream adds or updates one upstream of the list.
+func (r *Router) addUpstream(vm platformapi.VM) {
 	id := ids.Upstream(vm.ID)
 	u := r.upstreams[id]
 	if u == nil {
 		u = &upstream{
-			running:      make(map[ids.Request]*request),
-			leavingPeers: make(map[ids.VM]bool),
-			firstListed:  r.now,
+			running:         make(map[ids.Request]*request),
+			leavingPerPeers: make(map[ids.VM]bool),
+			firstListed:     r.now,
 		}
 		r.upstreams[id] = u
 	}
 	u.listed = true
-	u.model = vm.Role == platformapi.RoleEngine
+	u.isModel = vm.Role == platformapi.RoleEngine
 	u.engine.ID = id
 	u.engine.Address = vm.Address
 	u.engine.Zone = ids.Zone(vm.Zone)
 	u.engine.Service = ids.Service(vm.Service)
-	u.leavingListed = vm.State == platformapi.StateLeaving
+	u.leavingPerList = vm.State == platformapi.StateLeaving
 }
