--- a/decide/queue/class.go
+++ b/decide/queue/class.go
@@ -6,50 +6,59 @@
 	"mimosaarch.example/core/ids"
 )
 
-// maxIdle bounds the accounts without waiting requests whose past use is
-// still remembered by a class.
+// maxIdle is the maximum number of accounts without waiting requests whose start
+// tag a class keeps.
 const maxIdle = 1024
 
-// class holds the items of one priority and shares between accounts by
-// start-time fair queueing: an account's start tag grows by cost over weight
-// with each item served, and the least start tag is served next.
+// class holds the items of one priority. It shares service between accounts by
+// start-time fair queueing: serving an item raises the start tag of its account by
+// cost/weight, and the account with the lowest start tag is served next.
 type class struct {
 	priority int
 	flows    map[ids.Account]*flow
-	ready    indexed[*flow]
-	ages     entryHeap
-	// virtual is the start tag of the item served last.
-	virtual float64
-	// idle remembers the start tags of accounts that ran out of items, so
-	// that leaving and coming back gains nothing.
-	idle       map[ids.Account]float64
+	// byStart orders the flows by start tag, byAge the entries by enqueue time.
+	byStart indexedHeap[*flow]
+	byAge   entryHeap
+	// virtualTime is the highest start tag of the items served.
+	virtualTime float64
+	// idle holds the start tags of accounts that ran out of items, so that an
+	// account gains nothing by leaving the queue and returning.
+	idle map[ids.Account]float64
+	// cost is the total cost of the waiting items.
 	cost       float64
 	lastServed time.Time
-	seq        uint64
+	// seq numbers the flows in the order in which they were added.
+	seq uint64
 }
 
-// flow holds the items of one account within a class.
+// flow holds the waiting items of one account within a class.
 type flow struct {
 	account ids.Account
 	weight  float64
-	start   float64
-	cost    float64
-	seq     uint64
-	index   int
-	items   entryHeap
+	// start is the start tag of the next item.
+	start float64
+	// cost is the total cost of items.
+	cost float64
+	seq  uint64
+	// index is the flow's position in class.byStart.
+	index int
+	// items is ordered by deadline.
+	items entryHeap
 }
 
+// newClass returns an empty class.
 func newClass(priority int) class {
 	return class{
 		priority: priority,
 		flows:    make(map[ids.Account]*flow),
-		ready:    indexed[*flow]{less: earlierStart, place: func(f *flow, i int) { f.index = i }},
-		ages:     newEntryHeap(earlierEnqueued, placeAge),
+		byStart:  indexedHeap[*flow]{less: earlierStart, setIndex: func(f *flow, i int) { f.index = i }},
+		byAge:    newEntryHeap(earlierEnqueued, setAgeIndex),
 		idle:     make(map[ids.Account]float64),
 	}
 }
 
-// earlierStart orders by start tag, then by arrival.
+// earlierStart orders flows by start tag, then by the order in which they were
+// added.
 func earlierStart(a, b *flow) bool {
 	if a.start == b.start {
 		return a.seq < b.seq
@@ -57,12 +66,14 @@
 	return a.start < b.start
 }
 
-func (c *class) len() int { return c.ages.Len() }
+// len returns the number of waiting items.
+func (c *class) len() int { return c.byAge.Len() }
 
-// rank is the priority, raised by one for each step that the class has gone
-// unserved while something waited. The class must not be empty.
-func (c *class) rank(now time.Time, step time.Duration) int {
-	since := c.ages.top().Enqueued
+// effectivePriority returns the priority of the class, raised by one for each step of
+// time that an item has waited without the class being served. The class must not be
+// empty.
+func (c *class) effectivePriority(now time.Time, step time.Duration) int {
+	since := c.byAge.top().Enqueued
 	if c.lastServed.After(since) {
 		since = c.lastServed
 	}
@@ -70,80 +81,84 @@
 	return c.priority + int(unserved/step)
 }
 
-// head gives the entry to serve next. The class must not be empty.
-func (c *class) head() *entry { return c.ready.top().items.top() }
+// head returns the entry to serve next. The class must not be empty.
+func (c *class) head() *entry { return c.byStart.top().items.top() }
 
-// startOf gives the start tag an account would join with.
-func (c *class) startOf(account ids.Account) float64 {
+// startTag returns the start tag of an account, or the one it would get if it had
+// items.
+func (c *class) startTag(account ids.Account) float64 {
 	if f, ok := c.flows[account]; ok {
 		return f.start
 	}
-	return max(c.virtual, c.idle[account])
+	return max(c.virtualTime, c.idle[account])
 }
 
+// add queues an entry.
 func (c *class) add(e *entry) {
 	f, ok := c.flows[e.Account]
 	if !ok {
-		f = c.join(e.Account)
+		f = c.addFlow(e.Account)
 	}
 	f.weight = float64(e.Weight)
 	f.cost += e.Cost
 	c.cost += e.Cost
 	e.flow = f
 	f.items.push(e)
-	c.ages.push(e)
+	c.byAge.push(e)
 }
 
-// join adds an account that has nothing waiting.
-func (c *class) join(account ids.Account) *flow {
+// addFlow adds a flow for an account that has none.
+func (c *class) addFlow(account ids.Account) *flow {
 	c.seq++
 	f := &flow{
 		account: account,
-		start:   c.startOf(account),
+		start:   c.startTag(account),
 		seq:     c.seq,
-		items:   newEntryHeap(earlierDeadline, placeFlow),
+		items:   newEntryHeap(earlierDeadline, setFlowIndex),
 	}
 	delete(c.idle, account)
 	c.flows[account] = f
-	c.ready.push(f)
+	c.byStart.push(f)
 	return f
 }
 
-// serve removes an entry and charges its account.
+// serve removes an entry and charges its cost to its account.
 func (c *class) serve(now time.Time, e *entry) {
 	f := e.flow
 	c.lastServed = now
-	c.virtual = max(c.virtual, f.start)
+	c.virtualTime = max(c.virtualTime, f.start)
 	f.start += e.Cost / f.weight
-	c.ready.fix(f.index)
+	c.byStart.fix(f.index)
 	c.remove(e)
 }
 
-// remove takes an entry out without charging for it.
+// remove removes an entry without charging its account.
 func (c *class) remove(e *entry) {
 	f := e.flow
 	f.items.remove(e.flowIndex)
-	c.ages.remove(e.ageIndex)
+	c.byAge.remove(e.ageIndex)
 	f.cost -= e.Cost
 	c.cost -= e.Cost
 	if f.items.Len() == 0 {
-		c.leave(f)
+		c.removeFlow(f)
 	}
 	if c.len() == 0 {
 		c.reset()
 	}
 }
 
-// leave removes an account that has nothing waiting any more.
-func (c *class) leave(f *flow) {
-	c.ready.remove(f.index)
+// removeFlow removes the flow of an account without waiting items and keeps its
+// start tag in idle. If idle is full, it drops the tags that have no effect any more,
+// and all of them if that isn't enough.
+func (c *class) removeFlow(f *flow) {
+	c.byStart.remove(f.index)
 	delete(c.flows, f.account)
 	c.idle[f.account] = f.start
 	if len(c.idle) <= maxIdle {
 		return
 	}
 	for account, start := range c.idle {
-		if start <= c.virtual {
+		if start <= c.virtualTime {
 			delete(c.idle, account)
 		}
 	}
@@ -152,19 +167,20 @@
 	}
 }
 
-// reset forgets past use: an empty class has nobody to be unfair to.
+// reset clears the start tags of an empty class: no account is left to compete
+// with.
 func (c *class) reset() {
 	clear(c.idle)
-	c.virtual = 0
+	c.virtualTime = 0
 	c.cost = 0
 }
 
-// ahead gives the work that would be served before an item: that of its own
-// account with an earlier deadline, and what fair sharing gives the others in
-// the meantime.
-func (c *class) ahead(item Item) float64 {
-	own := c.ownAhead(item)
-	tag := c.startOf(item.Account) + own/float64(item.Weight)
+// workAhead returns the cost that would be served before an item: the items of its own
+// account with no later deadline, and what fair sharing gives to the other accounts
+// in the meantime.
+func (c *class) workAhead(item Item) float64 {
+	own := c.ownWorkAhead(item)
+	tag := c.startTag(item.Account) + own/float64(item.Weight)
 	total := own
 	for account, f := range c.flows {
 		if account == item.Account || f.start > tag {
@@ -176,8 +192,9 @@
 	return total
 }
 
-// ownAhead gives the work of the item's account with no later deadline.
-func (c *class) ownAhead(item Item) float64 {
+// ownWorkAhead returns the cost of the items of the item's account that have no later
+// deadline.
+func (c *class) ownWorkAhead(item Item) float64 {
 	f, ok := c.flows[item.Account]
 	if !ok {
 		return 0
--- a/decide/queue/drain.go
+++ b/decide/queue/drain.go
@@ -5,34 +5,41 @@
 	"time"
 )
 
-// Constants of the drain rate.
+// Parameters of the drain rate measurement.
 const (
-	// drainWindow is the busy time over which finished work fades.
+	// drainWindow is the time constant, in busy time, with which finished work decays
+	// in the average.
 	drainWindow = 5 * time.Second
-	// minBusy and minItems are what must have been seen before the measured
-	// rate is relied on.
+	// The measured rate is used once minBusy of busy time and minItems finished
+	// items have been seen.
 	minBusy  = 500 * time.Millisecond
 	minItems = 3
-	// costFade is the weight of the newest item in the mean cost.
-	costFade = 0.05
+	// costSmoothing is the weight of the newest item in the moving average of cost.
+	costSmoothing = 0.05
 )
 
-// drain measures how fast requests finish while others wait. Idle time does
-// not count: a rate measured then would be that of arrivals, and would refuse
-// the first burst after a quiet hour. Pops do not count either, since filling
-// free places at the start of a burst says nothing of what follows.
-type drain struct {
-	busy     bool
-	last     time.Time
-	seconds  float64
-	items    float64
-	cost     float64
+// drainMeter measures how fast requests finish while others wait. Idle time doesn't
+// count: a rate measured then would be the arrival rate, and the first burst after a
+// quiet period would be refused. Pops don't count either, because those at the start
+// of a burst only fill free capacity and say nothing about the rate after that.
+type drainMeter struct {
+	// busy is true while requests wait.
+	busy bool
+	// last is the time up to which seconds, items and cost are decayed.
+	last time.Time
+	// seconds, items and cost are decaying sums of busy time, finished requests and
+	// their cost.
+	seconds float64
+	items   float64
+	cost    float64
+	// inFlight is the number of popped requests that have not finished.
 	inFlight int
+	// meanCost is a moving average of the cost of popped requests.
 	meanCost float64
 }
 
-// advance accounts for the time since the last event.
-func (d *drain) advance(now time.Time) {
+// advance decays the sums over the busy time since the last call.
+func (d *drainMeter) advance(now time.Time) {
 	elapsed := now.Sub(d.last)
 	if elapsed <= 0 {
 		return
@@ -47,15 +54,17 @@
 	d.cost *= keep
 }
 
-func (d *drain) popped(cost float64) {
+// popped counts a request of the given cost as in flight.
+func (d *drainMeter) popped(cost float64) {
 	d.inFlight++
 	if d.meanCost == 0 {
 		d.meanCost = cost
 	}
-	d.meanCost += costFade * (cost - d.meanCost)
+	d.meanCost += costSmoothing * (cost - d.meanCost)
 }
 
-func (d *drain) finished(now time.Time, cost float64) {
+// finished counts an in-flight request as finished with the given cost.
+func (d *drainMeter) finished(now time.Time, cost float64) {
 	d.advance(now)
 	d.inFlight = max(d.inFlight-1, 0)
 	if !d.busy {
@@ -67,13 +76,15 @@
 
 // Rate is how fast a queue drains.
 type Rate struct {
-	// Items and Cost are requests and tokens a second; zero means not known.
+	// Items is in requests per second, Cost in tokens per second. Zero means
+	// unknown.
 	Items, Cost float64
 }
 
-// rate gives the measured rate, else what the requests now being served
-// finish at if each takes the service time, else zero.
-func (d *drain) rate(service time.Duration) Rate {
+// rate returns the measured rate if there is enough data. Otherwise it estimates the
+// rate from the requests in flight and the service time of each; it returns zero if
+// either is unknown.
+func (d *drainMeter) rate(service time.Duration) Rate {
 	if d.seconds >= minBusy.Seconds() && d.items >= minItems {
 		return Rate{Items: d.items / d.seconds, Cost: d.cost / d.seconds}
 	}
--- a/decide/queue/errors.go
+++ b/decide/queue/errors.go
@@ -6,31 +6,32 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Scope tells which bound refused an item.
+// Scope is the limit that an item exceeded.
 type Scope string
 
-// Scopes of a FullError.
+// Scopes of a FullError: Options.Length, and the limit per account.
 const (
 	ScopeQueue   Scope = "queue"
 	ScopeAccount Scope = "account"
 )
 
-// FullError refuses an item for want of room.
+// FullError is returned for an item that exceeds a limit of the queue.
 type FullError struct {
 	Scope Scope
-	// Waiting counts the requests within the scope, Limit is its bound then.
+	// Waiting is the number of waiting requests in the scope, Limit the maximum
+	// that applied.
 	Waiting, Limit int
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("%s full: %d of %d waiting", e.Scope, e.Waiting, e.Limit)
 }
 
-// DuplicateError refuses a request that waits already.
+// DuplicateError is returned for a request that is already waiting.
 type DuplicateError struct{ ID ids.Request }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *DuplicateError) Error() string {
 	return fmt.Sprintf("request %s waits already", e.ID)
 }
--- a/decide/queue/heap.go
+++ b/decide/queue/heap.go
@@ -2,30 +2,32 @@
 
 import "container/heap"
 
-// indexed is a heap whose items know their place, so that any can be removed.
-type indexed[T any] struct {
+// indexedHeap is a heap that tells each item its index, so that any item can be
+// removed or reordered.
+type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	place func(item T, index int)
+	// setIndex stores the index of an item after it moved.
+	setIndex func(item T, index int)
 }
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
-func (h *indexed[T]) Len() int           { return len(h.items) }
-func (h *indexed[T]) Less(i, j int) bool { return h.less(h.items[i], h.items[j]) }
+func (h *indexedHeap[T]) Len() int           { return len(h.items) }
+func (h *indexedHeap[T]) Less(i, j int) bool { return h.less(h.items[i], h.items[j]) }
 
-func (h *indexed[T]) Swap(i, j int) {
+func (h *indexedHeap[T]) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.place(h.items[i], i)
-	h.place(h.items[j], j)
+	h.setIndex(h.items[i], i)
+	h.setIndex(h.items[j], j)
 }
 
-func (h *indexed[T]) Push(x any) {
+func (h *indexedHeap[T]) Push(x any) {
 	item := x.(T)
-	h.place(item, len(h.items))
+	h.setIndex(item, len(h.items))
 	h.items = append(h.items, item)
 }
 
-func (h *indexed[T]) Pop() any {
+func (h *indexedHeap[T]) Pop() any {
 	last := len(h.items) - 1
 	item := h.items[last]
 	var none T
@@ -35,22 +37,22 @@
 }
 
 // push adds an item.
-func (h *indexed[T]) push(item T) { heap.Push(h, item) }
+func (h *indexedHeap[T]) push(item T) { heap.Push(h, item) }
 
-// top gives the least item; the heap must not be empty.
-func (h *indexed[T]) top() T { return h.items[0] }
+// top returns the least item. The heap must not be empty.
+func (h *indexedHeap[T]) top() T { return h.items[0] }
 
-// remove takes out the item at index.
-func (h *indexed[T]) remove(index int) { heap.Remove(h, index) }
+// remove removes the item at index.
+func (h *indexedHeap[T]) remove(index int) { heap.Remove(h, index) }
 
 // fix restores the order after the item at index has changed.
-func (h *indexed[T]) fix(index int) { heap.Fix(h, index) }
+func (h *indexedHeap[T]) fix(index int) { heap.Fix(h, index) }
 
-// walk visits items, none before its parent in the heap. It does not go below
-// an item for which visit is false.
-func (h *indexed[T]) walk(visit func(T) bool) { h.walkFrom(0, visit) }
+// walk calls visit for items, parents before their children. It skips the
+// descendants of items for which visit returns false.
+func (h *indexedHeap[T]) walk(visit func(T) bool) { h.walkFrom(0, visit) }
 
-func (h *indexed[T]) walkFrom(i int, visit func(T) bool) {
+func (h *indexedHeap[T]) walkFrom(i int, visit func(T) bool) {
 	if i >= len(h.items) || !visit(h.items[i]) {
 		return
 	}
@@ -58,26 +60,31 @@
 	h.walkFrom(2*i+2, visit)
 }
 
-// entry is a waiting item with its places in the heaps that hold it.
+// entry is a waiting item with its indexes in the heaps that hold it. seq numbers
+// entries in the order of arrival.
 type entry struct {
 	Item
-	seq                           uint64
-	flow                          *flow
-	flowIndex, dueIndex, ageIndex int
+	seq                                uint64
+	flow                               *flow
+	flowIndex, deadlineIndex, ageIndex int
 }
 
-// entryHeap holds entries in some order.
-type entryHeap = indexed[*entry]
+// entryHeap is a heap of entries.
+type entryHeap = indexedHeap[*entry]
 
-func newEntryHeap(less func(a, b *entry) bool, place func(*entry, int)) entryHeap {
-	return entryHeap{less: less, place: place}
+// newEntryHeap returns an empty heap with the given order and index field.
+func newEntryHeap(less func(a, b *entry) bool, setIndex func(*entry, int)) entryHeap {
+	return entryHeap{less: less, setIndex: setIndex}
 }
 
-func placeDue(e *entry, i int)  { e.dueIndex = i }
-func placeFlow(e *entry, i int) { e.flowIndex = i }
-func placeAge(e *entry, i int)  { e.ageIndex = i }
+// setDeadlineIndex, setFlowIndex and setAgeIndex store the index of an entry in
+// Queue.byDeadline, flow.items and class.byAge.
+func setDeadlineIndex(e *entry, i int) { e.deadlineIndex = i }
+func setFlowIndex(e *entry, i int)     { e.flowIndex = i }
+func setAgeIndex(e *entry, i int)      { e.ageIndex = i }
 
-// earlierDeadline orders by deadline, those without one last, then by arrival.
+// earlierDeadline orders entries by deadline, then by arrival. Entries without a
+// deadline come last.
 func earlierDeadline(a, b *entry) bool {
 	if a.Deadline.Equal(b.Deadline) {
 		return a.seq < b.seq
@@ -88,7 +95,7 @@
 	return a.Deadline.Before(b.Deadline)
 }
 
-// earlierEnqueued orders by the time waited.
+// earlierEnqueued orders entries by enqueue time, then by arrival.
 func earlierEnqueued(a, b *entry) bool {
 	if a.Enqueued.Equal(b.Enqueued) {
 		return a.seq < b.seq
--- a/decide/queue/options.go
+++ b/decide/queue/options.go
@@ -15,19 +15,20 @@
 	DefaultRetryMax   = 30 * time.Second
 )
 
-// Options bound a Queue. Zero or negative fields take their defaults.
+// Options configures a Queue. Zero and negative fields select the defaults.
 type Options struct {
-	// Length is the most requests waiting.
+	// Length is the maximum number of waiting requests.
 	Length int
-	// PerAccount is the most requests of one account waiting.
+	// PerAccount is the maximum number of waiting requests of one account.
 	PerAccount int
-	// AgeStep is the time unserved after which a class rises by one.
+	// AgeStep is the time without service after which the priority of a class is
+	// raised by one.
 	AgeStep time.Duration
-	// RetryMin and RetryMax bound RetryAfter.
+	// RetryMin and RetryMax bound the delay that RetryAfter returns.
 	RetryMin, RetryMax time.Duration
 }
 
-// withDefaults fills in unset options.
+// withDefaults returns o with defaults for unset fields.
 func withDefaults(o Options) Options {
 	o.Length = defaults.Positive(o.Length, DefaultLength)
 	o.PerAccount = defaults.Positive(o.PerAccount, DefaultPerAccount)
--- a/decide/queue/queue_test.go
+++ b/decide/queue/queue_test.go
@@ -24,10 +24,12 @@
 
 var t0 = time.Unix(1000, 0)
 
+// at returns the time ms milliseconds after t0.
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
 func newQueue(opts Options) *Queue { return New(opts, rand.New(rand.NewPCG(1, 2))) }
 
+// mustPush queues an item at its Enqueued time.
 func mustPush(t testing.TB, q *Queue, item Item) {
 	t.Helper()
 	if err := q.Push(item.Enqueued, item); err != nil {
@@ -35,6 +37,7 @@
 	}
 }
 
+// popAll pops all items and returns their IDs in order.
 func popAll(q *Queue, now time.Time) []ids.Request {
 	var out []ids.Request
 	for item, ok := q.Pop(now); ok; item, ok = q.Pop(now) {
@@ -62,17 +65,17 @@
 		}
 	}
 	if err := q.Push(t0, Item{ID: "s", Account: "small", Enqueued: t0}); err != nil {
-		t.Fatalf("small account refused with %d of 64 waiting: %v", q.Len(), err)
+		t.Fatalf("small account refused with %d of 64 requests waiting: %v", q.Len(), err)
 	}
 	var full *FullError
 	err := q.Push(t0, Item{ID: "b", Account: "big1", Enqueued: t0})
 	if full, _ = err.(*FullError); full == nil || full.Scope != ScopeAccount {
-		t.Fatalf("err = %v, want FullError of the account", err)
+		t.Fatalf("err = %v, want a *FullError with ScopeAccount", err)
 	}
 }
 
-// The small account joins behind 30 requests of the large one and is served
-// next; in the long run both get their weight's share of cost.
+// A small account that joins after a large one is served within two requests. Over
+// time, both receive cost in proportion to their weights.
 func TestAccountsShareByWeightAndCost(t *testing.T) {
 	q := newQueue(Options{Length: 400, PerAccount: 200})
 	for i := range 100 {
@@ -91,7 +94,7 @@
 		spent[item.Account] += item.Cost
 		popped++
 		if popped == 2 && spent["small"] == 0 {
-			t.Fatal("small account still not served after two requests")
+			t.Fatal("small account not served after two requests")
 		}
 	}
 	if ratio := spent["small"] / spent["big"]; ratio < 1.7 || ratio > 2.3 {
@@ -130,7 +133,7 @@
 		served[item.Priority]++
 	}
 	if got := served[-1]; got < 3 || got > 6 {
-		t.Errorf("low class served %d times in 10 s, want one each 2 s or a little more", got)
+		t.Errorf("low class served %d times in 10 s, want about once every 2 s", got)
 	}
 }
 
@@ -152,7 +155,8 @@
 	}
 }
 
-// A cheap request is not refused for the time that dear ones take.
+// A request of low cost must not be refused because of the service time of costly
+// ones.
 func TestServiceTimeGoesByCost(t *testing.T) {
 	q := newQueue(Options{})
 	q.SetServiceTime(2 * time.Second)
@@ -178,15 +182,15 @@
 	}
 	q.SetOptions(Options{Length: 2, PerAccount: 1})
 	if err := q.Push(t0, Item{ID: "x", Account: "x"}); err == nil {
-		t.Error("Push over the new length was taken")
+		t.Error("Push beyond the new length was accepted")
 	}
 	if got := len(popAll(q, t0)); got != 6 {
 		t.Errorf("popped %d, want all 6", got)
 	}
 }
 
-// saturate keeps a queue busy for ten seconds, finishing 20 requests of cost
-// 100 a second: 2000 tokens a second.
+// saturate keeps a queue busy for 10 s. It finishes 20 requests of cost 100 per
+// second, which is 2000 tokens per second, and returns the time after that.
 func saturate(t testing.TB, q *Queue, account ids.Account) time.Time {
 	now := t0
 	for i := range 240 {
@@ -207,12 +211,12 @@
 	in := func(d time.Duration, account ids.Account, priority int) bool {
 		miss, after := q.WouldMiss(now, Item{Account: account, Cost: 100, Priority: priority, Deadline: now.Add(d)})
 		if miss && after <= 0 {
-			t.Error("miss without a time to come back")
+			t.Error("WouldMiss reports a miss without a retry delay")
 		}
 		return miss
 	}
 	if rate := q.Rate(); rate.Cost < 1800 || rate.Cost > 2200 {
-		t.Fatalf("rate = %v, want about 2000 tokens a second", rate)
+		t.Fatalf("rate = %v, want about 2000 tokens per second", rate)
 	}
 	type row struct {
 		deadline time.Duration
@@ -232,7 +236,8 @@
 	}
 }
 
-// A quiet hour's slow arrivals must not be taken for a slow drain.
+// A low arrival rate during a quiet hour must not be measured as a low drain rate:
+// the burst that follows would be refused.
 func TestQuietHourDoesNotRefuseTheBurst(t *testing.T) {
 	q := newQueue(Options{Length: 1000, PerAccount: 900})
 	for i := range 60 {
@@ -245,14 +250,14 @@
 	for i := range 100 {
 		item := Item{ID: ids.Request(fmt.Sprint("b", i)), Account: "a", Enqueued: now, Deadline: now.Add(5 * time.Second)}
 		if miss, _ := q.WouldMiss(now, item); miss {
-			t.Fatalf("request %d of the burst refused with rate %v", i, q.Rate())
+			t.Fatalf("request %d of the burst would miss its deadline at rate %v", i, q.Rate())
 		}
 		mustPush(t, q, item)
 	}
 }
 
-// Refused callers come back within the bounds, and no tenth of the time they
-// are spread over gets more than a quarter of them.
+// Retry delays must lie within the bounds, and no tenth of that range may contain
+// more than a quarter of the refused callers.
 func TestRetryAfterSpreadsCallers(t *testing.T) {
 	q := newQueue(Options{Length: 1000, PerAccount: 500, RetryMax: 20 * time.Second})
 	now := saturate(t, q, "big")
@@ -266,12 +271,13 @@
 	}
 	for i, n := range seen {
 		if n > 50 {
-			t.Errorf("%d of 200 callers come back in tenth %d: %v", n, i, seen)
+			t.Errorf("%d of 200 callers retry in tenth %d: %v", n, i, seen)
 		}
 	}
 }
 
-// Nodes in the same state tell their callers different times.
+// Nodes in the same state but with different seeds must return different delays, so
+// that their callers don't retry together.
 func TestRetryAfterDiffersBetweenNodes(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(9) {
@@ -279,12 +285,12 @@
 		seen[q.RetryAfter(saturate(t, q, "big")).Round(time.Millisecond)] = true
 	}
 	if len(seen) < 8 {
-		t.Errorf("nine nodes tell %d times: %v", len(seen), seen)
+		t.Errorf("nine nodes return %d different delays: %v", len(seen), seen)
 	}
 }
 
-// Any sequence of calls: nothing is lost, served twice or kept after removal,
-// and the counts agree with a plain set.
+// For any sequence of calls, no item may be lost, served twice or kept after
+// removal, and the counts must match a plain map.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := newQueue(Options{Length: 12, PerAccount: 6})
@@ -343,8 +349,8 @@
 			}
 			delete(model, id)
 		}
-		if len(model) != 0 || len(q.waiting) != 0 || q.due.Len() != 0 {
-			rt.Fatalf("left behind: %v, %v, %d", model, q.waiting, q.due.Len())
+		if len(model) != 0 || len(q.waiting) != 0 || q.byDeadline.Len() != 0 {
+			rt.Fatalf("left behind: %v, %v, %d", model, q.waiting, q.byDeadline.Len())
 		}
 	})
 }
