--- a/decide/limit/history.go
+++ b/decide/limit/history.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// maxTold bounds the digests remembered for an account.
-const maxTold = 16
+// maxHistory is the maximum number of entries in a demandHistory.
+const maxHistory = 16
 
-// told is the demand of one digest sent.
-type told struct {
+// sentDemand is the demand for one account in one digest that was sent.
+type sentDemand struct {
 	at     time.Time
 	demand float64
 }
 
-// history holds the demands told of one account, oldest first. Before the
-// first, none was told.
-type history struct{ sent []told }
+// demandHistory holds the demands recently sent to peers for one account, oldest
+// first. No demand was sent before the first entry.
+type demandHistory struct{ sent []sentDemand }
 
-// add notes a digest. Digests in quick succession are merged to the least.
-func (h *history) add(now time.Time, demand float64, hold time.Duration) {
+// add records the demand in a digest. Digests in quick succession are merged into
+// one entry with the lowest demand.
+func (h *demandHistory) add(now time.Time, demand float64, hold time.Duration) {
 	h.trim(now, hold)
 	last := len(h.sent) - 1
-	if last >= 1 && (now.Sub(h.sent[last].at) < hold/maxTold || len(h.sent) >= maxTold) {
+	if last >= 1 && (now.Sub(h.sent[last].at) < hold/maxHistory || len(h.sent) >= maxHistory) {
 		h.sent[last].demand = min(h.sent[last].demand, demand)
 		return
 	}
 	if last < 0 && demand == 0 {
 		return
 	}
-	h.sent = append(h.sent, told{at: now, demand: demand})
+	h.sent = append(h.sent, sentDemand{at: now, demand: demand})
 }
 
-// least gives the lowest demand that any peer may still hold: the least of
-// those in force since hold ago.
-func (h *history) least(now time.Time, hold time.Duration) float64 {
+// lowest returns the lowest demand that any peer may still use for this VM, if
+// digests reach all peers within hold.
+func (h *demandHistory) lowest(now time.Time, hold time.Duration) float64 {
 	if len(h.sent) == 0 || now.Sub(h.sent[0].at) < hold {
 		return 0
 	}
@@ -49,8 +50,9 @@
 	return out
 }
 
-// trim drops the digests that later ones replaced before hold ago.
-func (h *history) trim(now time.Time, hold time.Duration) {
+// trim drops entries that were superseded at least hold ago. It drops all entries
+// once none of them has demand.
+func (h *demandHistory) trim(now time.Time, hold time.Duration) {
 	for len(h.sent) > 1 && now.Sub(h.sent[1].at) >= hold {
 		h.sent = h.sent[1:]
 	}
@@ -62,11 +64,11 @@
 	h.sent = nil
 }
 
-// quiet reports whether no peer may still hold demand.
-func (h *history) quiet() bool { return len(h.sent) == 0 }
+// isEmpty reports whether no peer can still use a demand above zero for this VM.
+func (h *demandHistory) isEmpty() bool { return len(h.sent) == 0 }
 
-// demandAt gives a bucket's demand faded up to now.
+// demandAt returns the bucket's average demand at now, in cost per second.
 func (b *bucket) demandAt(now time.Time) float64 {
-	elapsed := max(now.Sub(b.at).Seconds(), 0)
+	elapsed := max(now.Sub(b.refilledAt).Seconds(), 0)
 	return b.demand * math.Exp(-elapsed/demandWindow.Seconds())
 }
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -32,36 +32,41 @@
 	digestStep = 240 * time.Millisecond
 )
 
-// digest is one on its way.
+// digest is a digest in transit between two limiters.
 type digest struct {
 	from, to, number int
 	due              time.Time
 	usage            []AccountUsage
 }
 
-// bench runs limiters that exchange digests over a bad network.
-type bench struct {
+// cluster runs limiters that exchange digests over a network with delay, loss and
+// partitions.
+type cluster struct {
 	rng      *rand.Rand
 	now      time.Time
 	account  fleet.Account
 	limiters [vms]*Limiter
-	demand   [vms]float64
-	due      [vms]float64
-	onWay    []digest
-	newest   [vms][vms]int
-	numbers  int
-	delay    time.Duration
-	loss     float64
-	// side tells which VMs hear each other.
-	side [vms]int
+	// demand is the cost per second requested of each VM.
+	demand [vms]float64
+	// due is the cost each VM has yet to request.
+	due       [vms]float64
+	inTransit []digest
+	// newest is the number of the newest digest taken in, by receiver and sender.
+	newest  [vms][vms]int
+	numbers int
+	delay   time.Duration
+	loss    float64
+	// partition is the side of each VM. Only VMs on the same side exchange digests.
+	partition [vms]int
 
 	admitted float64
-	// most is the largest sum of parts seen, in multiples of the rate.
-	most float64
+	// maxSum is the largest sum of local rates seen, in multiples of the rate.
+	maxSum float64
 }
 
-func newBench(seed uint64, delay time.Duration, loss float64) *bench {
-	b := &bench{
+// newCluster returns a cluster without demand.
+func newCluster(seed uint64, delay time.Duration, loss float64) *cluster {
+	b := &cluster{
 		rng: rand.New(rand.NewPCG(seed, 7)), now: t0, delay: delay, loss: loss,
 		account: fleet.Account{ID: "large", Rate: 90, Burst: 180},
 	}
@@ -72,7 +77,8 @@
 	return b
 }
 
-func (b *bench) run(d time.Duration, drive func()) {
+// run advances the cluster by d and calls drive to set the demand at each step.
+func (b *cluster) run(d time.Duration, drive func()) {
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(step) {
 		drive()
 		if b.now.Sub(t0)%digestStep == 0 {
@@ -89,27 +95,30 @@
 			}
 			sum += l.LocalRate(b.now, b.account)
 		}
-		b.most = max(b.most, sum/b.account.Rate)
+		b.maxSum = max(b.maxSum, sum/b.account.Rate)
 	}
 }
 
-func (b *bench) send() {
+// send sends the digest of each VM to the peers on its side, with loss and delay.
+func (b *cluster) send() {
 	b.numbers++
 	for from, l := range b.limiters {
 		usage := l.Usage(b.now)
 		for to := range b.limiters {
-			if to == from || b.side[to] != b.side[from] || b.rng.Float64() < b.loss {
+			if to == from || b.partition[to] != b.partition[from] || b.rng.Float64() < b.loss {
 				continue
 			}
 			late := time.Duration(b.rng.Int64N(int64(b.delay) + 1))
-			b.onWay = append(b.onWay, digest{from: from, to: to, number: b.numbers, due: b.now.Add(late), usage: usage})
+			b.inTransit = append(b.inTransit, digest{from: from, to: to, number: b.numbers, due: b.now.Add(late), usage: usage})
 		}
 	}
 }
 
-func (b *bench) deliver() {
+// deliver takes in the digests that are due, unless a newer one of the same VM has
+// been taken in.
+func (b *cluster) deliver() {
 	var later []digest
-	for _, d := range b.onWay {
+	for _, d := range b.inTransit {
 		switch {
 		case d.due.After(b.now):
 			later = append(later, d)
@@ -118,11 +127,11 @@
 			b.limiters[d.to].PeerUsage(b.now, ids.VM(fmt.Sprint(d.from)), d.usage)
 		}
 	}
-	b.onWay = later
+	b.inTransit = later
 }
 
-// shift changes demand at random every half second or so.
-func (b *bench) shift() {
+// shiftDemand changes the demand of each VM at random, on average every 0.5 s.
+func (b *cluster) shiftDemand() {
 	for i := range b.demand {
 		if b.rng.Float64() < step.Seconds()/0.5 {
 			b.demand[i] = []float64{0, 0, 3, 30, 400}[b.rng.IntN(5)]
@@ -130,19 +139,22 @@
 	}
 }
 
-func (b *bench) bound(d time.Duration, parts float64) float64 {
-	return parts*b.account.Rate*d.Seconds() + 1.5*b.account.Burst + vms
+// bound returns the documented maximum cost admitted over d if the local rates sum
+// to the given multiple of the rate.
+func (b *cluster) bound(d time.Duration, rateSum float64) float64 {
+	return rateSum*b.account.Rate*d.Seconds() + 1.5*b.account.Burst + vms
 }
 
-// While digests arrive in time, the parts never sum to more than the rate.
+// While digests arrive in time, the local rates never sum to more than the
+// account's rate.
 func TestFleetStaysWithinRate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		delay := time.Duration(rapid.IntRange(0, 700).Draw(rt, "delay ms")) * time.Millisecond
-		b := newBench(rapid.Uint64().Draw(rt, "seed"), delay, 0)
+		b := newCluster(rapid.Uint64().Draw(rt, "seed"), delay, 0)
 		const d = 12 * time.Second
-		b.run(d, b.shift)
-		if !(b.most <= 1+1e-9) { // false for NaN too
-			rt.Fatalf("parts sum to %.3f of the rate", b.most)
+		b.run(d, b.shiftDemand)
+		if !(b.maxSum <= 1+1e-9) { // false for NaN too
+			rt.Fatalf("local rates sum to %.3f of the rate", b.maxSum)
 		}
 		if got := b.admitted; got > b.bound(d, 1) {
 			rt.Fatalf("admitted %.0f, bound %.0f", got, b.bound(d, 1))
@@ -150,53 +162,55 @@
 	})
 }
 
-// A VM that has told a fall uses its smaller part before any peer hears of it.
-func TestFallCountsBeforeItIsHeard(t *testing.T) {
-	b := newBench(0x52e, 0, 0)
-	b.run(12*time.Second, b.shift)
-	if !(b.most <= 1+1e-9) {
-		t.Errorf("parts sum to %.4f of the rate", b.most)
+// A VM that reports a lower demand uses its lower local rate before any peer
+// receives the report. Otherwise both would use the difference.
+func TestDecreaseAppliesBeforePeersReceiveIt(t *testing.T) {
+	b := newCluster(0x52e, 0, 0)
+	b.run(12*time.Second, b.shiftDemand)
+	if !(b.maxSum <= 1+1e-9) {
+		t.Errorf("local rates sum to %.4f of the rate", b.maxSum)
 	}
 }
 
-// Digests lost at random, then a cut in two while demand shifts, then
-// healing: the stated bound is 1.5 times the rate; 1.2 is held here.
-func TestFleetUnderLossAndCut(t *testing.T) {
+// Digests are lost at random; then the network is partitioned in two while demand
+// changes, and heals. The documented bound is 1.5 times the rate; this test checks
+// 1.2.
+func TestFleetUnderLossAndPartition(t *testing.T) {
 	worst := 0.0
 	rapid.Check(t, func(rt *rapid.T) {
 		loss := rapid.Float64Range(0, 0.6).Draw(rt, "loss")
-		b := newBench(rapid.Uint64().Draw(rt, "seed"), 500*time.Millisecond, loss)
+		b := newCluster(rapid.Uint64().Draw(rt, "seed"), 500*time.Millisecond, loss)
 		const d = 18 * time.Second
-		b.run(d/3, b.shift)
-		for i := range b.side {
-			b.side[i] = b.rng.IntN(2)
+		b.run(d/3, b.shiftDemand)
+		for i := range b.partition {
+			b.partition[i] = b.rng.IntN(2)
 		}
-		b.run(d/3, b.shift)
-		b.side = [vms]int{}
-		b.run(d/3, b.shift)
-		worst = max(worst, b.most)
-		if !(b.most <= 1.2 && b.admitted <= b.bound(d, 1.2)) {
-			rt.Fatalf("parts sum to %.3f of the rate, admitted %.0f, bound %.0f", b.most, b.admitted, b.bound(d, 1.2))
+		b.run(d/3, b.shiftDemand)
+		b.partition = [vms]int{}
+		b.run(d/3, b.shiftDemand)
+		worst = max(worst, b.maxSum)
+		if !(b.maxSum <= 1.2 && b.admitted <= b.bound(d, 1.2)) {
+			rt.Fatalf("local rates sum to %.3f of the rate, admitted %.0f, bound %.0f", b.maxSum, b.admitted, b.bound(d, 1.2))
 		}
 	})
-	t.Logf("largest sum of parts: %.3f of the rate", worst)
+	t.Logf("largest sum of local rates: %.3f of the rate", worst)
 }
 
-// With steady demand before it, a cut changes nothing: each side keeps to its
-// part though one side's demand multiplies, until the platform's list says
-// that the others are gone.
-func TestCutSideKeepsItsPart(t *testing.T) {
-	b := newBench(1, 100*time.Millisecond, 0)
+// With steady demand before a partition, each side keeps its share even if the
+// demand on one side multiplies, until the platform's list shows that the other VMs
+// are gone.
+func TestPartitionedSideKeepsItsShare(t *testing.T) {
+	b := newCluster(1, 100*time.Millisecond, 0)
 	b.run(10*time.Second, func() {
 		for i := range b.demand {
 			b.demand[i] = 20
 		}
 	})
-	b.side = [vms]int{0, 0, 0, 0, 0, 0, 1, 1, 1}
-	b.most = 0
+	b.partition = [vms]int{0, 0, 0, 0, 0, 0, 1, 1, 1}
+	b.maxSum = 0
 	b.run(10*time.Second, func() { b.demand[7] = 500 })
-	if !(b.most <= 1.05) {
-		t.Errorf("parts sum to %.3f of the rate under the cut", b.most)
+	if !(b.maxSum <= 1.05) {
+		t.Errorf("local rates sum to %.3f of the rate during the partition", b.maxSum)
 	}
 	side := func() float64 {
 		sum := 0.0
@@ -206,7 +220,7 @@
 		return sum / b.account.Rate
 	}
 	if got := side(); got < 0.30 || got > 0.36 {
-		t.Errorf("three of nine VMs keep %.3f of the rate, want about 1/3", got)
+		t.Errorf("three of nine partitioned VMs have %.3f of the rate, want about 1/3", got)
 	}
 	for i := 6; i < vms; i++ {
 		b.limiters[i].SetFleet(b.now, 3)
@@ -215,38 +229,41 @@
 		}
 	}
 	if got := side(); got < 0.9 || got > 1+1e-9 {
-		t.Errorf("three VMs left alone have %.3f of the rate, want nearly all", got)
+		t.Errorf("the three remaining VMs have %.3f of the rate, want nearly all", got)
 	}
 }
 
-// The same for an account of which nobody told demand before the cut.
-func TestCutSideKeepsItsPartOfQuietAccount(t *testing.T) {
-	b := newBench(1, 100*time.Millisecond, 0)
+// Each side of a partition also keeps its share of an account for which no VM had
+// reported demand before.
+func TestPartitionedSideKeepsItsShareOfIdleAccount(t *testing.T) {
+	b := newCluster(1, 100*time.Millisecond, 0)
 	b.run(5*time.Second, func() {
 		for i := range b.demand {
 			b.demand[i] = 1
 		}
 	})
-	b.side = [vms]int{0, 0, 0, 0, 0, 0, 1, 1, 1}
+	b.partition = [vms]int{0, 0, 0, 0, 0, 0, 1, 1, 1}
 	b.run(10*time.Second, func() { b.demand[0], b.demand[7] = 500, 500 })
-	if !(b.most <= 1.05) {
-		t.Errorf("parts sum to %.3f of the rate under the cut", b.most)
+	if !(b.maxSum <= 1.05) {
+		t.Errorf("local rates sum to %.3f of the rate during the partition", b.maxSum)
 	}
 }
 
-// An account whose connections all meet one VM gets more than an even part,
-// and a newly busy VM can start at once.
-func TestDemandMovesTheParts(t *testing.T) {
-	b := newBench(1, 100*time.Millisecond, 0)
+// An account whose connections all reach one VM gets more than an even share there,
+// and a VM that becomes busy can admit a request at once.
+func TestLocalRateFollowsDemand(t *testing.T) {
+	b := newCluster(1, 100*time.Millisecond, 0)
 	b.run(8*time.Second, func() { b.demand[0] = 200 })
 	if got := b.limiters[0].LocalRate(b.now, b.account) / b.account.Rate; got < 0.5 {
 		t.Errorf("the only busy VM has %.3f of the rate, want over half", got)
 	}
 	if ok, _ := b.limiters[1].Take(b.now, b.account, 1); !ok {
-		t.Error("a newly busy VM refused its first request")
+		t.Error("a VM that became busy refused its first request")
 	}
 }
 
+// An account over its limit must not get a new burst when its bucket is evicted and
+// created again.
 func TestEvictionGivesNoFreshBurst(t *testing.T) {
 	l := New(Options{MaxAccounts: 4})
 	account := fleet.Account{ID: "over", Rate: 1, Burst: 10}
@@ -262,7 +279,7 @@
 			l.Take(now, fleet.Account{ID: ids.Account(fmt.Sprint("other", j)), Rate: 1, Burst: 10}, 1)
 		}
 		if l.Accounts() > 4 {
-			t.Fatalf("%d accounts kept, bound 4", l.Accounts())
+			t.Fatalf("%d accounts have a bucket, bound 4", l.Accounts())
 		}
 	}
 	if admitted < 10 || admitted > 12 {
@@ -270,6 +287,7 @@
 	}
 }
 
+// Refused callers must not all retry at the same time.
 func TestRefusedCallersAreSpread(t *testing.T) {
 	l := New(Options{})
 	account := fleet.Account{ID: "a", Rate: 10, Burst: 1}
@@ -281,11 +299,13 @@
 	}
 	for second, n := range seen {
 		if n > 15 {
-			t.Errorf("%d refused callers come back in second %d at 10 a second", n, second)
+			t.Errorf("%d refused callers retry in second %d at a rate of 10 per second", n, second)
 		}
 	}
 }
 
+// Memory must stay within the bounds of the options and be freed once accounts and
+// peers are gone.
 func TestStateIsBoundedAndFreed(t *testing.T) {
 	l := New(Options{MaxAccounts: 50, MaxPeers: 3, TopK: 5})
 	for i := range 500 {
@@ -295,12 +315,12 @@
 		}
 		usage := l.Usage(now)
 		if len(usage) > 5 {
-			t.Fatalf("digest of %d accounts", len(usage))
+			t.Fatalf("digest has %d accounts, bound 5", len(usage))
 		}
 		l.PeerUsage(now, ids.VM(fmt.Sprint(i%9)), usage)
 	}
-	if len(l.buckets) > 50 || len(l.hot) > 50 || len(l.peers) > 3 || len(l.pools) > 5*4+50 {
-		t.Errorf("%d buckets, %d hot, %d peers, %d pools", len(l.buckets), len(l.hot), len(l.peers), len(l.pools))
+	if len(l.buckets) > 50 || len(l.reportable) > 50 || len(l.peers) > 3 || len(l.demands) > 5*4+50 {
+		t.Errorf("%d buckets, %d reportable, %d peers, %d accounts with demand", len(l.buckets), len(l.reportable), len(l.peers), len(l.demands))
 	}
 	for i := range 9 {
 		l.PeerGone(ids.VM(fmt.Sprint(i)))
@@ -308,8 +328,8 @@
 	for i := range 200 {
 		l.Usage(t0.Add(time.Minute + time.Duration(i)*time.Second))
 	}
-	if len(l.hot) != 0 || len(l.pools) != 0 || len(l.order) != 0 {
-		t.Errorf("left behind: %d hot, %d pools, %d peers", len(l.hot), len(l.pools), len(l.order))
+	if len(l.reportable) != 0 || len(l.demands) != 0 || len(l.sortedPeers) != 0 {
+		t.Errorf("left behind: %d reportable, %d accounts with demand, %d peers", len(l.reportable), len(l.demands), len(l.sortedPeers))
 	}
 }
 
--- a/decide/limit/options.go
+++ b/decide/limit/options.go
@@ -7,7 +7,8 @@
 	"mimosaarch.example/core/fleet"
 )
 
-// Defaults of Options, and of an account's limits.
+// Defaults of Options, and of an account's rate (per second) and burst (as a
+// multiple of its rate).
 const (
 	DefaultMaxAccounts = 65536
 	DefaultMaxPeers    = 1024
@@ -19,22 +20,22 @@
 	defaultBurstFactor = 2
 )
 
-// Options bound a Limiter. Zero or negative fields take their defaults.
+// Options configures a Limiter. Zero and negative fields select the defaults.
 type Options struct {
-	// MaxAccounts is the most accounts with a bucket.
+	// MaxAccounts is the maximum number of accounts with a bucket.
 	MaxAccounts int
-	// MaxPeers is the most peers whose digests are kept.
+	// MaxPeers is the maximum number of peers whose digests are kept.
 	MaxPeers int
-	// TopK is the most accounts in a digest, sent or taken in.
+	// TopK is the maximum number of accounts in a digest, sent or received.
 	TopK int
-	// HoldDown is twice the age a peer's digest may have when it is taken in,
-	// and the time after which a rise of the own demand counts.
+	// HoldDown is the time after which a rise of this VM's own demand counts, and
+	// twice the maximum age of a peer's digest when it is taken in.
 	HoldDown time.Duration
-	// RetryMin and RetryMax bound the time to come back.
+	// RetryMin and RetryMax bound the retry delay that Take returns.
 	RetryMin, RetryMax time.Duration
 }
 
-// withDefaults fills in unset options.
+// withDefaults returns o with defaults for unset fields.
 func withDefaults(o Options) Options {
 	o.MaxAccounts = defaults.Positive(o.MaxAccounts, DefaultMaxAccounts)
 	o.MaxPeers = defaults.Positive(o.MaxPeers, DefaultMaxPeers)
@@ -45,7 +46,7 @@
 	return o
 }
 
-// limits gives an account's rate and burst with their defaults.
+// limits returns an account's rate and burst, with defaults for unset values.
 func limits(account fleet.Account) (rate, burst float64) {
 	rate, burst = account.Rate, account.Burst
 	if !(rate > 0) {
--- a/decide/limit/share.go
+++ b/decide/limit/share.go
@@ -6,59 +6,60 @@
 	"mimosaarch.example/core/ids"
 )
 
-// evenShare is the portion of a rate that is divided evenly among the VMs;
-// the rest follows demand.
+// evenShare is the fraction of a rate that is divided evenly among the VMs. The
+// rest is divided by demand.
 const evenShare = 0.5
 
-// share gives this VM's share, above 0 to 1, of an account's rate, given the
-// own demand that all peers have heard.
+// share returns this VM's share of an account's rate, above 0 and at most 1, given
+// the own demand that all peers have received.
 func (l *Limiter) share(now time.Time, account ids.Account, own float64) float64 {
-	vms := float64(l.fleet())
+	vms := float64(l.fleetSize())
 	return evenShare/vms + (1-evenShare)*l.demandShare(now, account, own)
 }
 
-// demandShare gives this VM's share of the portion that follows demand. What
-// unheard VMs hold is set aside first; the VMs that hear each other divide the
-// rest.
+// demandShare returns this VM's share of the fraction that is divided by demand. The
+// shares of VMs that don't send digests are reserved first. The VMs that receive
+// each other's digests divide the rest.
 func (l *Limiter) demandShare(now time.Time, account ids.Account, own float64) float64 {
-	p := l.pools[account]
-	heard := 1
-	free := 1 - float64(l.neverHeard())/float64(l.fleet())
+	d := l.demands[account]
+	fresh := 1
+	free := 1 - float64(l.unheardVMs())/float64(l.fleetSize())
 	others := 0.0
-	for _, peer := range l.order {
+	for _, peer := range l.sortedPeers {
 		stale := peer.stale(now, l.opts.HoldDown)
-		c, told := p.claim(peer.vm)
+		c, reported := d.ofPeer(peer.vm)
 		switch {
-		case stale && told:
+		case stale && reported:
 			free -= c.share
 		case stale:
-			free -= l.untoldShare(p, peer)
+			free -= l.unreportedShare(d, peer)
 		default:
-			heard++
+			fresh++
 			others += c.demand
 		}
 	}
 	free = max(free, 0)
 	switch {
 	case own <= 0 && others <= 0:
-		return free / float64(heard)
+		return free / float64(fresh)
 	case own <= 0:
 		return 0
 	}
 	return free * own / (own + others)
 }
 
-// untoldShare gives the share of a peer that went unheard without having told
-// demand: none if others had told some by then, else its even part.
-func (l *Limiter) untoldShare(p *pool, peer *peer) float64 {
-	if p != nil && !p.since.After(peer.heard) {
+// unreportedShare returns the share reserved for a stale peer that had not reported
+// demand: none if other VMs had reported some by its last digest, and otherwise an
+// even share.
+func (l *Limiter) unreportedShare(d *fleetDemand, peer *peer) float64 {
+	if d != nil && !d.since.After(peer.receivedAt) {
 		return 0
 	}
-	return 1 / float64(l.fleet())
+	return 1 / float64(l.fleetSize())
 }
 
-// fleet gives the count of VMs: those listed, or those known if more.
-func (l *Limiter) fleet() int { return max(l.vms, 1+len(l.peers)) }
+// fleetSize returns the number of VMs: those listed, or those known if more.
+func (l *Limiter) fleetSize() int { return max(l.vms, 1+len(l.peers)) }
 
-// neverHeard counts the VMs listed that never sent a digest.
-func (l *Limiter) neverHeard() int { return l.fleet() - 1 - len(l.peers) }
+// unheardVMs returns the number of listed VMs that never sent a digest.
+func (l *Limiter) unheardVMs() int { return l.fleetSize() - 1 - len(l.peers) }
