--- a/decide/condition/condition.go
+++ b/decide/condition/condition.go
@@ -1,9 +1,10 @@
-// Package condition keeps what a node believes of the health of upstreams from
-// its own calls: which did not answer, and how slow the others are. Beliefs
-// end by themselves, since an upstream that gets no work shows nothing new; but
-// for silence, which ends with an answer to a question.
+// Package condition tracks the health of upstreams as one node observes it from
+// its own calls: which upstreams did not answer, which refused work, and how
+// slow the others are. Most observations expire, because an upstream that gets
+// no work produces no new ones. Silence is the exception: it lasts until the
+// upstream answers a call or a probe.
 //
-// A Table is used by one goroutine at a time and reads no clock.
+// A Table is not safe for concurrent use and reads no clock.
 package condition
 
 import (
@@ -13,141 +14,150 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Table holds the beliefs. Make it with New.
+// Table holds the observed state of each upstream and zone. Create it with New.
 type Table struct {
-	upstreams map[ids.Life]*belief
-	zones     map[ids.Zone]*zoneBelief
-	// slow are those whose reports are kept up to date.
-	slow map[ids.Life]*belief
-	// silent are those that did not answer, until they do.
-	silent map[ids.Life]*belief
+	upstreams map[ids.Life]*upstreamState
+	zones     map[ids.Zone]*zoneState
+	// slow holds the upstreams whose reports are refreshed by ProbesDue.
+	slow map[ids.Life]*upstreamState
+	// silent holds the upstreams that have not answered since they last failed.
+	silent map[ids.Life]*upstreamState
 }
 
-// zoneBelief is about the way to an availability zone.
-type zoneBelief struct {
-	// silent are the upstreams there that could not be reached since one
-	// answered.
+// zoneState tracks whether an availability zone is reachable from this node.
+type zoneState struct {
+	// silent holds the upstreams of the zone that could not be reached since
+	// any upstream of the zone last answered.
 	silent       map[ids.Life]bool
 	suspectUntil time.Time
-	strikes      int
+	// suspicions counts the suspicions of the zone since it last answered.
+	suspicions int
 }
 
-// belief is about one upstream.
-type belief struct {
+// upstreamState is what the node has observed of one upstream.
+type upstreamState struct {
+	// suspectUntil is the end of the current suspicion.
 	suspectUntil time.Time
-	// silentSince is when it first failed since it last answered.
+	// silentSince is the time of the first failure since the last answer.
 	silentSince time.Time
-	// strikes counts suspicions without an answer between them.
-	strikes int
-	// pace is what was reported at pacedAt; askedAt is when it was last due.
-	pace             float64
-	pacedAt, askedAt time.Time
-	// fullUntil: it refused for want of room.
+	// suspicions counts the suspicions since the last answer.
+	suspicions int
+	// pace was reported at reportedAt. polledAt is when a report last arrived
+	// or was last due.
+	pace                 float64
+	reportedAt, polledAt time.Time
+	// fullUntil is the time until which the upstream counts as full.
 	fullUntil time.Time
-	// refusedUntil: it refused though it has room; refusals counts that, the
-	// last time being refusedAt.
+	// refusedUntil is the time until which the upstream gets no work after it
+	// refused for a reason other than capacity. refusals counts such refusals
+	// within refusalWindow of each other; refusedAt is the last one.
 	refusedUntil, refusedAt time.Time
 	refusals                int
 }
 
-// New makes a Table that believes every upstream well.
+// New returns a Table in which every upstream counts as healthy.
 func New() *Table {
 	return &Table{
-		upstreams: make(map[ids.Life]*belief),
-		slow:      make(map[ids.Life]*belief),
-		silent:    make(map[ids.Life]*belief),
-		zones:     make(map[ids.Zone]*zoneBelief),
+		upstreams: make(map[ids.Life]*upstreamState),
+		slow:      make(map[ids.Life]*upstreamState),
+		silent:    make(map[ids.Life]*upstreamState),
+		zones:     make(map[ids.Zone]*zoneState),
 	}
 }
 
-// Durations of beliefs.
+// Durations and thresholds.
 const (
-	// suspectFor is how long an upstream that did not answer gets nothing; it
-	// doubles with each further time, up to suspectMost. Crashed upstreams
-	// leave the directory within a few seconds, so this only has to bridge
-	// that time without a request each second being lost on them.
-	suspectFor  = 400 * time.Millisecond
-	suspectMost = 3200 * time.Millisecond
-	// zoneSilent is how many upstreams of a zone must be out of reach, with none
-	// answering between them, for the zone to count as cut off.
-	zoneSilent = 2
-	// fullFor is how long an upstream that refused for want of room counts as
-	// full: requests end many times in that time.
-	fullFor = 300 * time.Millisecond
-	// paceFor is how long a reported pace is believed, unless a newer report
-	// comes: each node that forgets it sends streams to find out anew.
-	paceFor = 10 * time.Second
-	// paceCheck is the age from which the report of a slow upstream is due to be
-	// asked for again, so that one which has recovered is used again.
-	paceCheck = 1500 * time.Millisecond
-	// watchPace is the pace from which on reports are kept up to date: above the
-	// usual 1, below SlowPace.
-	watchPace = 1.5
-	// SlowPace is the pace from which on an engine counts as stalled and makes
-	// answers late: a batch in which a prompt is read takes longer there than
-	// the pauses that routes allow.
+	// minSuspicion is how long an upstream that did not answer gets no work. It
+	// doubles with each further failure, up to maxSuspicion. Crashed upstreams
+	// leave the directory within a few seconds; until then, suspicion keeps the
+	// node from losing a request to them every second.
+	minSuspicion = 400 * time.Millisecond
+	maxSuspicion = 3200 * time.Millisecond
+	// zoneCutOffThreshold is the number of unreachable upstreams of a zone, with
+	// no answer from the zone in between, from which the zone counts as cut off.
+	zoneCutOffThreshold = 2
+	// fullPeriod is how long an upstream that refused for lack of capacity counts
+	// as full. Many requests finish there within this time and free capacity.
+	fullPeriod = 300 * time.Millisecond
+	// paceTTL is how long a reported pace is used without a newer report. Each
+	// node whose entry has expired sends streams to the slow upstream again.
+	paceTTL = 10 * time.Second
+	// paceRefreshAge is the age at which the report of a slow upstream is polled
+	// again, so that an upstream that has recovered gets work again.
+	paceRefreshAge = 1500 * time.Millisecond
+	// trackedPace is the pace from which reports are refreshed. It lies between
+	// the normal pace of 1 and SlowPace.
+	trackedPace = 1.5
+	// SlowPace is the pace, as a multiple of the normal time per step, from which
+	// an engine counts as stalled: a batch that processes a prompt takes longer
+	// there than the pauses between tokens that routes allow.
 	SlowPace = 3.0
 )
 
-// of gives the belief about an upstream.
-func (t *Table) of(id ids.Life) *belief {
-	b := t.upstreams[id]
-	if b == nil {
-		b = &belief{pace: 1}
-		t.upstreams[id] = b
+// stateOf returns the state of an upstream and creates it if needed.
+func (t *Table) stateOf(id ids.Life) *upstreamState {
+	u := t.upstreams[id]
+	if u == nil {
+		u = &upstreamState{pace: 1}
+		t.upstreams[id] = u
 	}
-	return b
+	return u
 }
 
-// Failed tells that an upstream did not answer at now. It reports whether that
-// is news.
+// Failed records that an upstream did not answer a call at now. It returns true
+// if this starts a new suspicion, and false while one is already running.
 func (t *Table) Failed(now time.Time, id ids.Life) bool {
-	b := t.of(id)
+	u := t.stateOf(id)
 	if t.silent[id] == nil {
-		t.silent[id] = b
-		b.silentSince = now
+		t.silent[id] = u
+		u.silentSince = now
 	}
-	if now.Before(b.suspectUntil) {
+	if now.Before(u.suspectUntil) {
 		return false
 	}
-	b.suspectUntil = now.Add(suspicion(b.strikes))
-	b.strikes++
+	u.suspectUntil = now.Add(suspicionPeriod(u.suspicions))
+	u.suspicions++
 	return true
 }
 
-// suspicion gives how long a suspicion lasts after so many before it.
-func suspicion(strikes int) time.Duration { return backoff.Doubled(suspectFor, suspectMost, strikes) }
+// suspicionPeriod returns the length of a suspicion that follows the given
+// number of earlier ones.
+func suspicionPeriod(suspicions int) time.Duration {
+	return backoff.Doubled(minSuspicion, maxSuspicion, suspicions)
+}
 
-// Unreachable tells that an upstream's VM did not answer a connection at all,
-// as behind a cut. It reports whether its zone counts as cut off from now on.
+// Unreachable records that an upstream's VM did not answer a connection attempt,
+// as in a network partition. It returns true if this starts a suspicion of the
+// upstream's zone.
 func (t *Table) Unreachable(now time.Time, id ids.Life, zone ids.Zone) bool {
 	z := t.zones[zone]
 	if z == nil {
-		z = &zoneBelief{silent: make(map[ids.Life]bool)}
+		z = &zoneState{silent: make(map[ids.Life]bool)}
 		t.zones[zone] = z
 	}
 	z.silent[id] = true
-	if len(z.silent) < zoneSilent || now.Before(z.suspectUntil) {
+	if len(z.silent) < zoneCutOffThreshold || now.Before(z.suspectUntil) {
 		return false
 	}
-	z.suspectUntil = now.Add(suspicion(z.strikes))
-	z.strikes++
+	z.suspectUntil = now.Add(suspicionPeriod(z.suspicions))
+	z.suspicions++
 	return true
 }
 
-// ZoneSuspected reports whether a zone counts as cut off at now.
+// ZoneSuspected reports whether a suspicion of the zone is running at now.
 func (t *Table) ZoneSuspected(now time.Time, zone ids.Zone) bool {
 	z := t.zones[zone]
 	return z != nil && now.Before(z.suspectUntil)
 }
 
-// ConnectivityRestored tells that this node reaches others again after it was cut off: what
-// was out of reach behind the cut is believed well.
+// ConnectivityRestored records that this node itself was cut off and reaches
+// others again. It clears the suspicion and silence of every unreachable upstream
+// and of their zones.
 func (t *Table) ConnectivityRestored() {
 	for _, z := range t.zones {
 		for id := range z.silent {
-			if b := t.upstreams[id]; b != nil {
-				b.strikes, b.suspectUntil = 0, time.Time{}
+			if u := t.upstreams[id]; u != nil {
+				u.suspicions, u.suspectUntil = 0, time.Time{}
 			}
 			delete(t.silent, id)
 		}
@@ -155,126 +165,134 @@
 	clear(t.zones)
 }
 
-// RefusedFull tells that an upstream refused for want of room.
-func (t *Table) RefusedFull(now time.Time, id ids.Life) { t.of(id).fullUntil = now.Add(fullFor) }
+// RefusedFull records that an upstream refused a request for lack of capacity.
+func (t *Table) RefusedFull(now time.Time, id ids.Life) {
+	t.stateOf(id).fullUntil = now.Add(fullPeriod)
+}
 
-// IsFull reports whether an upstream refused for want of room just now.
+// IsFull reports whether an upstream counts as full at now, because it recently
+// refused a request for lack of capacity.
 func (t *Table) IsFull(now time.Time, id ids.Life) bool {
-	b := t.upstreams[id]
-	return b != nil && now.Before(b.fullUntil)
+	u := t.upstreams[id]
+	return u != nil && now.Before(u.fullUntil)
 }
 
-// refusalsFor is how long refusals count together.
-const refusalsFor = 10 * time.Second
+// refusalWindow is the longest gap between refusals that are counted together.
+const refusalWindow = 10 * time.Second
 
-// Refused tells that an upstream refused though it has room, as one does that is
-// draining before the directory says so. It gets nothing for a while, longer
-// each time.
+// Refused records that an upstream refused a request although it has capacity,
+// for instance because it drains and the directory doesn't show it yet. The
+// upstream gets no work for a period that doubles with each refusal.
 func (t *Table) Refused(now time.Time, id ids.Life) {
-	b := t.of(id)
-	if now.Sub(b.refusedAt) > refusalsFor {
-		b.refusals = 0
+	u := t.stateOf(id)
+	if now.Sub(u.refusedAt) > refusalWindow {
+		u.refusals = 0
 	}
-	b.refusedUntil = now.Add(suspicion(b.refusals))
-	b.refusedAt = now
-	b.refusals++
+	u.refusedUntil = now.Add(suspicionPeriod(u.refusals))
+	u.refusedAt = now
+	u.refusals++
 }
 
-// Answered tells that an upstream of a zone answered. It reports whether that
-// ends a suspicion of the upstream.
+// Answered records that an upstream of a zone answered. It clears the state of
+// the zone, and returns true if the upstream had been suspected since its last
+// answer.
 func (t *Table) Answered(id ids.Life, zone ids.Zone) bool {
 	delete(t.zones, zone)
 	delete(t.silent, id)
-	b := t.upstreams[id]
-	if b == nil || b.strikes == 0 {
+	u := t.upstreams[id]
+	if u == nil || u.suspicions == 0 {
 		return false
 	}
-	b.strikes = 0
-	b.suspectUntil = time.Time{}
+	u.suspicions = 0
+	u.suspectUntil = time.Time{}
 	return true
 }
 
-// SetPace takes a reported pace: how many times as long as usual an upstream takes.
+// SetPace stores the pace that an upstream reports: the factor by which its steps
+// take longer than normal. Values below 1 count as 1.
 func (t *Table) SetPace(now time.Time, id ids.Life, pace float64) {
-	b := t.of(id)
-	b.pace = max(pace, 1)
-	b.pacedAt, b.askedAt = now, now
-	if b.pace >= watchPace {
-		t.slow[id] = b
+	u := t.stateOf(id)
+	u.pace = max(pace, 1)
+	u.reportedAt, u.polledAt = now, now
+	if u.pace >= trackedPace {
+		t.slow[id] = u
 	} else {
 		delete(t.slow, id)
 	}
 }
 
-// Silent reports whether an upstream of a zone has not answered since it last
-// failed, or its zone is cut off. Where its report can be asked for, that comes
-// before any more work: with work as the test, streams are lost on dark stages
-// whenever a suspicion ends.
+// Silent reports whether an upstream has not answered since it last failed, or
+// its zone is cut off. Callers that can poll its load report should do so before
+// they send it work: otherwise each end of a suspicion loses streams on stages
+// that are still down.
 func (t *Table) Silent(id ids.Life, zone ids.Zone) bool {
 	if t.silent[id] != nil {
 		return true
 	}
-	return t.cutOff(zone)
+	return t.zoneCutOff(zone)
 }
 
-// cutOff reports whether so many upstreams of a zone could not be reached, with
-// none answering between them, that it counts as cut off.
-func (t *Table) cutOff(zone ids.Zone) bool {
+// zoneCutOff reports whether at least zoneCutOffThreshold upstreams of a zone are
+// unreachable, with no answer from the zone in between.
+func (t *Table) zoneCutOff(zone ids.Zone) bool {
 	z := t.zones[zone]
-	return z != nil && len(z.silent) >= zoneSilent
+	return z != nil && len(z.silent) >= zoneCutOffThreshold
 }
 
-// SilentFor tells how long an upstream has not answered though others of its zone
-// do; 0 where that is not known.
+// SilentFor returns the time since an upstream's first failure after its last
+// answer. It returns 0 for an upstream that is not silent or whose zone is cut off.
 func (t *Table) SilentFor(now time.Time, id ids.Life, zone ids.Zone) time.Duration {
-	b := t.silent[id]
-	if b == nil || t.cutOff(zone) {
+	u := t.silent[id]
+	if u == nil || t.zoneCutOff(zone) {
 		return 0
 	}
-	return now.Sub(b.silentSince)
+	return now.Sub(u.silentSince)
 }
 
-// ProbesDue gives the upstreams whose report should be asked for: of slow ones once it
-// is old, of silent ones once their suspicion has ended; each once in that time.
+// ProbesDue returns the upstreams whose load report should be polled now: slow ones
+// whose report is paceRefreshAge old, and silent ones whose suspicion has ended. It
+// counts them as polled, so that the next call doesn't return them again at once.
 func (t *Table) ProbesDue(now time.Time) []ids.Life {
 	var due []ids.Life
-	for id, b := range t.silent {
-		if !now.Before(b.suspectUntil) && now.Sub(b.askedAt) >= suspectFor {
-			b.askedAt = now
+	for id, u := range t.silent {
+		if !now.Before(u.suspectUntil) && now.Sub(u.polledAt) >= minSuspicion {
+			u.polledAt = now
 			due = append(due, id)
 		}
 	}
-	for id, b := range t.slow {
+	for id, u := range t.slow {
 		switch {
-		case now.Sub(b.pacedAt) >= paceFor:
+		case now.Sub(u.reportedAt) >= paceTTL:
 			delete(t.slow, id)
-		case now.Sub(b.askedAt) >= paceCheck:
-			b.askedAt = now
+		case now.Sub(u.polledAt) >= paceRefreshAge:
+			u.polledAt = now
 			due = append(due, id)
 		}
 	}
 	return due
 }
 
-// Suspected reports whether an upstream of a zone should get nothing at now.
+// Suspected reports whether an upstream should get no work at now, because a
+// suspicion of it or of its zone is running or it recently refused work.
 func (t *Table) Suspected(now time.Time, id ids.Life, zone ids.Zone) bool {
-	b := t.upstreams[id]
-	if b != nil && (now.Before(b.suspectUntil) || now.Before(b.refusedUntil)) {
+	u := t.upstreams[id]
+	if u != nil && (now.Before(u.suspectUntil) || now.Before(u.refusedUntil)) {
 		return true
 	}
 	return t.ZoneSuspected(now, zone)
 }
 
-// Pace gives by how much an upstream is slower than usual, at least 1.
+// Pace returns the factor by which an upstream is slower than normal: at least 1,
+// and 1 if its last report is older than paceTTL or there is none.
 func (t *Table) Pace(now time.Time, id ids.Life) float64 {
-	b := t.upstreams[id]
-	if b == nil || now.Sub(b.pacedAt) >= paceFor {
+	u := t.upstreams[id]
+	if u == nil || now.Sub(u.reportedAt) >= paceTTL {
 		return 1
 	}
-	return b.pace
+	return u.pace
 }
 
-// Forget drops the belief about an upstream that is gone.
+// Forget drops the state of an upstream that has been removed.
 func (t *Table) Forget(id ids.Life) {
 	delete(t.upstreams, id)
 	delete(t.slow, id)
--- a/decide/condition/condition_test.go
+++ b/decide/condition/condition_test.go
@@ -11,54 +11,54 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestSuspicionEndsAndGrows(t *testing.T) {
+func TestSuspicionExpiresAndDoubles(t *testing.T) {
 	table := New()
 	if !table.Failed(at(0), life("a")) || table.Failed(at(10), life("a")) {
-		t.Error("only the first failure is news")
+		t.Error("only the first failure starts a suspicion")
 	}
 	if !table.Suspected(at(399), life("a"), "z") || table.Suspected(at(400), life("a"), "z") {
-		t.Error("the first suspicion lasts 400 ms")
+		t.Error("the first suspicion does not last 400 ms")
 	}
 	table.Failed(at(500), life("a"))
 	if !table.Suspected(at(1299), life("a"), "z") || table.Suspected(at(1300), life("a"), "z") {
-		t.Error("the second lasts 800 ms")
+		t.Error("the second suspicion does not last 800 ms")
 	}
 	table.Failed(at(2000), life("a"))
 	if !table.Answered(life("a"), "z") || table.Suspected(at(2001), life("a"), "z") {
-		t.Error("an answer ends it")
+		t.Error("an answer does not end the suspicion")
 	}
 	table.Failed(at(3000), life("a"))
 	if table.Suspected(at(3400), life("a"), "z") {
-		t.Error("after an answer it starts anew")
+		t.Error("after an answer the next suspicion is longer than the first")
 	}
 }
 
-func TestZoneIsCutOffWhenSeveralAreOutOfReach(t *testing.T) {
+func TestZoneIsCutOffWhenSeveralAreUnreachable(t *testing.T) {
 	table := New()
 	if table.Unreachable(at(0), life("a"), "z") || table.Unreachable(at(1), life("a"), "z") {
-		t.Error("one upstream alone marks its zone")
+		t.Error("one unreachable upstream marks its zone as cut off")
 	}
 	if !table.Unreachable(at(2), life("b"), "z") {
-		t.Error("two do not mark it")
+		t.Error("two unreachable upstreams do not mark their zone as cut off")
 	}
 	if !table.Suspected(at(3), life("c"), "z") || table.Suspected(at(3), life("c"), "y") {
-		t.Error("others of the zone are suspected, and only they")
+		t.Error("want all upstreams of the zone suspected and none of another zone")
 	}
 	table.Answered(life("c"), "z")
 	if table.ZoneSuspected(at(4), "z") || table.Unreachable(at(5), life("a"), "z") {
-		t.Error("an answer from the zone ends it and the count")
+		t.Error("an answer from the zone does not end its suspicion and reset its count")
 	}
 }
 
-func TestPaceIsBelievedForAWhile(t *testing.T) {
+func TestPaceExpires(t *testing.T) {
 	table := New()
 	table.SetPace(at(0), life("a"), 12)
 	if table.Pace(at(9999), life("a")) != 12 || table.Pace(at(10000), life("a")) != 1 {
-		t.Error("pace is not believed for 10 s")
+		t.Error("a reported pace is not used for 10 s")
 	}
 	table.SetPace(at(0), life("a"), 0.5)
 	if table.Pace(at(1), life("a")) != 1 {
-		t.Error("pace is at least 1")
+		t.Error("pace below 1 is not raised to 1")
 	}
 }
 
@@ -71,20 +71,20 @@
 	}
 }
 
-func TestOneThatRefusesThoughItHasRoomIsLeftOutEverLonger(t *testing.T) {
+func TestRefusalsExtendExclusion(t *testing.T) {
 	table := New()
 	table.Refused(at(0), life("a"))
 	table.Answered(life("a"), "z")
 	if !table.Suspected(at(399), life("a"), "z") || table.Suspected(at(400), life("a"), "z") {
-		t.Error("an answer to another question does not end it; 400 ms do")
+		t.Error("the first exclusion does not last 400 ms regardless of answers")
 	}
 	table.Refused(at(500), life("a"))
 	if !table.Suspected(at(1299), life("a"), "z") {
-		t.Error("the second time is longer")
+		t.Error("the second exclusion does not last 800 ms")
 	}
 	table.Refused(at(30_000), life("a"))
 	if table.Suspected(at(30_400), life("a"), "z") {
-		t.Error("long after, it starts anew")
+		t.Error("a refusal 30 s later lasts longer than the first")
 	}
 }
 
@@ -102,18 +102,18 @@
 		t.Errorf("due twice: %v", due)
 	}
 	if due := table.ProbesDue(at(3000)); len(due) != 1 {
-		t.Error("one whose report did not come is not due again")
+		t.Error("an upstream that did not report is not due again")
 	}
 	if due := table.ProbesDue(at(10000)); len(due) != 0 {
-		t.Errorf("due though no longer believed slow: %v", due)
+		t.Errorf("due after its pace expired: %v", due)
 	}
 	table.SetPace(at(10000), life("slow"), 1)
 	if due := table.ProbesDue(at(12000)); len(due) != 0 {
-		t.Errorf("due though it has recovered: %v", due)
+		t.Errorf("due after it recovered: %v", due)
 	}
 }
 
-func TestWhatWasCutOffIsBelievedOnceReached(t *testing.T) {
+func TestConnectivityRestoredClearsSuspicion(t *testing.T) {
 	table := New()
 	for _, id := range []ids.Life{life("a"), life("b")} {
 		table.Failed(at(0), id)
@@ -122,16 +122,16 @@
 	table.Failed(at(0), life("crashed"))
 	table.ConnectivityRestored()
 	if table.Suspected(at(1), life("a"), "z") || table.Suspected(at(1), life("other"), "z") || table.ZoneSuspected(at(1), "z") {
-		t.Error("what was behind the cut is still suspected")
+		t.Error("an unreachable upstream or its zone is still suspected")
 	}
 	if !table.Suspected(at(1), life("crashed"), "z") {
-		t.Error("one that failed for another reason is believed")
+		t.Error("an upstream that failed for another reason is no longer suspected")
 	}
 	table.Failed(at(2), life("a"))
 	if !table.Suspected(at(2+399), life("a"), "z") || table.Suspected(at(2+400), life("a"), "z") {
-		t.Error("strikes from before the cut's end count on")
+		t.Error("suspicions from before the reset are still counted")
 	}
 }
 
-// life is the one life of an upstream whose start is not told.
+// life returns the ids.Life of an upstream with no start time.
 func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
