--- a/decide/configorder/config.go
+++ b/decide/configorder/config.go
@@ -10,7 +10,7 @@
 	"mimosaarch.example/decide/router"
 )
 
-// emptyConfig is the configuration of a Store without objects.
+// emptyConfig returns a configuration without profiles, services or accounts.
 func emptyConfig() *router.Config {
 	return &router.Config{
 		Profiles:      make(map[ids.Profile]fleet.Profile),
@@ -19,9 +19,8 @@
 	}
 }
 
-// Config gives the configuration in force. It is the same value until
-// something changes; then a copy is made in which the maps that did not
-// change are shared.
+// Config returns the active configuration. Calls return the same value until an
+// active object changes. The next value then shares the maps that did not change.
 func (s *Store) Config() *router.Config {
 	if len(s.dirty) == 0 {
 		return s.config
@@ -30,15 +29,15 @@
 	s.cloneChanged(&next)
 	for key := range s.dirty {
 		e := s.entries[key]
-		s.build(&next, key, e)
-		e.built = e.doc
+		s.applyEntry(&next, key, e)
+		e.configured = e.doc
 	}
 	clear(s.dirty)
 	s.config = &next
 	return s.config
 }
 
-// cloneChanged copies the maps that hold a changed key.
+// cloneChanged replaces each map that has changed entries by a copy.
 func (s *Store) cloneChanged(next *router.Config) {
 	if s.anyDirty(fleet.ProfilePrefix) {
 		next.Profiles = maps.Clone(next.Profiles)
@@ -51,7 +50,7 @@
 	}
 }
 
-// anyDirty reports whether a key of a kind changed.
+// anyDirty reports whether a key with the prefix changed since the last Config.
 func (s *Store) anyDirty(prefix string) bool {
 	for key := range s.dirty {
 		if strings.HasPrefix(key, prefix) {
@@ -61,9 +60,9 @@
 	return false
 }
 
-// build replaces one key's document in a copied configuration.
-func (s *Store) build(next *router.Config, key string, e *entry) {
-	switch old := e.built.(type) {
+// applyEntry replaces the document of one key in a copied configuration.
+func (s *Store) applyEntry(next *router.Config, key string, e *entry) {
+	switch old := e.configured.(type) {
 	case fleet.Profile:
 		delete(next.Profiles, old.Name)
 	case fleet.Service:
@@ -76,22 +75,23 @@
 		next.Services[doc.Name] = doc
 	}
 	if strings.HasPrefix(key, fleet.AccountPrefix) {
-		s.buildAccounts(next.AccountsByKey, key, accountsOf(e.built), accountsOf(e.doc))
+		s.replaceShard(next.AccountsByKey, key, accountsOf(e.configured), accountsOf(e.doc))
 	}
 }
 
-// accountsOf gives a document's accounts; nil for other documents.
+// accountsOf returns the accounts of an account shard; nil for other documents.
 func accountsOf(doc fleet.Document) []fleet.Account {
 	shard, _ := doc.(fleet.Accounts)
 	return shard.Accounts
 }
 
-// accountOwners holds, for each bearer key's hash, the keys of the shards that
-// list it, in order. The first one counts, whatever order they came in.
+// accountOwners maps the hash of a bearer key to the sorted keys of the shards
+// that list it. The account of the first shard is used, so that the result doesn't
+// depend on the order in which the shards arrived.
 type accountOwners map[string][]string
 
-// buildAccounts replaces one shard's accounts.
-func (s *Store) buildAccounts(byKey map[string]fleet.Account, shard string, old, accounts []fleet.Account) {
+// replaceShard replaces the accounts of one shard in byKey.
+func (s *Store) replaceShard(byKey map[string]fleet.Account, shard string, old, accounts []fleet.Account) {
 	kept := make(map[string]bool, len(accounts))
 	for _, account := range accounts {
 		kept[account.KeySHA256] = true
@@ -108,21 +108,23 @@
 	}
 }
 
-// dropAccount removes a shard's claim to an account.
+// dropAccount removes a shard from the owners of an account. The account of the
+// next owner takes its place in byKey, if there is one.
 func (s *Store) dropAccount(byKey map[string]fleet.Account, shard, hash string) {
-	heir := s.accounts.remove(hash, shard)
-	if heir == "" {
+	owner := s.accounts.remove(hash, shard)
+	if owner == "" {
 		delete(byKey, hash)
 		return
 	}
-	for _, account := range accountsOf(s.entries[heir].built) {
+	for _, account := range accountsOf(s.entries[owner].configured) {
 		if account.KeySHA256 == hash {
 			byKey[hash] = account
 		}
 	}
 }
 
-// add notes that a shard lists an account, and gives the shard that counts.
+// add records that a shard lists an account, and returns the shard whose account
+// is used.
 func (o accountOwners) add(hash, shard string) string {
 	owners := o[hash]
 	at, found := slices.BinarySearch(owners, shard)
@@ -133,8 +135,8 @@
 	return owners[0]
 }
 
-// remove notes that a shard no longer lists an account, and gives the shard
-// that counts now; empty if none does.
+// remove records that a shard no longer lists an account. It returns the shard
+// whose account is used from now on; empty if no shard lists it.
 func (o accountOwners) remove(hash, shard string) string {
 	owners := o[hash]
 	if at, found := slices.BinarySearch(owners, shard); found {
--- a/decide/configorder/errors.go
+++ b/decide/configorder/errors.go
@@ -2,53 +2,56 @@
 
 import "fmt"
 
-// StaleVersionError tells that an object is older than the one in force.
+// StaleVersionError reports an object that is older than the active one.
 type StaleVersionError struct {
 	Key string
-	// Version is the object's; Active is the one that stands.
+	// Version is that of the refused object, Active that of the active one. For
+	// an unknown key, Active is the highest version of an evicted tombstone.
 	Version, Active int64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *StaleVersionError) Error() string {
-	return fmt.Sprintf("object %s: version %d is older than %d", e.Key, e.Version, e.Active)
+	return fmt.Sprintf("object %s: version %d is older than version %d", e.Key, e.Version, e.Active)
 }
 
-// InvalidObjectError tells that an object holds no valid document. The one in
-// force before stays.
+// InvalidObjectError reports an object without a valid document. The object that
+// was active before stays active.
 type InvalidObjectError struct {
 	Key     string
 	Version int64
-	// Cause is the parser's error, a *KeyError, or nil for an object outside
-	// the configuration or without a version.
+	// Cause is the error of fleet.Parse or a *KeyMismatchError. It is nil if the key
+	// is not a configuration key or the version is not positive.
 	Cause error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *InvalidObjectError) Error() string {
 	if e.Cause == nil {
-		return fmt.Sprintf("object %q, version %d, is no configuration", e.Key, e.Version)
+		return fmt.Sprintf("object %q, version %d: not a versioned configuration object", e.Key, e.Version)
 	}
 	return fmt.Sprintf("object %s, version %d: %v", e.Key, e.Version, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *InvalidObjectError) Unwrap() error { return e.Cause }
 
-// KeyMismatchError tells that a document belongs under another key.
+// KeyMismatchError reports a document that is stored under the wrong key. Want is
+// the key that its kind and name require.
 type KeyMismatchError struct{ Want string }
 
-// Error implements error.
-func (e *KeyMismatchError) Error() string { return "the document belongs under " + e.Want }
+// Error implements the error interface.
+func (e *KeyMismatchError) Error() string { return "document must be stored under key " + e.Want }
 
-// FullError tells that a limit of the Settings is reached.
+// FullError reports an object that would exceed a limit of the Settings.
 type FullError struct {
 	Key string
-	// Objects and Bytes are what the Store holds.
+	// Objects and Bytes are the number of keys and the size of values that the
+	// Store holds.
 	Objects, Bytes int
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("no room for object %s beside %d objects of %d bytes", e.Key, e.Objects, e.Bytes)
+	return fmt.Sprintf("store full: cannot add object %s to %d objects of %d bytes", e.Key, e.Objects, e.Bytes)
 }
--- a/decide/configorder/list.go
+++ b/decide/configorder/list.go
@@ -4,15 +4,16 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// ApplyList takes the platform's whole list of configuration objects. An
-// object that is held at a version below the list's revision, but is not in
-// the list, was deleted by that revision. It reports whether another object is now in force
-// for any key, and gives the errors of Apply.
+// ApplyList applies the platform's complete list of configuration objects. An
+// object that the Store holds at a version below the list's revision, but that is
+// not listed, has been deleted by that revision. ApplyList returns whether the
+// active object of any key changed, and the errors of Apply.
 func (s *Store) ApplyList(list platformapi.ListReply) (changed bool, errs []error) {
 	listed := make(map[string]bool, len(list.Objects))
 	for _, object := range list.Objects {
 		listed[object.Key] = true
-		// A listed object exists, so that it was not deleted after its version.
+		// The tombstone floor doesn't apply: a listed object exists, so it wasn't
+		// deleted after its version.
 		one, err := s.apply(object, 0)
 		changed = changed || one
 		if err != nil {
@@ -21,7 +22,7 @@
 	}
 	for _, key := range s.keys() {
 		e := s.entries[key]
-		if listed[key] || e.seen.Deleted || e.seen.Version >= list.Revision {
+		if listed[key] || e.newest.Deleted || e.newest.Version >= list.Revision {
 			continue
 		}
 		one, err := s.Apply(platformapi.Object{Key: key, Version: list.Revision, Deleted: true})
--- a/decide/configorder/order_test.go
+++ b/decide/configorder/order_test.go
@@ -11,14 +11,14 @@
 	"mimosaarch.example/decide/router"
 )
 
-// history is what the platform's store went through.
+// history is the sequence of changes in the platform's store.
 type history struct {
 	revision int64
 	objects  []platformapi.Object
 	current  map[string]platformapi.Object
 }
 
-// write makes one random change.
+// write makes one random change: a new version, a deletion or an invalid object.
 func (h *history) write(t *rapid.T) {
 	h.revision += int64(rapid.IntRange(1, 3).Draw(t, "gap"))
 	var object platformapi.Object
@@ -33,7 +33,7 @@
 		object.Value, object.Deleted = nil, true
 		delete(h.current, object.Key)
 	case 1:
-		object = broken(object)
+		object = invalidObject(object)
 		h.current[object.Key] = object
 	default:
 		h.current[object.Key] = object
@@ -41,7 +41,7 @@
 	h.objects = append(h.objects, object)
 }
 
-// list is the platform's answer to a list call.
+// list returns the platform's reply to a list call.
 func (h *history) list() platformapi.ListReply {
 	reply := platformapi.ListReply{Revision: h.revision}
 	for _, object := range h.current {
@@ -50,31 +50,31 @@
 	return reply
 }
 
-// node is one Store with the highest version in force so far of each key.
+// node is a Store with the highest version of each key that was active so far.
 type node struct {
 	*Store
 	highest map[string]int64
 }
 
-// check fails when anything in force went back, or when the configuration is
-// not the one its objects make.
+// check fails if an active object was replaced by an older version, or if Config
+// differs from a configuration built from the active objects.
 func (n *node) check(t *rapid.T) {
 	want := emptyConfig()
 	keys := n.keys()
 	for i := len(keys) - 1; i >= 0; i-- {
-		good := n.entries[keys[i]].good
-		if good.Version < n.highest[keys[i]] {
-			t.Fatalf("%s went back from %d to %d", keys[i], n.highest[keys[i]], good.Version)
+		active := n.entries[keys[i]].active
+		if active.Version < n.highest[keys[i]] {
+			t.Fatalf("%s went back from %d to %d", keys[i], n.highest[keys[i]], active.Version)
 		}
-		n.highest[keys[i]] = good.Version
-		addTo(want, good)
+		n.highest[keys[i]] = active.Version
+		addTo(want, active)
 	}
 	if diff := cmp.Diff(want, n.Config()); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// addTo puts an object's document into a configuration made anew.
+// addTo adds an object's document to a configuration.
 func addTo(config *router.Config, object platformapi.Object) {
 	if object.Deleted || object.Version == 0 {
 		return
@@ -90,13 +90,15 @@
 	}
 }
 
-// relay brings what one node has to another, within a few bytes.
+// relay sends objects that one node lacks from another, up to maxBytes of values.
 func relay(from, to *node, maxBytes int) {
 	for _, object := range from.Newer(to.Summary(), maxBytes) {
 		_, _ = to.Apply(object)
 	}
 }
 
+// Objects that arrive in any order, from the platform or from peers, must leave
+// every node with the highest version of each key.
 func TestAnyOrderEndsAtTheHighestVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{current: make(map[string]platformapi.Object)}
@@ -126,8 +128,8 @@
 	})
 }
 
-// syncAll brings the whole list to every node, lets them relay, and checks
-// that all hold the newest object of each key.
+// syncAll applies the complete list to every node, relays objects between nodes,
+// and checks that all nodes hold the newest object of each key.
 func syncAll(t *rapid.T, h *history, nodes []*node) {
 	for _, n := range nodes {
 		n.ApplyList(h.list())
@@ -145,8 +147,8 @@
 		}
 		for key, e := range n.entries {
 			current, exists := h.current[key]
-			if exists != !e.seen.Deleted || (exists && current.Version != e.seen.Version) {
-				t.Fatalf("%s is at %d, want %d", key, e.seen.Version, current.Version)
+			if exists != !e.newest.Deleted || (exists && current.Version != e.newest.Version) {
+				t.Fatalf("%s is at %d, want %d", key, e.newest.Version, current.Version)
 			}
 		}
 		if len(n.entries) < len(h.current) {
--- a/decide/configorder/store.go
+++ b/decide/configorder/store.go
@@ -1,9 +1,9 @@
-// Package configorder keeps the newest configuration objects a node has seen,
-// from the platform or relayed by peers, in whatever order they come. An
-// object in force is only ever replaced by one of a higher version.
+// Package configorder decides which version of each configuration object is active
+// on a node. Objects may arrive in any order, from the platform or relayed by
+// peers. An active object is only replaced by one with a higher version.
 //
-// The package is pure. A Store is not safe for concurrent use: one goroutine
-// owns it. The Config values that it hands out never change.
+// The package performs no I/O and reads no clock. A Store is not safe for
+// concurrent use. The Config values that it returns are never modified.
 package configorder
 
 import (
@@ -20,57 +20,60 @@
 	defaultMaxBytes   = 64 << 20
 )
 
-// Settings bound a Store. Zero values stand for the defaults.
+// Settings limits the size of a Store. Zero and negative values select the defaults.
 type Settings struct {
-	// MaxObjects bounds the keys known, deleted ones included. Default 65536.
+	// MaxObjects is the maximum number of keys, including deleted ones. Default
+	// 65536.
 	MaxObjects int
-	// MaxBytes bounds the values held. Default 64 MiB.
+	// MaxBytes is the maximum total size of values. Default 64 MiB.
 	MaxBytes int
 }
 
-// Store holds the newest version of each object.
+// Store holds the newest and the active version of each object. Create it with New.
 type Store struct {
 	settings Settings
 	entries  map[string]*entry
-	bytes    int
-	digest   uint64
-	invalid  int
-	// floor is the highest version of a forgotten deletion: an object of an
-	// unknown key that is not newer may be a deleted one.
-	floor    int64
-	config   *router.Config
+	// bytes, digest and invalid are kept up to date for Status.
+	bytes   int
+	digest  uint64
+	invalid int
+	// tombstoneFloor is the highest version of an evicted tombstone. An object of
+	// an unknown key that is not newer may have been deleted.
+	tombstoneFloor int64
+	config         *router.Config
+	// dirty holds the keys whose active object changed since config was built.
 	dirty    map[string]bool
 	accounts accountOwners
 }
 
-// entry is what is known of one key.
+// entry holds the versions of one key.
 type entry struct {
-	// seen is the object of the highest version.
-	seen platformapi.Object
-	// good is the one in force: seen, or an older one where seen is not
-	// valid. Its version is 0 when there is none.
-	good platformapi.Object
-	// doc is good's document; nil when there is none or it was deleted.
+	// newest is the object with the highest version seen.
+	newest platformapi.Object
+	// active is newest, or an older object if newest is not valid. Its version is
+	// 0 if no valid object is known.
+	active platformapi.Object
+	// doc is the document of active; nil if there is none or it was deleted.
 	doc fleet.Document
-	// rejected is an older version than seen that is not valid either; 0
-	// when there is none. Peers need not send it again.
-	rejected int64
-	// built is the document in the last Config.
-	built fleet.Document
+	// rejectedVersion is the highest version below newest that is not valid either;
+	// 0 if there is none. Peers need not send it again.
+	rejectedVersion int64
+	// configured is the document in the last Config.
+	configured fleet.Document
 }
 
 // invalid reports whether the newest object is not valid.
-func (e *entry) invalid() bool { return e.seen.Version != e.good.Version }
+func (e *entry) invalid() bool { return e.newest.Version != e.active.Version }
 
-// bytes is the size of the values held.
+// bytes returns the total size of the values held.
 func (e *entry) bytes() int {
 	if e.invalid() {
-		return len(e.seen.Value) + len(e.good.Value)
+		return len(e.newest.Value) + len(e.active.Value)
 	}
-	return len(e.good.Value)
+	return len(e.active.Value)
 }
 
-// New makes an empty Store.
+// New returns an empty Store.
 func New(settings Settings) *Store {
 	if settings.MaxObjects <= 0 {
 		settings.MaxObjects = defaultMaxObjects
@@ -87,61 +90,65 @@
 	}
 }
 
-// Apply takes one object. It reports whether another object is now in force
-// for the key. A version seen before is no error and changes nothing. Errors:
-// *BackwardsError, *FullError, and *InvalidObjectError for an object that
-// holds no valid document: its version is remembered, so that it is reported
-// once and not again. The Store keeps the object's value; the caller must not
-// change it.
+// Apply applies one object and returns whether the active object of its key
+// changed. A version seen before changes nothing and is not an error.
+//
+// Apply returns a *StaleVersionError for an object older than the active one, a
+// *FullError if the object exceeds a limit, and an *InvalidObjectError if it holds
+// no valid document. The version of an invalid object is recorded, so that the
+// error is returned only once. The Store keeps a reference to the object's value;
+// the caller must not modify it.
 func (s *Store) Apply(object platformapi.Object) (changed bool, err error) {
-	return s.apply(object, s.floor)
+	return s.apply(object, s.tombstoneFloor)
 }
 
-// apply takes one object; that of a key not known must be above floor.
-func (s *Store) apply(object platformapi.Object, floor int64) (bool, error) {
+// apply applies one object. An object of an unknown key must have a version above
+// tombstoneFloor.
+func (s *Store) apply(object platformapi.Object, tombstoneFloor int64) (bool, error) {
 	if !strings.HasPrefix(object.Key, fleet.ConfigPrefix) || object.Version <= 0 {
 		return false, &InvalidObjectError{Key: object.Key, Version: object.Version}
 	}
 	old, known := s.entries[object.Key]
 	if !known {
-		return s.applyNew(object, floor)
+		return s.applyNew(object, tombstoneFloor)
 	}
 	switch object.Version {
-	case old.seen.Version, old.good.Version, old.rejected:
+	case old.newest.Version, old.active.Version, old.rejectedVersion:
 		return false, nil
 	}
-	if object.Version < old.good.Version {
-		return false, &StaleVersionError{Key: object.Key, Version: object.Version, Active: old.good.Version}
+	if object.Version < old.active.Version {
+		return false, &StaleVersionError{Key: object.Key, Version: object.Version, Active: old.active.Version}
 	}
 	return s.replace(old, object)
 }
 
-// applyNew takes an object of a key not known so far.
-func (s *Store) applyNew(object platformapi.Object, floor int64) (bool, error) {
-	if object.Version <= floor {
-		return false, &StaleVersionError{Key: object.Key, Version: object.Version, Active: floor}
+// applyNew applies an object of an unknown key.
+func (s *Store) applyNew(object platformapi.Object, tombstoneFloor int64) (bool, error) {
+	if object.Version <= tombstoneFloor {
+		return false, &StaleVersionError{Key: object.Key, Version: object.Version, Active: tombstoneFloor}
 	}
-	if len(s.entries) >= s.settings.MaxObjects && !s.forgetDeletion() {
-		return false, s.full(object.Key)
+	if len(s.entries) >= s.settings.MaxObjects && !s.evictTombstone() {
+		return false, s.fullError(object.Key)
 	}
 	return s.replace(&entry{}, object)
 }
 
-// replace puts an object that is newer than the one in force in its place.
+// replace stores an object that is newer than the active one, and makes it active
+// if it is valid.
 func (s *Store) replace(old *entry, object platformapi.Object) (bool, error) {
 	next := *old
 	doc, err := parse(object)
-	if object.Version > old.seen.Version {
-		next.seen = object
+	if object.Version > old.newest.Version {
+		next.newest = object
 	}
 	switch {
 	case err == nil:
-		next.good, next.doc = object, doc
-	case object.Version < old.seen.Version:
-		next.rejected = max(old.rejected, object.Version)
+		next.active, next.doc = object, doc
+	case object.Version < old.newest.Version:
+		next.rejectedVersion = max(old.rejectedVersion, object.Version)
 	}
 	if s.bytes-old.bytes()+next.bytes() > s.settings.MaxBytes {
-		return false, s.full(object.Key)
+		return false, s.fullError(object.Key)
 	}
 	s.put(object.Key, old, &next)
 	if err != nil {
@@ -151,28 +158,29 @@
 	return true, nil
 }
 
-// put stores an entry in place of an older one.
+// put replaces an entry and updates the totals.
 func (s *Store) put(key string, old, next *entry) {
 	s.bytes += next.bytes() - old.bytes()
 	s.digest += next.digest(key) - old.digest(key)
-	s.invalid += count(next.invalid()) - count(old.invalid())
+	s.invalid += boolToInt(next.invalid()) - boolToInt(old.invalid())
 	s.entries[key] = next
 }
 
-// count is 1 for true.
-func count(b bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// full is the error for a key without room.
-func (s *Store) full(key string) error {
+// fullError returns the error for an object that exceeds a limit.
+func (s *Store) fullError(key string) error {
 	return &FullError{Key: key, Objects: len(s.entries), Bytes: s.bytes}
 }
 
-// parse reads an object's document; nil for a deleted one.
+// parse decodes the document of an object and checks its key. It returns nil for a
+// deleted object.
 func parse(object platformapi.Object) (fleet.Document, error) {
 	if object.Deleted {
 		return nil, nil
@@ -187,22 +195,22 @@
 	return doc, nil
 }
 
-// forgetDeletion drops the oldest deletion to make room; false if there is
-// none that may go.
-func (s *Store) forgetDeletion() bool {
+// evictTombstone drops the tombstone with the lowest version to make room for
+// another key. It returns false if there is none, or none that Config has applied.
+func (s *Store) evictTombstone() bool {
 	var oldest *entry
 	for key, e := range s.entries {
-		forgettable := e.good.Deleted && !e.invalid() && !s.dirty[key]
-		if forgettable && (oldest == nil || e.good.Version < oldest.good.Version) {
+		evictable := e.active.Deleted && !e.invalid() && !s.dirty[key]
+		if evictable && (oldest == nil || e.active.Version < oldest.active.Version) {
 			oldest = e
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	key := oldest.good.Key
+	key := oldest.active.Key
 	s.put(key, oldest, &entry{})
 	delete(s.entries, key)
-	s.floor = max(s.floor, oldest.good.Version)
+	s.tombstoneFloor = max(s.tombstoneFloor, oldest.active.Version)
 	return true
 }
--- a/decide/configorder/store_test.go
+++ b/decide/configorder/store_test.go
@@ -25,10 +25,11 @@
 	os.Exit(m.Run())
 }
 
-// hash is the hash of the n-th bearer key.
+// hash returns a made-up hash of the n-th bearer key.
 func hash(n int) string { return fmt.Sprintf("%064x", n) }
 
-// shard makes an object of accounts, whose rate tells the object's version.
+// shard returns an account shard object. The rate of its accounts equals the
+// object's version.
 func shard(name string, version int64, accounts ...int) platformapi.Object {
 	var b strings.Builder
 	fmt.Fprintf(&b, "kind: accounts\nname: %s\naccounts:\n", name)
@@ -41,17 +42,19 @@
 	return platformapi.Object{Key: fleet.AccountPrefix + name, Version: version, Value: []byte(b.String())}
 }
 
-// profile makes an object of a profile.
+// profile returns a profile object whose deadline in ms equals its version.
 func profile(name string, version int64) platformapi.Object {
 	value := fmt.Sprintf("kind: profile\nname: %s\ndeadline: %dms\n", name, version)
 	return platformapi.Object{Key: fleet.ProfilePrefix + name, Version: version, Value: []byte(value)}
 }
 
-func broken(object platformapi.Object) platformapi.Object {
+// invalidObject returns the object with a document that belongs to another key.
+func invalidObject(object platformapi.Object) platformapi.Object {
 	object.Value = []byte("kind: profile\nname: elsewhere\n")
 	return object
 }
 
+// mustApply applies an object and fails unless Apply reports want as changed.
 func mustApply(t *testing.T, s *Store, object platformapi.Object, want bool) {
 	t.Helper()
 	changed, err := s.Apply(object)
@@ -65,16 +68,16 @@
 	mustApply(t, s, profile("p", 3), true)
 	before := s.Config()
 	var invalid *InvalidObjectError
-	if _, err := s.Apply(broken(profile("p", 7))); !errors.As(err, &invalid) {
+	if _, err := s.Apply(invalidObject(profile("p", 7))); !errors.As(err, &invalid) {
 		t.Fatalf("got %v, want an *InvalidObjectError", err)
 	}
-	mustApply(t, s, broken(profile("p", 7)), false)
+	mustApply(t, s, invalidObject(profile("p", 7)), false)
 	if s.Config() != before {
 		t.Error("an invalid object changed the configuration")
 	}
-	var backwards *StaleVersionError
-	if _, err := s.Apply(profile("p", 2)); !errors.As(err, &backwards) {
-		t.Errorf("got %v, want a *BackwardsError", err)
+	var stale *StaleVersionError
+	if _, err := s.Apply(profile("p", 2)); !errors.As(err, &stale) {
+		t.Errorf("got %v, want a *StaleVersionError", err)
 	}
 	mustApply(t, s, profile("p", 5), true)
 	if got := s.Config().Profiles["p"].Deadline.D().Milliseconds(); got != 5 {
@@ -88,7 +91,7 @@
 		_, _ = fresh.Apply(object)
 	}
 	if fresh.Digest() != s.Digest() {
-		t.Error("a new peer did not get the object in force")
+		t.Error("a new peer did not get the active object")
 	}
 }
 
@@ -101,7 +104,7 @@
 	mustApply(t, s, shard("s", 3, 2), true)
 	after := s.Config()
 	if diff := cmp.Diff(accounts, before.AccountsByKey); diff != "" {
-		t.Errorf("a configuration handed out changed: %s", diff)
+		t.Errorf("a returned configuration changed: %s", diff)
 	}
 	if len(after.AccountsByKey) != 1 || len(after.Profiles) != 1 {
 		t.Errorf("got %+v", after)
@@ -114,9 +117,9 @@
 	mustApply(t, s, platformapi.Object{Key: fleet.ProfilePrefix + "b", Version: 5, Deleted: true}, true)
 	_ = s.Config()
 	mustApply(t, s, profile("c", 6), true)
-	var backwards *StaleVersionError
-	if _, err := s.Apply(profile("b", 4)); !errors.As(err, &backwards) {
-		t.Errorf("a forgotten deletion was undone: %v", err)
+	var stale *StaleVersionError
+	if _, err := s.Apply(profile("b", 4)); !errors.As(err, &stale) {
+		t.Errorf("an object older than its evicted tombstone was accepted: %v", err)
 	}
 	var full *FullError
 	if _, err := s.Apply(profile("d", 7)); !errors.As(err, &full) {
@@ -145,8 +148,8 @@
 	}
 }
 
-// BenchmarkOneShardChange is the cost of a change to one of 43 shards of 1,000
-// accounts, with the making of the new Config.
+// BenchmarkOneShardChange measures Apply and Config after a change to one of 43
+// shards of 1,000 accounts.
 func BenchmarkOneShardChange(b *testing.B) {
 	const shards, perShard = 43, 1000
 	s := New(Settings{})
