--- a/decide/balancer/balancer.go
+++ b/decide/balancer/balancer.go
@@ -41,8 +41,8 @@
 // Request is what a choice depends on.
 type Request struct {
 	Service ids.Service
-	// Prefix hashes the prompt's prefix, for cache affinity; 0 means none.
-	Prefix uint64
+	// PrefixHash hashes the prompt's prefix, for cache affinity; 0 means none.
+	PrefixHash uint64
 	// Tokens estimates the steps the request needs.
 	Tokens int
 	// Zone is the chooser's own availability zone.
@@ -59,11 +59,11 @@
 	TokenInterval time.Duration
 }
 
-// StrategyError refuses the name of a strategy that there isn't.
-type StrategyError struct{ Name string }
+// UnknownStrategyError refuses the name of a strategy that there isn't.
+type UnknownStrategyError struct{ Name string }
 
 // Error implements error.
-func (e *StrategyError) Error() string {
+func (e *UnknownStrategyError) Error() string {
 	return fmt.Sprintf("no strategy %q", e.Name)
 }
 
@@ -81,7 +81,7 @@
 	case fleet.StrategyLeastLoaded:
 		return newLeastLoaded(), nil
 	}
-	return nil, &StrategyError{Name: strategy}
+	return nil, &UnknownStrategyError{Name: strategy}
 }
 
 // seedStream is the second half of a Picker's seed.
--- a/decide/balancer/balancer_test.go
+++ b/decide/balancer/balancer_test.go
@@ -101,7 +101,7 @@
 
 func TestNewRefusesUnknownStrategy(t *testing.T) {
 	_, err := New("fastest", Options{}, 1)
-	var typed *StrategyError
+	var typed *UnknownStrategyError
 	if !errors.As(err, &typed) || typed.Name != "fastest" {
 		t.Errorf("got %v", err)
 	}
@@ -158,7 +158,7 @@
 		for k := range runs {
 			v, p := newFakeView(unlikeFleet(30)), picker(strategy, Options{})
 			for range 50 {
-				c, _ := p.Pick(epoch, Request{Prefix: 3}, v)
+				c, _ := p.Pick(epoch, Request{PrefixHash: 3}, v)
 				runs[k] = append(runs[k], c)
 			}
 		}
@@ -252,13 +252,13 @@
 		engines = append(engines, e)
 	}
 	v, p := newFakeView(topology.NewGraph(2, engines, nil)), picker(fleet.StrategyFlow, Options{})
-	first, _ := p.Pick(epoch, Request{Prefix: 9}, v)
+	first, _ := p.Pick(epoch, Request{PrefixHash: 9}, v)
 	same, others := 0, 0
 	for k := range 100 {
-		if c, _ := p.Pick(epoch, Request{Prefix: 9}, v); cmp.Equal(c, first) {
+		if c, _ := p.Pick(epoch, Request{PrefixHash: 9}, v); cmp.Equal(c, first) {
 			same++
 		}
-		if c, _ := p.Pick(epoch, Request{Prefix: uint64(k + 10)}, v); cmp.Equal(c, first) {
+		if c, _ := p.Pick(epoch, Request{PrefixHash: uint64(k + 10)}, v); cmp.Equal(c, first) {
 			others++
 		}
 	}
@@ -268,7 +268,7 @@
 	for range modelSlots - 1 {
 		_ = v.book.Sent(epoch, first[1].ID)
 	}
-	if c, _ := p.Pick(epoch, Request{Prefix: 9}, v); c[1].ID == first[1].ID {
+	if c, _ := p.Pick(epoch, Request{PrefixHash: 9}, v); c[1].ID == first[1].ID {
 		t.Error("a prefix went to a nearly full engine")
 	}
 }
@@ -366,7 +366,7 @@
 	upstreams := []topology.Engine{
 		{ID: "near1", Zone: "z"}, {ID: "near2", Zone: "z"}, {ID: "far", Zone: "y"},
 	}
-	v, p := newFakeView(pair(1, 1, 1, 1)), NewPlain(1)
+	v, p := newFakeView(pair(1, 1, 1, 1)), NewPlainPicker(1)
 	for range 3 {
 		_ = v.book.Sent(epoch, "near1")
 	}
@@ -376,7 +376,7 @@
 	}{{"", "near2"}, {"near2", "near1"}, {"near1", "far"}, {"far", ""}} {
 		v.weights[step.bar] = 0
 		for range 20 {
-			if u, ok := p.PickPlain(epoch, Request{Zone: "z"}, upstreams, v); u.ID != step.want || ok != (step.want != "") {
+			if u, ok := p.Pick(epoch, Request{Zone: "z"}, upstreams, v); u.ID != step.want || ok != (step.want != "") {
 				t.Fatalf("after %q: got %q, %v, want %q", step.bar, u.ID, ok, step.want)
 			}
 		}
--- a/decide/balancer/flow.go
+++ b/decide/balancer/flow.go
@@ -81,7 +81,7 @@
 	if math.IsInf(cost, 1) {
 		return p.search(&s)
 	}
-	if r.Prefix != 0 && p.own(&s) <= affinityCost*cost+affinityIdle*s.plan.idle {
+	if r.PrefixHash != 0 && p.own(&s) <= affinityCost*cost+affinityIdle*s.plan.idle {
 		return g.Chain(p.path), true
 	}
 	return g.Chain(p.best), true
--- a/decide/balancer/flow_look.go
+++ b/decide/balancer/flow_look.go
@@ -60,14 +60,14 @@
 	var by topology.Edge
 	if at == source {
 		for k, i := range s.graph.Heads() {
-			if score := s.plan.affinity(s.request.Prefix, i, step(s.plan.heads, k)); score < least {
+			if score := s.plan.affinity(s.request.PrefixHash, i, step(s.plan.heads, k)); score < least {
 				best, least = i, score
 			}
 		}
 		return best, by
 	}
 	for k, e := range s.graph.Next(at) {
-		if score := s.plan.affinity(s.request.Prefix, e.To, step(s.plan.edges[at], k)); score < least {
+		if score := s.plan.affinity(s.request.PrefixHash, e.To, step(s.plan.edges[at], k)); score < least {
 			best, least, by = e.To, score, e
 		}
 	}
--- a/decide/balancer/plain.go
+++ b/decide/balancer/plain.go
@@ -8,22 +8,22 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// Plain chooses the upstream of plain requests: two at random, and of these
+// PlainPicker chooses the upstream of plain requests: two at random, and of these
 // the one with less in flight; upstreams of the chooser's own zone first.
-type Plain struct {
+type PlainPicker struct {
 	rng    *rand.Rand
 	usable []int
 }
 
-// NewPlain makes a Plain.
-func NewPlain(seed uint64) *Plain {
-	return &Plain{rng: rand.New(rand.NewPCG(seed, seedStream))}
+// NewPlainPicker makes a Plain.
+func NewPlainPicker(seed uint64) *PlainPicker {
+	return &PlainPicker{rng: rand.New(rand.NewPCG(seed, seedStream))}
 }
 
-// PickPlain gives the upstream to call now. Slots 0, by report and by the
+// Pick gives the upstream to call now. Slots 0, by report and by the
 // engine's own record, means no limit known. False means that none has room.
 // Upstreams of another zone are used when the own zone has none with room.
-func (p *Plain) PickPlain(now time.Time, r Request, upstreams []topology.Engine, v View) (topology.Engine, bool) {
+func (p *PlainPicker) Pick(now time.Time, r Request, upstreams []topology.Engine, v View) (topology.Engine, bool) {
 	for _, own := range [...]bool{true, false} {
 		p.usable = p.usable[:0]
 		for i := range upstreams {
@@ -55,7 +55,7 @@
 }
 
 // choose draws two of the usable upstreams and gives the better one.
-func (p *Plain) choose(now time.Time, upstreams []topology.Engine, v View) int {
+func (p *PlainPicker) choose(now time.Time, upstreams []topology.Engine, v View) int {
 	a := p.rng.IntN(len(p.usable))
 	b := a
 	if len(p.usable) > 1 {
--- a/decide/balancer/queue_model_test.go
+++ b/decide/balancer/queue_model_test.go
@@ -165,7 +165,7 @@
 func (r *router) dispatch() {
 	for len(r.queue) > 0 {
 		j := r.queue[0]
-		chain, ok := r.picker.Pick(r.m.clock(), Request{Prefix: j.prefix}, r)
+		chain, ok := r.picker.Pick(r.m.clock(), Request{PrefixHash: j.prefix}, r)
 		if !ok {
 			return
 		}
--- a/decide/balancer/strategies_test.go
+++ b/decide/balancer/strategies_test.go
@@ -115,7 +115,7 @@
 					p, _ := New(variant.strategy, variant.opts, 1)
 					r := Request{}
 					if variant.prefix {
-						r.Prefix = 77
+						r.PrefixHash = 77
 					}
 					p.Pick(epoch, r, v)
 					b.ReportAllocs()
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -59,7 +59,7 @@
 func (r *Router) pickExcluding(req *request, exclude func(ids.Upstream) bool) (topology.Chain, bool) {
 	want := balancer.Request{
 		Service: req.arrive.Service,
-		Prefix:  req.arrive.PrefixHash,
+		PrefixHash:  req.arrive.PrefixHash,
 		Tokens:  int(req.cost()),
 		Zone:    r.opts.Zone,
 		Exclude: exclude,
@@ -67,7 +67,7 @@
 	if req.svc.model() {
 		return req.svc.picker.Pick(r.now, want, r)
 	}
-	one, ok := req.svc.plain.PickPlain(r.now, want, req.svc.upstreams, r)
+	one, ok := req.svc.plain.Pick(r.now, want, req.svc.upstreams, r)
 	if !ok {
 		return nil, false
 	}
--- a/decide/router/service.go
+++ b/decide/router/service.go
@@ -23,7 +23,7 @@
 	// picker chooses chains of a model service, plain the upstream of a
 	// plain one.
 	picker balancer.Picker
-	plain  *balancer.Plain
+	plain  *balancer.PlainPicker
 	// graph holds the engines of a model service; nil when there are none.
 	graph *topology.Graph
 	// upstreams are all that may be given work, in the order of their names.
@@ -52,7 +52,7 @@
 		queue:   queue.New(queueOptions(profile), rng),
 		budget:  retry.NewBudget(profile.Retry),
 		blamer:  quarantine.New(quarantineOptions(profile)),
-		plain:   balancer.NewPlain(rng.Uint64()),
+		plain:   balancer.NewPlainPicker(rng.Uint64()),
 	}
 	s.setStrategy(rng)
 	return s
