--- a/adapter/forward/culprits_test.go
+++ b/adapter/forward/culprits_test.go
@@ -313,8 +313,8 @@
 
 func TestEnginesThatStayAreNotLost(t *testing.T) {
 	r := newRig(t)
-	engine := func(id string, revision int64) chain.Hop {
-		return chain.Hop{Engine: &directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Revision: revision}}
+	engine := func(id string, revision int64) chain.Stage {
+		return chain.Stage{Engine: &directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Revision: revision}}
 	}
 	w := &streamWait{s: &stream{x: &exchange{server: r.Server}}}
 	// The entry of the first has changed between the two chains.
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -26,7 +26,7 @@
 	mu          sync.Mutex
 	nodes       int
 	conditions  *condition.Table
-	chains      *chain.Book
+	chains      *chain.Picker
 	retryAfters *retryafter.Book
 	replicas    *replica.Book
 	budgets     map[ids.Service]*retry.Budget
@@ -51,7 +51,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nodes = n
-	p.chains.SetFleet(n)
+	p.chains.SetNodeCount(n)
 	p.replicas.SetFleet(n)
 	for _, b := range p.budgets {
 		p.limit(b)
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer func() { p.opts.Metrics.Took("decision.chain", p.opts.Now().Sub(began)) }()
-	c, err := p.chains.Choose(p.opts.Now(), m, view, r)
+	c, err := p.chains.Pick(p.opts.Now(), m, view, r)
 	if err != nil {
 		return nil, err
 	}
@@ -114,10 +114,10 @@
 	if !p.tiles(c, m.Layers) {
 		return nil, &chain.TilingError{Chain: c.String(), Layers: m.Layers}
 	}
-	if full := p.chains.Full(began, c); full != nil && !r.Begun {
+	if full := p.chains.FullEngine(began, c); full != nil && !r.OutputStarted {
 		return nil, &chain.FullError{Service: r.Service, Engine: full.ID}
 	}
-	p.chains.Began(p.opts.Now(), c, r)
+	p.chains.RequestStarted(p.opts.Now(), c, r)
 	return c, nil
 }
 
@@ -174,7 +174,7 @@
 	if !p.budget(r.Service).AvailableOf(at, part) {
 		return false
 	}
-	other, err := p.chains.Choose(at, m, view, r)
+	other, err := p.chains.Pick(at, m, view, r)
 	if err != nil {
 		return false
 	}
@@ -188,16 +188,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := p.opts.Now()
-	r.First = &now[0]
-	other, err := p.chains.Choose(at, m, view, r)
+	r.PinnedFirst = &now[0]
+	other, err := p.chains.Pick(at, m, view, r)
 	if err != nil || !p.tiles(other, m.Layers) {
 		return nil
 	}
 	if !dead && p.chains.Cost(at, m, r, other) >= leaveGain*p.chains.Cost(at, m, r, now) {
 		return nil
 	}
-	p.chains.Ended(at, now, r)
-	p.chains.Began(at, other, r)
+	p.chains.RequestEnded(at, now, r)
+	p.chains.RequestStarted(at, other, r)
 	return other
 }
 
@@ -205,7 +205,7 @@
 func (p *picker) chainEnded(c chain.Chain, r chain.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chains.Ended(p.opts.Now(), c, r)
+	p.chains.RequestEnded(p.opts.Now(), c, r)
 }
 
 // replica chooses the upstream of a plain request and counts it there; nil if
@@ -291,7 +291,7 @@
 func (p *picker) reported(u *directory.Upstream, requests int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chains.Reported(p.opts.Now(), u.ID, requests)
+	p.chains.LoadReported(p.opts.Now(), u.ID, requests)
 }
 
 // full tells that an upstream refused for want of room.
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -234,6 +234,6 @@
 		return false
 	}
 	req := w.without(bad)
-	req.FirstOf = x.bound(w.chain[0].Engine.ID)
+	req.AllowedFirst = x.bound(w.chain[0].Engine.ID)
 	return x.server.picks.worthLeaving(w.s.model, x.server.opts.View(), req, w.chain, dead)
 }
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -41,7 +41,7 @@
 func (x *exchange) stream(ctx context.Context, table *routing.Table) {
 	s := &stream{x: x, gap: x.route.PauseObjective / firstGapParts, shunned: make(map[ids.Life]bool), resting: make(map[ids.Life]time.Time)}
 	_, draw := x.server.draw()
-	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Life]bool), Draw: draw}
+	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Life]bool), JitterSeed: draw}
 	if service := table.Service(x.service); service != nil {
 		s.model = service.Model
 	}
@@ -59,15 +59,15 @@
 
 // size finds what the request needs, by its headers or else by the mean.
 func (s *stream) size() {
-	s.req.Prompt, s.req.Answer = s.x.parseTokens()
+	s.req.PromptTokens, s.req.OutputTokens = s.x.parseTokens()
 	if s.model == nil {
 		return
 	}
-	if s.req.Prompt == 0 {
-		s.req.Prompt = s.model.Prompt
+	if s.req.PromptTokens == 0 {
+		s.req.PromptTokens = s.model.Prompt
 	}
-	if s.req.Answer == 0 {
-		s.req.Answer = s.model.Answer
+	if s.req.OutputTokens == 0 {
+		s.req.OutputTokens = s.model.Answer
 	}
 }
 
@@ -187,10 +187,10 @@
 	}
 	view := x.server.opts.View()
 	x.server.probe.refresh(ctx, view)
-	s.req.FirstOf = x.bound()
+	s.req.AllowedFirst = x.bound()
 	usual := s.req
 	// A caller that resumes has part of the answer too.
-	usual.Avoid, usual.Begun = s.avoided(), x.written || s.seq.begun
+	usual.Avoid, usual.OutputStarted = s.avoided(), x.written || s.seq.begun
 	careful := usual
 	careful.Avoid = maps.Clone(usual.Avoid)
 	maps.Copy(careful.Avoid, s.shunned)
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -485,7 +485,7 @@
 	m, view := table.Service("model").Model, r.dir.View()
 	p.paced(&slow.Upstream, 50)
 	now := chain.Chain{{Engine: view.Get(life("a")), Layers: slow.Layers}}
-	req := chain.Request{Service: "model", Zone: "z", Prompt: 10, Answer: 10, Avoid: map[ids.Life]bool{life("a"): true}}
+	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Life]bool{life("a"): true}}
 	if p.worthLeaving(m, view, req, now, false) {
 		t.Error("a stream that is slow takes one of the last retries")
 	}
--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -72,7 +72,7 @@
 	dir     *directory.Directory
 	rev     int64
 	servers map[ids.Life]*server
-	book    *chain.Book
+	book    *chain.Picker
 	full    *condition.Table
 	budget  *retry.Budget
 	// since tells since when zones could hold the model and do not.
@@ -218,19 +218,19 @@
 	for _, h := range r.chain {
 		delete(s.servers[h.Engine.ID].runs, r)
 	}
-	s.book.Ended(time.Now(), r.chain, s.request(true))
+	s.book.RequestEnded(time.Now(), r.chain, s.request(true))
 }
 
 // request is what streams need.
 func (s *site) request(begun bool) chain.Request {
-	return chain.Request{Service: "s", Zone: "x", Prompt: siteModel.Prompt, Answer: siteModel.Answer, Begun: begun, Draw: s.rand.Uint64() | 1}
+	return chain.Request{Service: "s", Zone: "x", PromptTokens: siteModel.Prompt, OutputTokens: siteModel.Answer, OutputStarted: begun, JitterSeed: s.rand.Uint64() | 1}
 }
 
 // try sends a stream through a chain, and reports whether all engines took it.
 func (s *site) try(r *run, begun bool) bool {
 	now := time.Now()
-	c, err := s.book.Choose(now, siteModel, s.dir.View(), s.request(begun))
-	if err != nil || !begun && s.book.Full(now, c) != nil {
+	c, err := s.book.Pick(now, siteModel, s.dir.View(), s.request(begun))
+	if err != nil || !begun && s.book.FullEngine(now, c) != nil {
 		return false
 	}
 	for _, h := range c {
@@ -243,7 +243,7 @@
 	for _, h := range c {
 		s.servers[h.Engine.ID].runs[r] = h.Layers
 	}
-	s.book.Began(now, c, s.request(begun))
+	s.book.RequestStarted(now, c, s.request(begun))
 	go s.finish(r, c)
 	return true
 }
--- a/decide/chain/book.go
+++ b/decide/chain/book.go
@@ -9,8 +9,8 @@
 	"mimosaarch.example/decide/condition"
 )
 
-// Book is this node's knowledge of the engines. Make it with New.
-type Book struct {
+// Picker is this node's knowledge of the engines. Make it with New.
+type Picker struct {
 	conditions *condition.Table
 	engines    map[ids.Life]*state
 	// pipes are the ways between zones that this node's requests took.
@@ -72,22 +72,22 @@
 }
 
 // New makes a Book that shares beliefs with others.
-func New(conditions *condition.Table) *Book {
-	return &Book{conditions: conditions, engines: make(map[ids.Life]*state), pipes: make(map[pair]*pipe), fleet: 1}
+func New(conditions *condition.Table) *Picker {
+	return &Picker{conditions: conditions, engines: make(map[ids.Life]*state), pipes: make(map[pair]*pipe), fleet: 1}
 }
 
-// SetFleet tells how many nodes share the engines.
-func (b *Book) SetFleet(nodes int) { b.fleet = float64(max(nodes, 1)) }
+// SetNodeCount tells how many nodes share the engines.
+func (b *Picker) SetNodeCount(nodes int) { b.fleet = float64(max(nodes, 1)) }
 
 // Forget drops what is known of an engine that is gone.
-func (b *Book) Forget(id ids.Life) {
+func (b *Picker) Forget(id ids.Life) {
 	if s := b.engines[id]; s != nil && s.now.streams <= 0 {
 		delete(b.engines, id)
 	}
 }
 
 // of gives the state of an engine.
-func (b *Book) of(id ids.Life) *state {
+func (b *Picker) of(id ids.Life) *state {
 	s := b.engines[id]
 	if s == nil {
 		s = &state{}
@@ -96,21 +96,21 @@
 	return s
 }
 
-// Began counts a request on its chain.
-func (b *Book) Began(now time.Time, c Chain, r Request) {
+// RequestStarted counts a request on its chain.
+func (b *Picker) RequestStarted(now time.Time, c Chain, r Request) {
 	b.count(now, c, r, 1)
 	for i := 1; i < len(c); i++ {
 		if from, to := c[i-1].Engine.Zone, c[i].Engine.Zone; from != to {
-			b.pipe(from, to).add(now, r.Prompt)
+			b.pipe(from, to).add(now, r.PromptTokens)
 		}
 	}
 }
 
-// Ended takes a request off its chain; r must be what Began was told.
-func (b *Book) Ended(now time.Time, c Chain, r Request) { b.count(now, c, r, -1) }
+// RequestEnded takes a request off its chain; r must be what Began was told.
+func (b *Picker) RequestEnded(now time.Time, c Chain, r Request) { b.count(now, c, r, -1) }
 
 // count adds a request to, or takes it off, each engine of a chain.
-func (b *Book) count(now time.Time, c Chain, r Request, sign float64) {
+func (b *Picker) count(now time.Time, c Chain, r Request, sign float64) {
 	for i, h := range c {
 		s := b.of(h.Engine.ID)
 		s.advance(now)
@@ -140,7 +140,7 @@
 const pipeOver = time.Second
 
 // pipe gives the way between two zones.
-func (b *Book) pipe(one, other ids.Zone) *pipe {
+func (b *Picker) pipe(one, other ids.Zone) *pipe {
 	key := between(one, other)
 	p := b.pipes[key]
 	if p == nil {
@@ -168,7 +168,7 @@
 // hopCost is charged for the way into a stage in another zone than the one
 // before, in ms: more as the pipe between them fills up, by a guess from this
 // node's own requests.
-func (b *Book) hopCost(now time.Time, m *layered.Model, from, to ids.Zone) float64 {
+func (b *Picker) hopCost(now time.Time, m *layered.Model, from, to ids.Zone) float64 {
 	p := b.pipes[between(from, to)]
 	if p == nil {
 		return zoneHopMs
--- a/decide/chain/chain.go
+++ b/decide/chain/chain.go
@@ -20,14 +20,14 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// Hop is one stage of a chain: an engine and the layers it runs.
-type Hop struct {
+// Stage is one stage of a chain: an engine and the layers it runs.
+type Stage struct {
 	Engine *directory.Upstream
 	Layers layered.Range
 }
 
 // Chain is the stages of a request in order.
-type Chain []Hop
+type Chain []Stage
 
 // Engines names the engines in order.
 func (c Chain) Engines() []ids.Life {
@@ -52,7 +52,7 @@
 
 // Has reports whether an engine is part of the chain.
 func (c Chain) Has(id ids.Life) bool {
-	return slices.ContainsFunc(c, func(h Hop) bool { return h.Engine.ID == id })
+	return slices.ContainsFunc(c, func(h Stage) bool { return h.Engine.ID == id })
 }
 
 // NoChainError tells that no chain of usable engines holds the whole model.
--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -41,12 +41,12 @@
 	return d.View()
 }
 
-var request = Request{Service: "s", Zone: "z1", Prompt: 800, Answer: 200}
+var request = Request{Service: "s", Zone: "z1", PromptTokens: 800, OutputTokens: 200}
 
 // choose fails the test unless a chain is found.
-func choose(t *testing.T, b *Book, v *directory.View, r Request) string {
+func choose(t *testing.T, b *Picker, v *directory.View, r Request) string {
 	t.Helper()
-	c, err := b.Choose(start, model(), v, r)
+	c, err := b.Pick(start, model(), v, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 			engines = append(engines, e)
 		}
 		v := view(engines...)
-		c, err := b.Choose(start, model(), v, request)
+		c, err := b.Pick(start, model(), v, request)
 		if err != nil {
 			continue
 		}
@@ -115,9 +115,9 @@
 			}
 		}
 		again := request
-		again.First = &c[0]
+		again.PinnedFirst = &c[0]
 		again.Avoid = map[ids.Life]bool{c[len(c)-1].Engine.ID: true}
-		if other, err := b.Choose(start, model(), v, again); err == nil {
+		if other, err := b.Pick(start, model(), v, again); err == nil {
 			if err := Check(other, 80); err != nil {
 				t.Fatalf("seed %d, around %s: %v", seed, c, err)
 			}
@@ -166,11 +166,11 @@
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
 	counts := make(map[string]int)
 	for range 40 {
-		c, err := b.Choose(start, model(), v, request)
+		c, err := b.Pick(start, model(), v, request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Began(start, c, request)
+		b.RequestStarted(start, c, request)
 		counts[c.String()]++
 	}
 	if counts["a=0-80"] != 20 || counts["b=0-80"] != 20 {
@@ -196,20 +196,20 @@
 func TestFirstStageMayBeBound(t *testing.T) {
 	v := view(engine("a", "z1", "slow", 0, 40), engine("b", "z1", "fast", 0, 40), engine("c", "z1", "fast", 40, 80))
 	bound := request
-	bound.FirstOf = map[ids.Life]bool{{Upstream: "a"}: true}
+	bound.AllowedFirst = map[ids.Life]bool{{Upstream: "a"}: true}
 	if got := choose(t, New(condition.New()), v, bound); got != "a=0-40,c=40-80" {
 		t.Errorf("chain %s", got)
 	}
-	bound.FirstOf = map[ids.Life]bool{{Upstream: "c"}: true}
+	bound.AllowedFirst = map[ids.Life]bool{{Upstream: "c"}: true}
 	var none *NoChainError
-	if _, err := New(condition.New()).Choose(start, model(), v, bound); !errors.As(err, &none) {
+	if _, err := New(condition.New()).Pick(start, model(), v, bound); !errors.As(err, &none) {
 		t.Errorf("error %v", err)
 	}
 }
 
 func TestNoChainIsSaid(t *testing.T) {
 	v := view(engine("a", "z1", "fast", 0, 40), engine("b", "z1", "fast", 41, 80))
-	_, err := New(condition.New()).Choose(start, model(), v, request)
+	_, err := New(condition.New()).Pick(start, model(), v, request)
 	var none *NoChainError
 	if !errors.As(err, &none) || none.Engines != 2 || none.Usable != 2 {
 		t.Errorf("error %v", err)
@@ -228,10 +228,10 @@
 		v := view(engines...)
 		book := New(condition.New())
 		r := request
-		r.Draw = 1
+		r.JitterSeed = 1
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := book.Choose(start, model(), v, r); err != nil {
+				if _, err := book.Pick(start, model(), v, r); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -245,8 +245,8 @@
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
 	conditions.Paced(start, life("b"), 4)
 	streams := 0
-	for c, _ := b.Choose(start, model(), v, request); c.Has(life("a")); c, _ = b.Choose(start, model(), v, request) {
-		b.Began(start, c, request)
+	for c, _ := b.Pick(start, model(), v, request); c.Has(life("a")); c, _ = b.Pick(start, model(), v, request) {
+		b.RequestStarted(start, c, request)
 		if streams++; streams > 10_000 {
 			t.Fatal("a slow engine is never taken")
 		}
@@ -267,12 +267,12 @@
 	b := New(conditions)
 	only, twin := engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80)
 	conditions.Full(start, only.ID)
-	c, err := b.Choose(start, model(), view(only), request)
-	if err != nil || b.Full(start, c) == nil || b.Full(start, c).ID != only.ID {
+	c, err := b.Pick(start, model(), view(only), request)
+	if err != nil || b.FullEngine(start, c) == nil || b.FullEngine(start, c).ID != only.ID {
 		t.Errorf("chain %s, error %v", c, err)
 	}
-	c, err = b.Choose(start, model(), view(only, twin), request)
-	if err != nil || b.Full(start, c) != nil || c[0].Engine.ID != twin.ID {
+	c, err = b.Pick(start, model(), view(only, twin), request)
+	if err != nil || b.FullEngine(start, c) != nil || c[0].Engine.ID != twin.ID {
 		t.Errorf("with a twin: chain %s, error %v", c, err)
 	}
 }
@@ -290,7 +290,7 @@
 	const nodes = 300
 	for range nodes {
 		r := request
-		r.Draw = draws.Uint64()
+		r.JitterSeed = draws.Uint64()
 		shares[choose(t, New(condition.New()), v, r)]++
 	}
 	for chain, n := range shares {
--- a/decide/chain/fleet_test.go
+++ b/decide/chain/fleet_test.go
@@ -49,7 +49,7 @@
 
 // simNode is one node: what it knows, and its part of the fleet's retries.
 type simNode struct {
-	book    *Book
+	book    *Picker
 	full    *condition.Table
 	retries *retry.Budget
 }
@@ -105,7 +105,7 @@
 	for range nodes {
 		conditions := condition.New()
 		n := &simNode{book: New(conditions), full: conditions}
-		n.book.SetFleet(nodes)
+		n.book.SetNodeCount(nodes)
 		n.retries = retry.NewBudget(fleet.RetryPolicy{BudgetRatio: simRatio, BudgetMin: simSlack / float64(nodes) / retry.BudgetWindow.Seconds()})
 		p.nodes = append(p.nodes, n)
 	}
@@ -136,7 +136,7 @@
 	n := p.nodes[3*p.rand.IntN(len(p.nodes)/3)+zone]
 	n.retries.First(now)
 	r := request
-	r.Zone, r.Draw = ids.Zone(fmt.Sprintf("z%d", zone+1)), p.rand.Uint64()|1
+	r.Zone, r.JitterSeed = ids.Zone(fmt.Sprintf("z%d", zone+1)), p.rand.Uint64()|1
 	r.Avoid = make(map[ids.Life]bool)
 	for !p.send(now, n, r) {
 		if len(r.Avoid) == 0 || !n.retries.Allow(now, outcome.UpstreamBusy) {
@@ -149,7 +149,7 @@
 // send sends a request through the chain that its node chooses, and reports whether its
 // first stage took it.
 func (p *simulation) send(now time.Time, n *simNode, r Request) bool {
-	c, err := n.book.Choose(now, model(), p.view, r)
+	c, err := n.book.Pick(now, model(), p.view, r)
 	if err != nil {
 		clear(r.Avoid)
 		return false
@@ -166,10 +166,10 @@
 	}
 	p.answered++
 	p.firsts[first]++
-	n.book.Began(now, c, r)
-	p.at(now.Add(reportAfter), func(now time.Time) { n.book.Reported(now, first, p.firsts[first]) })
+	n.book.RequestStarted(now, c, r)
+	p.at(now.Add(reportAfter), func(now time.Time) { n.book.LoadReported(now, first, p.firsts[first]) })
 	p.at(now.Add(streamFor), func(now time.Time) {
-		n.book.Ended(now, c, r)
+		n.book.RequestEnded(now, c, r)
 		p.firsts[first]--
 	})
 	return true
@@ -203,17 +203,17 @@
 func TestNodesThatKnowNothingCrossNoZone(t *testing.T) {
 	for _, nodes := range []int{9, 84, 300, 1000} {
 		b, v := New(condition.New()), unevenZones()
-		b.SetFleet(nodes)
+		b.SetNodeCount(nodes)
 		for draw := range uint64(500) {
 			r := request
-			r.Draw = draw + 1
-			c, err := b.Choose(start, model(), v, r)
+			r.JitterSeed = draw + 1
+			c, err := b.Pick(start, model(), v, r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, h := range c {
 				if h.Engine.Zone != c[0].Engine.Zone {
-					t.Fatalf("%d nodes, draw %d: %s leads from %s to %s", nodes, r.Draw, c, c[0].Engine.Zone, h.Engine.Zone)
+					t.Fatalf("%d nodes, draw %d: %s leads from %s to %s", nodes, r.JitterSeed, c, c[0].Engine.Zone, h.Engine.Zone)
 				}
 			}
 		}
@@ -223,16 +223,16 @@
 // A report that comes once its engine is gone leaves nothing behind.
 func TestReportOfAnEngineThatIsGoneIsDropped(t *testing.T) {
 	b, v := New(condition.New()), unevenZones()
-	c, err := b.Choose(start, model(), v, request)
+	c, err := b.Pick(start, model(), v, request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := c[0].Engine.ID
-	b.Began(start, c, request)
-	b.Reported(start, first, 5)
-	b.Ended(start, c, request)
+	b.RequestStarted(start, c, request)
+	b.LoadReported(start, first, 5)
+	b.RequestEnded(start, c, request)
 	b.Forget(first)
-	b.Reported(start, first, 5)
+	b.LoadReported(start, first, 5)
 	if s := b.engines[first]; s != nil {
 		t.Errorf("%s is gone and still known: %+v", first, s)
 	}
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -16,20 +16,20 @@
 	Service ids.Service
 	// Zone is preferred among equals.
 	Zone ids.Zone
-	// Prompt and Answer are the expected sizes, in tokens.
-	Prompt, Answer float64
+	// PromptTokens and OutputTokens are the expected sizes, in tokens.
+	PromptTokens, OutputTokens float64
 	// Avoid are engines that the request already failed on.
 	Avoid map[ids.Life]bool
-	// First, where set, stays the first stage: the request runs there already,
+	// PinnedFirst, where set, stays the first stage: the request runs there already,
 	// and only the stages after it are chosen.
-	First *Hop
-	// FirstOf, where set, are the engines one of which must be the first stage.
-	FirstOf map[ids.Life]bool
-	// Begun tells that part of the answer is with the caller.
-	Begun bool
-	// Draw is random, other than 0, so that choices made at the same moment differ
+	PinnedFirst *Stage
+	// AllowedFirst, where set, are the engines one of which must be the first stage.
+	AllowedFirst map[ids.Life]bool
+	// OutputStarted tells that part of the answer is with the caller.
+	OutputStarted bool
+	// JitterSeed is random, other than 0, so that choices made at the same moment differ
 	// among engines that are nearly equal. With 0 the cheapest chain is taken.
-	Draw uint64
+	JitterSeed uint64
 }
 
 // spread is the part by which an engine may count as dearer than another of equal
@@ -46,7 +46,7 @@
 
 // taste gives the factor of an engine's cost for one request, from 1 to 1 + spread.
 func (r Request) taste(id ids.Life) float64 {
-	if r.Draw == 0 {
+	if r.JitterSeed == 0 {
 		return 1
 	}
 	return 1 + spread*r.draw(id)
@@ -54,7 +54,7 @@
 
 // draw gives a request's own number for an engine, 0 to 1.
 func (r Request) draw(id ids.Life) float64 {
-	h := r.Draw ^ fnvOffset
+	h := r.JitterSeed ^ fnvOffset
 	for i := range len(id.Upstream) {
 		h = (h ^ uint64(id.Upstream[i])) * fnvPrime
 	}
@@ -64,14 +64,14 @@
 
 // fixed reports whether an engine is the given first stage.
 func (r Request) fixed(e *directory.Upstream) bool {
-	return r.First != nil && r.First.Engine.ID == e.ID
+	return r.PinnedFirst != nil && r.PinnedFirst.Engine.ID == e.ID
 }
 
 // mayBegin reports whether an engine may be the first stage.
-func (r Request) mayBegin(e *directory.Upstream) bool { return r.FirstOf == nil || r.FirstOf[e.ID] }
+func (r Request) mayBegin(e *directory.Upstream) bool { return r.AllowedFirst == nil || r.AllowedFirst[e.ID] }
 
 // tokens is the KV cache that a request needs on each stage.
-func (r Request) tokens() float64 { return r.Prompt + r.Answer }
+func (r Request) tokens() float64 { return r.PromptTokens + r.OutputTokens }
 
 // Costs that the model of the engines does not give.
 const (
@@ -97,8 +97,8 @@
 	refusedMs = 3000.0
 )
 
-// Choose gives the chain for a request; the error is a *NoChainError.
-func (b *Book) Choose(now time.Time, m *layered.Model, view *directory.View, r Request) (Chain, error) {
+// Pick gives the chain for a request; the error is a *NoChainError.
+func (b *Picker) Pick(now time.Time, m *layered.Model, view *directory.View, r Request) (Chain, error) {
 	all := view.Of(r.Service)
 	usable := make([]*directory.Upstream, 0, len(all))
 	for _, e := range all {
@@ -110,7 +110,7 @@
 	best, bestCost := Chain(nil), math.Inf(1)
 	for _, zone := range zonesOf(usable) {
 		c, cost := b.shortest(now, m, priced, r, zone)
-		if zone != r.Zone && r.First == nil {
+		if zone != r.Zone && r.PinnedFirst == nil {
 			cost *= awayFactor
 		}
 		if c != nil && cost < bestCost {
@@ -129,13 +129,13 @@
 }
 
 // doubtful reports whether an engine gets no work for what it did last.
-func (b *Book) doubtful(now time.Time, e *directory.Upstream) bool {
+func (b *Picker) doubtful(now time.Time, e *directory.Upstream) bool {
 	return b.conditions.Suspected(now, e.ID, e.Zone) || b.conditions.Silent(e.ID, e.Zone)
 }
 
 // Cost is the time that a request is expected to take on a chain, in ms, beside
 // what already runs there.
-func (b *Book) Cost(now time.Time, m *layered.Model, r Request, c Chain) float64 {
+func (b *Picker) Cost(now time.Time, m *layered.Model, r Request, c Chain) float64 {
 	cost := 0.0
 	for _, h := range c {
 		cost += b.stageCost(now, m, r, h.Engine) + b.layerCost(now, m, r, h.Engine)*float64(h.Layers.Len())
@@ -143,9 +143,9 @@
 	return cost
 }
 
-// Full gives the engine of a chain that refused for want of room just now, nil for
+// FullEngine gives the engine of a chain that refused for want of room just now, nil for
 // none. A chain has one only where no other can be had.
-func (b *Book) Full(now time.Time, c Chain) *directory.Upstream {
+func (b *Picker) FullEngine(now time.Time, c Chain) *directory.Upstream {
 	for _, h := range c {
 		if b.conditions.IsFull(now, h.Engine.ID) {
 			return h.Engine
@@ -155,15 +155,15 @@
 }
 
 // crowded reports whether an engine of a chain is short of room.
-func (b *Book) crowded(now time.Time, m *layered.Model, c Chain) bool {
-	return slices.ContainsFunc(c, func(h Hop) bool {
+func (b *Picker) crowded(now time.Time, m *layered.Model, c Chain) bool {
+	return slices.ContainsFunc(c, func(h Stage) bool {
 		return b.occupied(now, m, h.Engine) > fullAt || b.conditions.IsFull(now, h.Engine.ID)
 	})
 }
 
 // occupied gives the part of an engine's KV room that is taken, by a guess from
 // this node's own streams.
-func (b *Book) occupied(now time.Time, m *layered.Model, e *directory.Upstream) float64 {
+func (b *Picker) occupied(now time.Time, m *layered.Model, e *directory.Upstream) float64 {
 	s := b.engines[e.ID]
 	if s == nil {
 		return 0
@@ -190,7 +190,7 @@
 // step is the cheapest known way to a layer.
 type step struct {
 	cost float64
-	hop  Hop
+	hop  Stage
 	// before is the index of the boundary where the hop begins.
 	before int
 }
@@ -204,7 +204,7 @@
 }
 
 // price gives engines their costs, once for all the ways that lead through them.
-func (b *Book) price(now time.Time, m *layered.Model, r Request, engines []*directory.Upstream) []candidate {
+func (b *Picker) price(now time.Time, m *layered.Model, r Request, engines []*directory.Upstream) []candidate {
 	priced := make([]candidate, 0, len(engines))
 	for _, e := range engines {
 		if r.fixed(e) {
@@ -222,14 +222,14 @@
 
 // shortest finds the cheapest chain among the engines of a zone, or of all
 // zones where it is empty; nil if there is none.
-func (b *Book) shortest(now time.Time, m *layered.Model, engines []candidate, r Request, zone ids.Zone) (Chain, float64) {
+func (b *Picker) shortest(now time.Time, m *layered.Model, engines []candidate, r Request, zone ids.Zone) (Chain, float64) {
 	var inside []candidate
 	for _, e := range engines {
 		if zone == "" || e.Zone == zone {
 			inside = append(inside, e)
 		}
 	}
-	cuts := boundaries(inside, m.Layers, r.First)
+	cuts := boundaries(inside, m.Layers, r.PinnedFirst)
 	if len(cuts) < 2 || cuts[0] != 0 || cuts[len(cuts)-1] != m.Layers {
 		return nil, math.Inf(1)
 	}
@@ -238,9 +238,9 @@
 		ways[i].cost = math.Inf(1)
 	}
 	start := 0
-	if r.First != nil {
-		start = slices.Index(cuts, r.First.Layers.To)
-		ways[start].hop = *r.First
+	if r.PinnedFirst != nil {
+		start = slices.Index(cuts, r.PinnedFirst.Layers.To)
+		ways[start].hop = *r.PinnedFirst
 	}
 	ways[start].cost = 0
 	for i := start; i < len(cuts)-1; i++ {
@@ -260,7 +260,7 @@
 
 // boundaries gives the layers at which some engine begins or ends, ascending,
 // with those of a first stage that is given.
-func boundaries(engines []candidate, layers int, first *Hop) []int {
+func boundaries(engines []candidate, layers int, first *Stage) []int {
 	var cuts []int
 	if first != nil {
 		cuts = append(cuts, first.Layers.From, first.Layers.To)
@@ -273,7 +273,7 @@
 }
 
 // extend improves the ways that lead on from boundary i through engine e.
-func (b *Book) extend(now time.Time, m *layered.Model, r Request, cuts []int, ways []step, i int, e *candidate) {
+func (b *Picker) extend(now time.Time, m *layered.Model, r Request, cuts []int, ways []step, i int, e *candidate) {
 	from := cuts[i]
 	if e.Layers.From > from || e.Layers.To <= from || from == 0 && !r.mayBegin(e.Upstream) {
 		return
@@ -288,17 +288,17 @@
 	for j := i + 1; j < len(cuts) && cuts[j] <= e.Layers.To; j++ {
 		cost := ways[i].cost + fixed + e.perLayer*float64(cuts[j]-from)
 		if cost < ways[j].cost {
-			ways[j] = step{cost: cost, hop: Hop{e.Upstream, layered.Range{From: from, To: cuts[j]}}, before: i}
+			ways[j] = step{cost: cost, hop: Stage{e.Upstream, layered.Range{From: from, To: cuts[j]}}, before: i}
 		}
 	}
 }
 
 // passes is how many decoding passes a request takes.
-func (r Request) passes(m *layered.Model) float64 { return r.Answer / float64(max(m.Stride, 1)) }
+func (r Request) passes(m *layered.Model) float64 { return r.OutputTokens / float64(max(m.Stride, 1)) }
 
 // stageCost is the time that a request takes at an engine beside its passes, in
 // ms.
-func (b *Book) stageCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
+func (b *Picker) stageCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
 	writers := 1.0
 	if s := b.engines[e.ID]; s != nil {
 		writers += s.guess(now).streams * b.fleet
@@ -317,7 +317,7 @@
 
 // pace gives by how much an engine is slower than usual, and more for one that
 // makes answers late.
-func (b *Book) pace(now time.Time, id ids.Life) float64 {
+func (b *Picker) pace(now time.Time, id ids.Life) float64 {
 	pace := b.conditions.Pace(now, id)
 	if pace < condition.SlowPace {
 		return pace
@@ -326,7 +326,7 @@
 }
 
 // layerCost is the time that a request takes in one layer of an engine, in ms.
-func (b *Book) layerCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
+func (b *Picker) layerCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
 	card, known := m.Cards[e.Card]
 	if !known {
 		card = layered.Card{StepFactor: 1, ReadFactor: 1}
@@ -335,7 +335,7 @@
 	if s := b.engines[e.ID]; s != nil {
 		writers += s.guess(now).streams * b.fleet
 	}
-	cost := m.ReadMs(card, 1, r.Prompt) + r.passes(m)*m.PassMs(card, 1, writers, r.tokens())
+	cost := m.ReadMs(card, 1, r.PromptTokens) + r.passes(m)*m.PassMs(card, 1, writers, r.tokens())
 	return cost * b.pace(now, e.ID)
 }
 
--- a/decide/chain/shortage_test.go
+++ b/decide/chain/shortage_test.go
@@ -33,12 +33,12 @@
 	for i := range 100 {
 		now = now.Add(10 * time.Millisecond)
 		conditions.Full(now, life("a2"))
-		c, err := b.Choose(now, m, v, request)
+		c, err := b.Pick(now, m, v, request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Began(now, c, request)
-		b.Ended(now, c, request)
+		b.RequestStarted(now, c, request)
+		b.RequestEnded(now, c, request)
 		if strings.Contains(c.String(), "b=") {
 			crossed++
 			if i >= 50 {
@@ -49,7 +49,7 @@
 	if crossed == 0 {
 		t.Error("no request crossed while the pipe was free")
 	}
-	if share := m.PipeShare(float64(after) / 0.5 * request.Prompt); share > 1.2 {
+	if share := m.PipeShare(float64(after) / 0.5 * request.PromptTokens); share > 1.2 {
 		t.Errorf("%d of the last 50 requests crossed, %.1f times what the pipe takes", after, share)
 	}
 }
@@ -62,7 +62,7 @@
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z2", "fast", 0, 80))
 	conditions.Failed(start, life("a"))
 	late := start.Add(time.Minute)
-	c, err := b.Choose(late, model(), v, request)
+	c, err := b.Pick(late, model(), v, request)
 	if err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
@@ -70,7 +70,7 @@
 		t.Errorf("to be asked: %v", due)
 	}
 	conditions.Answered(life("a"), "z1")
-	if c, err := b.Choose(late, model(), v, request); err != nil || c.String() != "a=0-80" {
+	if c, err := b.Pick(late, model(), v, request); err != nil || c.String() != "a=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
 }
@@ -89,11 +89,11 @@
 		conditions.Unreachable(start, id, "z1")
 	}
 	late := start.Add(time.Minute)
-	if c, err := b.Choose(late, model(), v, request); err != nil || c.String() != "b=0-80" {
+	if c, err := b.Pick(late, model(), v, request); err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
 	conditions.Answered(life("a1"), "z1")
-	if c, err := b.Choose(late, model(), v, request); err != nil || c.String() != "a3=0-80" {
+	if c, err := b.Pick(late, model(), v, request); err != nil || c.String() != "a3=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
 }
--- a/decide/chain/slots.go
+++ b/decide/chain/slots.go
@@ -20,9 +20,9 @@
 // counted have ended, and as many have come.
 const reportFresh = 1 * time.Second
 
-// Reported takes the number of requests that an engine tells to work on or queue as
+// LoadReported takes the number of requests that an engine tells to work on or queue as
 // their first stage.
-func (b *Book) Reported(now time.Time, id ids.Life, requests int) {
+func (b *Picker) LoadReported(now time.Time, id ids.Life, requests int) {
 	s := b.engines[id]
 	if s == nil {
 		return // it is gone, and its state with it
@@ -37,7 +37,7 @@
 // firsts gives the requests of the whole fleet of which an engine is the first stage, by
 // its report, or by a guess from this node's requests where that is too old; age is the
 // part of reportFresh that has passed since, 1 where there is no report.
-func (b *Book) firsts(now time.Time, id ids.Life) (requests, age float64) {
+func (b *Picker) firsts(now time.Time, id ids.Life) (requests, age float64) {
 	s := b.engines[id]
 	if s == nil {
 		return 0, 1
@@ -53,12 +53,12 @@
 // 1 with a queue, 0 where the engine does not tell how many it has. Other nodes may have
 // sent requests since its report: the older that is the more, by each request's own draw,
 // since nodes that know as little choose at the same moment.
-func (b *Book) slotsTaken(now time.Time, r Request, e *directory.Upstream) float64 {
+func (b *Picker) slotsTaken(now time.Time, r Request, e *directory.Upstream) float64 {
 	if e.Slots <= 0 {
 		return 0
 	}
 	requests, age := b.firsts(now, e.ID)
-	if r.Draw != 0 {
+	if r.JitterSeed != 0 {
 		requests += r.draw(e.ID) * age * unreported * b.fleet
 	}
 	return requests / float64(e.Slots)
@@ -70,6 +70,6 @@
 
 // slotCost is charged for an engine as the first stage, in ms: more as its slots fill, up
 // to queuedMs.
-func (b *Book) slotCost(now time.Time, r Request, e *directory.Upstream) float64 {
+func (b *Picker) slotCost(now time.Time, r Request, e *directory.Upstream) float64 {
 	return min(max(b.slotsTaken(now, r, e)-fullAt, 0)/(1-fullAt), 1) * queuedMs
 }
