--- a/decide/balancer/balancer_test.go
+++ b/decide/balancer/balancer_test.go
@@ -22,7 +22,7 @@
 // fakeView is a View of one graph with a Book and weights.
 type fakeView struct {
 	graph   *topology.Graph
-	book    *load.Book
+	book    *load.Estimator
 	weights map[ids.Upstream]float64
 	links   map[[2]ids.Upstream]float64
 }
@@ -49,7 +49,7 @@
 // report reports one engine.
 func (v *fakeView) report(id ids.Upstream, running int, leaving bool) {
 	r := engineapi.LoadReport{Engine: string(id), Slots: modelSlots, Running: running, Leaving: leaving}
-	if err := v.book.Report(epoch, r, epoch); err != nil {
+	if err := v.book.ApplyReport(epoch, r, epoch); err != nil {
 		panic(err)
 	}
 }
@@ -196,7 +196,7 @@
 			t.Fatal(c, ok)
 		}
 		for _, e := range c {
-			_ = v.book.Sent(epoch, e.ID)
+			_ = v.book.RequestStarted(epoch, e.ID)
 		}
 	}
 	for id, want := range map[ids.Upstream]float64{"0-15": 400, "16-47": 400, "0-23": 100, "24-47": 100} {
@@ -214,7 +214,7 @@
 	later := epoch.Add(replanEvery)
 	for range 20 {
 		c, _ := p.Pick(later, Request{}, v)
-		_ = v.book.Sent(later, c[0].ID)
+		_ = v.book.RequestStarted(later, c[0].ID)
 	}
 	if got := v.Estimate(later, "a").InFlight; got < 1 || got > 4 {
 		t.Errorf("%v of 20 in flight on a slow return", got)
@@ -266,7 +266,7 @@
 		t.Errorf("prefix kept its chain %d times, others took it %d times", same, others)
 	}
 	for range modelSlots - 1 {
-		_ = v.book.Sent(epoch, first[1].ID)
+		_ = v.book.RequestStarted(epoch, first[1].ID)
 	}
 	if c, _ := p.Pick(epoch, Request{PrefixHash: 9}, v); c[1].ID == first[1].ID {
 		t.Error("a prefix went to a nearly full engine")
@@ -281,7 +281,7 @@
 	if c, ok := p.Pick(epoch, r, v); !ok || c[0].ID != "a" {
 		t.Errorf("idle slow engine: %v, %v", c, ok)
 	}
-	_ = v.book.Sent(epoch, "a")
+	_ = v.book.RequestStarted(epoch, "a")
 	if c, ok := p.Pick(epoch, r, v); ok {
 		t.Errorf("busy slow engine: %v", c)
 	}
@@ -295,7 +295,7 @@
 	v.weights["c"] = 0
 	later, sent := epoch.Add(replanEvery), 0
 	for c, ok := p.Pick(later, Request{}, v); ok; c, ok = p.Pick(later, Request{}, v) {
-		_ = v.book.Sent(later, c[1].ID)
+		_ = v.book.RequestStarted(later, c[1].ID)
 		sent++
 	}
 	if want := int(intervalPart * 2 * 10); sent != want {
@@ -368,7 +368,7 @@
 	}
 	v, p := newFakeView(pair(1, 1, 1, 1)), NewPlainPicker(1)
 	for range 3 {
-		_ = v.book.Sent(epoch, "near1")
+		_ = v.book.RequestStarted(epoch, "near1")
 	}
 	for _, step := range []struct {
 		bar  ids.Upstream
--- a/decide/balancer/least_loaded.go
+++ b/decide/balancer/least_loaded.go
@@ -41,7 +41,7 @@
 // taken, +Inf when it may not be used or has none free.
 func (l *look) slotsTaken(i int) float64 {
 	e := l.estimate(i)
-	reported := float64(e.Reported)
+	reported := float64(e.ReportedRunning)
 	if !l.allowed(i) || !l.room(i, e, reported) {
 		return math.Inf(1)
 	}
--- a/decide/balancer/queue_model_test.go
+++ b/decide/balancer/queue_model_test.go
@@ -127,7 +127,7 @@
 	r := engineapi.LoadReport{Engine: string(e.ID), Slots: modelSlots, Running: m.engines[e.ID].running, AgeMs: modelReport.Milliseconds()}
 	m.after(modelReport, func() {
 		for _, to := range m.routers {
-			_ = to.book.Report(m.clock(), r, m.clock())
+			_ = to.book.ApplyReport(m.clock(), r, m.clock())
 		}
 	})
 }
@@ -135,10 +135,10 @@
 // digest tells a router's counts to its peers.
 func (m *model) digest(k int) {
 	counts := map[ids.Upstream]int{}
-	m.routers[k].book.Own(counts)
+	m.routers[k].book.CopyOwnCounts(counts)
 	for j, to := range m.routers {
 		if j != k {
-			_ = to.book.Peer(m.clock(), ids.VM(fmt.Sprint(k)), counts)
+			_ = to.book.ApplyPeerDigest(m.clock(), ids.VM(fmt.Sprint(k)), counts)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 		j.chain, j.last = chain, r.m.now
 		for _, e := range chain {
 			r.m.engines[e.ID].running++
-			_ = r.book.Sent(r.m.clock(), e.ID)
+			_ = r.book.RequestStarted(r.m.clock(), e.ID)
 		}
 		r.step(j)
 	}
@@ -214,7 +214,7 @@
 	}
 	for _, e := range j.chain {
 		r.m.engines[e.ID].running--
-		r.book.Ended(r.m.clock(), e.ID)
+		r.book.RequestEnded(r.m.clock(), e.ID)
 	}
 	r.dispatch()
 }
--- a/decide/load/book.go
+++ b/decide/load/book.go
@@ -9,30 +9,30 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Book holds the estimates of all upstreams. It is not safe for concurrent
+// Estimator holds the estimates of all upstreams. It is not safe for concurrent
 // use: the goroutine of the decision loop owns it.
-type Book struct {
+type Estimator struct {
 	settings  Settings
 	upstreams map[ids.Upstream]*entry
 	peers     map[ids.VM]map[ids.Upstream]int
 }
 
 // New makes an empty Book.
-func New(s Settings) *Book {
+func New(s Settings) *Estimator {
 	s.MaxUpstreams = cmp.Or(s.MaxUpstreams, defaultMaxUpstreams)
 	s.MaxPeers = cmp.Or(s.MaxPeers, defaultMaxPeers)
 	s.DigestInterval = cmp.Or(s.DigestInterval, defaultDigestInterval)
-	return &Book{
+	return &Estimator{
 		settings:  s,
 		upstreams: make(map[ids.Upstream]*entry),
 		peers:     make(map[ids.VM]map[ids.Upstream]int),
 	}
 }
 
-// Report takes an engine's report of itself, received at the given time. A
+// ApplyReport takes an engine's report of itself, received at the given time. A
 // report measured before the last one taken is ignored. The error is a
 // *ReportError or *FullError and means that nothing was changed.
-func (b *Book) Report(now time.Time, r engineapi.LoadReport, at time.Time) error {
+func (b *Estimator) ApplyReport(now time.Time, r engineapi.LoadReport, at time.Time) error {
 	if err := check(r); err != nil {
 		return err
 	}
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// Sent tells that this VM has sent a request to the upstream. Each Sent is
+// RequestStarted tells that this VM has sent a request to the upstream. Each RequestStarted is
 // followed by one Ended. A *FullError means that it was not counted.
-func (b *Book) Sent(now time.Time, id ids.Upstream) error {
+func (b *Estimator) RequestStarted(now time.Time, id ids.Upstream) error {
 	e, err := b.at(id)
 	if err != nil {
 		return err
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// Ended tells that a request of this VM at the upstream has ended.
-func (b *Book) Ended(now time.Time, id ids.Upstream) {
+// RequestEnded tells that a request of this VM at the upstream has ended.
+func (b *Estimator) RequestEnded(now time.Time, id ids.Upstream) {
 	e := b.upstreams[id]
 	if e == nil || e.own == 0 {
 		return
@@ -68,11 +68,11 @@
 	b.drop(id, e)
 }
 
-// Peer takes a peer's digest: all that VM has in flight now, by upstream. It
+// ApplyPeerDigest takes a peer's digest: all that VM has in flight now, by upstream. It
 // replaces the VM's digest before; an upstream it doesn't name counts 0. The
 // map is read, not kept. A *FullError means that the digest, or the part of
 // it about upstreams beyond the bound, was not taken.
-func (b *Book) Peer(now time.Time, vm ids.VM, counts map[ids.Upstream]int) error {
+func (b *Estimator) ApplyPeerDigest(now time.Time, vm ids.VM, counts map[ids.Upstream]int) error {
 	last, known := b.peers[vm]
 	if !known {
 		if len(b.peers) >= b.settings.MaxPeers {
@@ -92,7 +92,7 @@
 }
 
 // removeMissing zeroes the upstreams that a newer digest doesn't name.
-func (b *Book) removeMissing(now time.Time, last, counts map[ids.Upstream]int) {
+func (b *Estimator) removeMissing(now time.Time, last, counts map[ids.Upstream]int) {
 	for id, n := range last {
 		if _, ok := counts[id]; ok {
 			continue
@@ -107,7 +107,7 @@
 
 // setPeer sets one figure of a peer's digest. The first digest of a VM moves
 // work from the unexplained part to the peers' part.
-func (b *Book) setPeer(now time.Time, last map[ids.Upstream]int, id ids.Upstream, n int, first bool) error {
+func (b *Estimator) setPeer(now time.Time, last map[ids.Upstream]int, id ids.Upstream, n int, first bool) error {
 	before := last[id]
 	if n == before {
 		return nil
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// PeerGone forgets a VM that sends no digests any more. What it had in flight
+// RemovePeer forgets a VM that sends no digests any more. What it had in flight
 // may still run, so it moves to the unexplained part until reports tell.
-func (b *Book) PeerGone(now time.Time, vm ids.VM) {
+func (b *Estimator) RemovePeer(now time.Time, vm ids.VM) {
 	for id, n := range b.peers[vm] {
 		e := b.upstreams[id]
 		e.peers -= n
@@ -143,8 +143,8 @@
 	delete(b.peers, vm)
 }
 
-// Failed tells that the upstream did not answer a poll.
-func (b *Book) Failed(_ time.Time, id ids.Upstream) {
+// PollFailed tells that the upstream did not answer a poll.
+func (b *Estimator) PollFailed(_ time.Time, id ids.Upstream) {
 	if e := b.upstreams[id]; e != nil {
 		e.failures++
 	}
@@ -152,7 +152,7 @@
 
 // Forget drops the reports of an upstream that has left. Counts of work still
 // in flight stay until it ends.
-func (b *Book) Forget(id ids.Upstream) {
+func (b *Estimator) Forget(id ids.Upstream) {
 	e := b.upstreams[id]
 	if e == nil {
 		return
@@ -162,7 +162,7 @@
 }
 
 // Estimate gives what is believed of an upstream now.
-func (b *Book) Estimate(now time.Time, id ids.Upstream) Estimate {
+func (b *Estimator) Estimate(now time.Time, id ids.Upstream) Estimate {
 	e := b.upstreams[id]
 	if e == nil {
 		return Estimate{}
@@ -170,8 +170,8 @@
 	return e.estimate(now)
 }
 
-// Own adds this VM's counts in flight to the map, for its digest to peers.
-func (b *Book) Own(counts map[ids.Upstream]int) {
+// CopyOwnCounts adds this VM's counts in flight to the map, for its digest to peers.
+func (b *Estimator) CopyOwnCounts(counts map[ids.Upstream]int) {
 	for id, e := range b.upstreams {
 		if e.own > 0 {
 			counts[id] = e.own
@@ -179,11 +179,11 @@
 	}
 }
 
-// Upstreams gives the count of upstreams kept.
-func (b *Book) Upstreams() int { return len(b.upstreams) }
+// UpstreamCount gives the count of upstreams kept.
+func (b *Estimator) UpstreamCount() int { return len(b.upstreams) }
 
 // at gives the entry of an upstream, made when missing.
-func (b *Book) at(id ids.Upstream) (*entry, error) {
+func (b *Estimator) at(id ids.Upstream) (*entry, error) {
 	if e := b.upstreams[id]; e != nil {
 		return e, nil
 	}
@@ -196,7 +196,7 @@
 }
 
 // drop deletes an entry that holds nothing.
-func (b *Book) drop(id ids.Upstream, e *entry) {
+func (b *Estimator) drop(id ids.Upstream, e *entry) {
 	if !e.known && e.own == 0 && e.peers == 0 {
 		delete(b.upstreams, id)
 	}
--- a/decide/load/book_test.go
+++ b/decide/load/book_test.go
@@ -26,15 +26,15 @@
 }
 
 // take gives a book a report and fails the test on an error.
-func take(t *testing.T, b *Book, ms int, r engineapi.LoadReport) {
+func take(t *testing.T, b *Estimator, ms int, r engineapi.LoadReport) {
 	t.Helper()
-	if err := b.Report(at(ms), r, at(ms)); err != nil {
+	if err := b.ApplyReport(at(ms), r, at(ms)); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // expect checks the estimate of engine "e".
-func expect(t *testing.T, b *Book, ms int, want float64) {
+func expect(t *testing.T, b *Estimator, ms int, want float64) {
 	t.Helper()
 	if got := b.Estimate(at(ms), "e").InFlight; math.Abs(got-want) > 1e-9 {
 		t.Errorf("at %d ms: %v in flight, want %v", ms, got, want)
@@ -44,20 +44,20 @@
 func TestSendsBeforeAndAfterTheReportCountOnce(t *testing.T) {
 	b := New(Settings{})
 	for range 3 {
-		_ = b.Sent(at(0), "e")
+		_ = b.RequestStarted(at(0), "e")
 	}
-	_ = b.Peer(at(0), "peer", map[ids.Upstream]int{"e": 2})
-	_ = b.Sent(at(800), "e")
+	_ = b.ApplyPeerDigest(at(0), "peer", map[ids.Upstream]int{"e": 2})
+	_ = b.RequestStarted(at(800), "e")
 	// Measured at 500: our 3, the peer's 2, and 4 of senders not heard of.
 	take(t, b, 1000, lagged(9))
 	expect(t, b, 1000, 3+1+2+4)
-	b.Ended(at(1100), "e")
-	_ = b.Peer(at(1200), "peer", map[ids.Upstream]int{"e": 7})
+	b.RequestEnded(at(1100), "e")
+	_ = b.ApplyPeerDigest(at(1200), "peer", map[ids.Upstream]int{"e": 7})
 	expect(t, b, 1200, 3+7+4)
-	_ = b.Peer(at(1400), "peer", nil)
+	_ = b.ApplyPeerDigest(at(1400), "peer", nil)
 	expect(t, b, 1400, 3+4)
 	est := b.Estimate(at(1500), "e")
-	want := Estimate{InFlight: 7, Own: 3, Reported: 9, Slots: 16, Rate: 100, Epoch: "1", Age: time.Second, Known: true}
+	want := Estimate{InFlight: 7, OwnInFlight: 3, ReportedRunning: 9, Slots: 16, Rate: 100, Epoch: "1", Age: time.Second, HasReport: true}
 	if diff := cmp.Diff(want, est); diff != "" {
 		t.Error(diff)
 	}
@@ -66,7 +66,7 @@
 func TestReportCannotHideWorkAccountedFor(t *testing.T) {
 	b := New(Settings{})
 	for range 5 {
-		_ = b.Sent(at(0), "e")
+		_ = b.RequestStarted(at(0), "e")
 	}
 	take(t, b, 1000, lagged(0))
 	expect(t, b, 1000, 5)
@@ -74,9 +74,9 @@
 
 func TestPeerGoneKeepsItsWorkUntilReportsTell(t *testing.T) {
 	b := New(Settings{})
-	_ = b.Peer(at(0), "peer", map[ids.Upstream]int{"e": 6})
+	_ = b.ApplyPeerDigest(at(0), "peer", map[ids.Upstream]int{"e": 6})
 	take(t, b, 600, lagged(6))
-	b.PeerGone(at(1000), "peer")
+	b.RemovePeer(at(1000), "peer")
 	expect(t, b, 1000, 6)
 	take(t, b, 1200, lagged(6)) // measured while the peer was still heard
 	expect(t, b, 1200, 6)
@@ -92,7 +92,7 @@
 	b := New(Settings{})
 	take(t, b, 600, lagged(6))
 	expect(t, b, 600, 6)
-	_ = b.Peer(at(700), "peer", map[ids.Upstream]int{"e": 4})
+	_ = b.ApplyPeerDigest(at(700), "peer", map[ids.Upstream]int{"e": 4})
 	expect(t, b, 700, 6)
 }
 
@@ -105,7 +105,7 @@
 	restarted.Epoch, restarted.Leaving = "2", true
 	take(t, b, 1200, restarted)
 	expect(t, b, 1200, 0)
-	b.Failed(at(1300), "e")
+	b.PollFailed(at(1300), "e")
 	if est := b.Estimate(at(1300), "e"); est.Epoch != "2" || !est.Leaving || est.Failures != 1 {
 		t.Errorf("%+v", est)
 	}
@@ -124,7 +124,7 @@
 		r := lagged(1)
 		spoil(&r)
 		var typed *ReportError
-		if err := b.Report(at(1000), r, at(1000)); !errors.As(err, &typed) || typed.Field != field {
+		if err := b.ApplyReport(at(1000), r, at(1000)); !errors.As(err, &typed) || typed.Field != field {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -135,24 +135,24 @@
 
 func TestMemoryIsBounded(t *testing.T) {
 	b := New(Settings{MaxUpstreams: 3, MaxPeers: 1})
-	_ = b.Peer(at(0), "peer", map[ids.Upstream]int{"a": 1, "b": 1})
+	_ = b.ApplyPeerDigest(at(0), "peer", map[ids.Upstream]int{"a": 1, "b": 1})
 	var full *FullError
-	if err := b.Peer(at(0), "other", map[ids.Upstream]int{"a": 1}); !errors.As(err, &full) {
+	if err := b.ApplyPeerDigest(at(0), "other", map[ids.Upstream]int{"a": 1}); !errors.As(err, &full) {
 		t.Errorf("second peer: %v", err)
 	}
-	_ = b.Sent(at(0), "c")
-	if err := b.Sent(at(0), "d"); !errors.As(err, &full) || b.Upstreams() != 3 {
-		t.Errorf("fourth upstream: %v, %d kept", err, b.Upstreams())
+	_ = b.RequestStarted(at(0), "c")
+	if err := b.RequestStarted(at(0), "d"); !errors.As(err, &full) || b.UpstreamCount() != 3 {
+		t.Errorf("fourth upstream: %v, %d kept", err, b.UpstreamCount())
 	}
 	take(t, New(Settings{}), 0, lagged(0))
 	b.Forget("c")
-	if own := b.Estimate(at(0), "c").Own; own != 1 {
+	if own := b.Estimate(at(0), "c").OwnInFlight; own != 1 {
 		t.Errorf("forgetting lost %d of 1 in flight", 1-own)
 	}
-	b.Ended(at(1), "c")
-	_ = b.Peer(at(1), "peer", map[ids.Upstream]int{"a": 0})
-	if b.Upstreams() != 0 {
-		t.Errorf("%d upstreams kept of none", b.Upstreams())
+	b.RequestEnded(at(1), "c")
+	_ = b.ApplyPeerDigest(at(1), "peer", map[ids.Upstream]int{"a": 0})
+	if b.UpstreamCount() != 0 {
+		t.Errorf("%d upstreams kept of none", b.UpstreamCount())
 	}
 }
 
@@ -164,7 +164,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	var running [engines]int
 	var ends [10000][][2]int
-	books := make([]*Book, vms)
+	books := make([]*Estimator, vms)
 	for k := range books {
 		books[k] = New(Settings{})
 	}
@@ -175,13 +175,13 @@
 		for _, end := range ends[ms] {
 			running[end[1]]--
 			if own {
-				books[end[0]].Ended(now, name(end[1]))
+				books[end[0]].RequestEnded(now, name(end[1]))
 			}
 		}
 		for e := range engines {
 			if (ms+e*7)%200 == 0 && ms >= len(late) {
 				for _, b := range books {
-					_ = b.Report(now, engineapi.LoadReport{Engine: string(name(e)), Running: late[ms%len(late)][e], AgeMs: 500}, now)
+					_ = b.ApplyReport(now, engineapi.LoadReport{Engine: string(name(e)), Running: late[ms%len(late)][e], AgeMs: 500}, now)
 				}
 			}
 		}
@@ -189,10 +189,10 @@
 		for k, b := range books {
 			if peers && (ms+k*20)%200 == 0 {
 				counts := map[ids.Upstream]int{}
-				b.Own(counts)
+				b.CopyOwnCounts(counts)
 				for j := range books {
 					if j != k {
-						_ = books[j].Peer(now, ids.VM(fmt.Sprint(k)), counts)
+						_ = books[j].ApplyPeerDigest(now, ids.VM(fmt.Sprint(k)), counts)
 					}
 				}
 			}
@@ -204,7 +204,7 @@
 			end := ms + spell/2 + rng.IntN(spell)
 			ends[end] = append(ends[end], [2]int{k, e})
 			if own {
-				_ = books[k].Sent(now, name(e))
+				_ = books[k].RequestStarted(now, name(e))
 			}
 		}
 		if ms > 3000 {
@@ -222,7 +222,7 @@
 func name(e int) ids.Upstream { return ids.Upstream(fmt.Sprint("engine-", e)) }
 
 // least gives the engine that seems least loaded, the first from a random start.
-func least(b *Book, now time.Time, engines, start int) int {
+func least(b *Estimator, now time.Time, engines, start int) int {
 	best, fewest := 0, math.Inf(1)
 	for k := range engines {
 		e := (start + k) % engines
@@ -243,7 +243,7 @@
 
 func BenchmarkEstimate(b *testing.B) {
 	book := New(Settings{})
-	_ = book.Report(epoch, lagged(3), epoch)
+	_ = book.ApplyReport(epoch, lagged(3), epoch)
 	b.ReportAllocs()
 	for b.Loop() {
 		book.Estimate(epoch, "e")
--- a/decide/load/entry.go
+++ b/decide/load/entry.go
@@ -101,14 +101,14 @@
 func (e *entry) estimate(now time.Time) Estimate {
 	est := Estimate{
 		InFlight: float64(e.own+e.peers) + max(e.unexplained, 0),
-		Own:      e.own,
-		Reported: e.last.Running,
+		OwnInFlight:      e.own,
+		ReportedRunning: e.last.Running,
 		Slots:    e.last.Slots,
 		Rate:     e.last.TokensPerSecond,
 		Epoch:    e.last.Epoch,
 		Leaving:  e.last.Leaving,
 		Failures: e.failures,
-		Known:    e.known,
+		HasReport:    e.known,
 	}
 	if e.known {
 		est.Age = now.Sub(e.measured)
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -39,10 +39,10 @@
 type Estimate struct {
 	// InFlight is the estimated count of requests running now.
 	InFlight float64
-	// Own is the count this VM has in flight; exact.
-	Own int
-	// Reported is the running count of the last report as it came.
-	Reported int
+	// OwnInFlight is the count this VM has in flight; exact.
+	OwnInFlight int
+	// ReportedRunning is the running count of the last report as it came.
+	ReportedRunning int
 	// Slots is the most requests the upstream runs at once; 0 when not known.
 	Slots int
 	// Rate is the token steps a second at full batch; 0 when not known.
@@ -55,8 +55,8 @@
 	Age time.Duration
 	// Failures counts polls failed since the last report.
 	Failures int
-	// Known tells whether any report has come.
-	Known bool
+	// HasReport tells whether any report has come.
+	HasReport bool
 }
 
 // ReportError refuses a report with impossible figures.
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -110,7 +110,7 @@
 func (r *Router) peerSeen(ev PeerSeen) {
 	delete(r.gone, ev.VM)
 	// A digest that names more than the book keeps only loses precision.
-	_ = r.book.Peer(r.now, ev.VM, ev.Digest.InFlight)
+	_ = r.book.ApplyPeerDigest(r.now, ev.VM, ev.Digest.InFlight)
 	r.limiter.PeerUsage(r.now, ev.VM, ev.Digest.Usage)
 	r.peerBlame(ev.VM, ev.Digest.Quarantine)
 	for _, o := range ev.Digest.Health {
@@ -160,7 +160,7 @@
 // peerGone forgets what a peer told. The part of accounts' rates that a silent
 // peer holds stays its own, since it may work on behind a cut.
 func (r *Router) peerGone(ev PeerGone) {
-	r.book.PeerGone(r.now, ev.VM)
+	r.book.RemovePeer(r.now, ev.VM)
 	r.peerLeaving(ev.VM, nil)
 	if ev.Why != member.Restarted {
 		r.gone[ev.VM] = true
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -35,7 +35,7 @@
 	// upstreams holds what is known of each back end, by the VM list and by
 	// its own reports.
 	upstreams map[ids.Upstream]*upstream
-	book      *load.Book
+	book      *load.Estimator
 	health    *health.Tracker
 	limiter   *limit.Limiter
 	// vms are the entry VMs of the platform's newest list.
--- a/decide/router/upstream.go
+++ b/decide/router/upstream.go
@@ -52,7 +52,7 @@
 		return
 	}
 	u.asked = true
-	if err := r.book.Report(r.now, report, l.at); err != nil {
+	if err := r.book.ApplyReport(r.now, report, l.at); err != nil {
 		return
 	}
 	u.load = &l
@@ -97,7 +97,7 @@
 	}
 	u.asked = true
 	r.health.ReportMissed(r.now, ev.Upstream)
-	r.book.Failed(r.now, ev.Upstream)
+	r.book.PollFailed(r.now, ev.Upstream)
 	r.confirmDeath(u)
 }
 
@@ -109,7 +109,7 @@
 	}
 	u.running[req.arrive.ID] = req
 	// A book that is full only loses precision of the estimate.
-	_ = r.book.Sent(r.now, id)
+	_ = r.book.RequestStarted(r.now, id)
 }
 
 // untrack takes a request out of the load of an upstream.
@@ -122,5 +122,5 @@
 		return
 	}
 	delete(u.running, req.arrive.ID)
-	r.book.Ended(r.now, id)
+	r.book.RequestEnded(r.now, id)
 }
