--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -28,7 +28,7 @@
 	conditions  *condition.Table
 	chains      *chain.Picker
 	retryAfters *retryafter.Book
-	replicas    *replica.Book
+	replicas    *replica.Picker
 	budgets     map[ids.Service]*retry.Budget
 }
 
@@ -52,7 +52,7 @@
 	defer p.mu.Unlock()
 	p.nodes = n
 	p.chains.SetNodeCount(n)
-	p.replicas.SetFleet(n)
+	p.replicas.SetNodeCount(n)
 	for _, b := range p.budgets {
 		p.limit(b)
 	}
@@ -215,9 +215,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer func() { p.opts.Metrics.Took("decision.replica", p.opts.Now().Sub(began)) }()
-	u := p.replicas.Choose(p.opts.Now(), list, p.opts.Zone, avoid, draw)
+	u := p.replicas.Pick(p.opts.Now(), list, p.opts.Zone, avoid, draw)
 	if u != nil {
-		p.replicas.Began(u.ID)
+		p.replicas.RequestStarted(u.ID)
 	}
 	return u
 }
@@ -226,7 +226,7 @@
 func (p *picker) replicaEnded(id ids.Life, took time.Duration, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replicas.Ended(p.opts.Now(), id, took, failed)
+	p.replicas.RequestEnded(p.opts.Now(), id, took, failed)
 }
 
 // failed tells that an upstream did not answer.
--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -31,9 +31,9 @@
 	forgetAfter = 4 * time.Second
 )
 
-// Book is what a node knows of the upstreams of plain services. Make it with
+// Picker is what a node knows of the upstreams of plain services. Make it with
 // New.
-type Book struct {
+type Picker struct {
 	conditions *condition.Table
 	upstreams  map[ids.Life]*state
 	fleet      float64
@@ -47,15 +47,15 @@
 }
 
 // New makes a Book that shares beliefs with others.
-func New(conditions *condition.Table) *Book {
-	return &Book{conditions: conditions, upstreams: make(map[ids.Life]*state), fleet: 1}
+func New(conditions *condition.Table) *Picker {
+	return &Picker{conditions: conditions, upstreams: make(map[ids.Life]*state), fleet: 1}
 }
 
-// SetFleet tells how many nodes share the upstreams.
-func (b *Book) SetFleet(nodes int) { b.fleet = float64(max(nodes, 1)) }
+// SetNodeCount tells how many nodes share the upstreams.
+func (b *Picker) SetNodeCount(nodes int) { b.fleet = float64(max(nodes, 1)) }
 
 // of gives the state of an upstream.
-func (b *Book) of(id ids.Life) *state {
+func (b *Picker) of(id ids.Life) *state {
 	s := b.upstreams[id]
 	if s == nil {
 		s = &state{meanMs: usualMs}
@@ -64,12 +64,12 @@
 	return s
 }
 
-// Began counts a request at an upstream.
-func (b *Book) Began(id ids.Life) { b.of(id).active++ }
+// RequestStarted counts a request at an upstream.
+func (b *Picker) RequestStarted(id ids.Life) { b.of(id).active++ }
 
-// Ended takes a request off an upstream and notes how long its answer took.
+// RequestEnded takes a request off an upstream and notes how long its answer took.
 // Those that say nothing of the upstream have no time.
-func (b *Book) Ended(now time.Time, id ids.Life, took time.Duration, failed bool) {
+func (b *Picker) RequestEnded(now time.Time, id ids.Life, took time.Duration, failed bool) {
 	s := b.of(id)
 	s.active--
 	if took <= 0 && !failed {
@@ -87,16 +87,16 @@
 }
 
 // Forget drops what is known of an upstream that is gone.
-func (b *Book) Forget(id ids.Life) {
+func (b *Picker) Forget(id ids.Life) {
 	if s := b.upstreams[id]; s != nil && s.active <= 0 {
 		delete(b.upstreams, id)
 	}
 }
 
-// Choose gives the upstream for a request, nil if none may take it. Upstreams
+// Pick gives the upstream for a request, nil if none may take it. Upstreams
 // in avoid are left out; suspected ones are taken only if no other is left.
 // draw is uniform over 0 to 1 and decides among equals.
-func (b *Book) Choose(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
+func (b *Picker) Pick(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
 	var best *directory.Upstream
 	bestCost := math.Inf(1)
 	for i, u := range list {
@@ -117,7 +117,7 @@
 const suspectMs = 1e6
 
 // cost is the time to an answer that is expected of an upstream, ms.
-func (b *Book) cost(now time.Time, u *directory.Upstream, zone ids.Zone) float64 {
+func (b *Picker) cost(now time.Time, u *directory.Upstream, zone ids.Zone) float64 {
 	mean, active := usualMs, 0.0
 	if s := b.upstreams[u.ID]; s != nil {
 		active = float64(s.active)
--- a/decide/replica/replica_test.go
+++ b/decide/replica/replica_test.go
@@ -21,13 +21,13 @@
 
 func TestPrefersOwnZoneThenSpreads(t *testing.T) {
 	b := New(condition.New())
-	if u := b.Choose(start, three(), "2", nil, 0.5); u.ID != life("b") {
+	if u := b.Pick(start, three(), "2", nil, 0.5); u.ID != life("b") {
 		t.Errorf("idle: %s, want the own zone's", u.ID)
 	}
 	for range 6 {
-		b.Began(life("b"))
+		b.RequestStarted(life("b"))
 	}
-	if u := b.Choose(start, three(), "2", nil, 0.5); u.ID == life("b") {
+	if u := b.Pick(start, three(), "2", nil, 0.5); u.ID == life("b") {
 		t.Error("the own zone's is chosen though it is full")
 	}
 }
@@ -36,10 +36,10 @@
 	b := New(condition.New())
 	list := three()
 	list[1].Leaving = true
-	if u := b.Choose(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
+	if u := b.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
 		t.Errorf("chosen %s", u.ID)
 	}
-	if u := b.Choose(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
+	if u := b.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
 		t.Errorf("chosen %s, though none is left", u.ID)
 	}
 }
@@ -48,10 +48,10 @@
 	conditions := condition.New()
 	b := New(conditions)
 	conditions.Failed(start, life("b"))
-	if u := b.Choose(start, three(), "2", nil, 0); u.ID == life("b") {
+	if u := b.Pick(start, three(), "2", nil, 0); u.ID == life("b") {
 		t.Error("a suspected one is chosen before others")
 	}
-	if u := b.Choose(start, three(), "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
+	if u := b.Pick(start, three(), "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
 		t.Error("a suspected one is not chosen as the last")
 	}
 }
@@ -59,13 +59,13 @@
 func TestFailuresCostAndAreForgotten(t *testing.T) {
 	b := New(condition.New())
 	for range 3 {
-		b.Began(life("b"))
-		b.Ended(start, life("b"), time.Millisecond, true)
+		b.RequestStarted(life("b"))
+		b.RequestEnded(start, life("b"), time.Millisecond, true)
 	}
-	if u := b.Choose(start, three(), "2", nil, 0); u.ID == life("b") {
+	if u := b.Pick(start, three(), "2", nil, 0); u.ID == life("b") {
 		t.Error("one that fails fast looks quick")
 	}
-	if u := b.Choose(start.Add(5*time.Second), three(), "2", nil, 0); u.ID != life("b") {
+	if u := b.Pick(start.Add(5*time.Second), three(), "2", nil, 0); u.ID != life("b") {
 		t.Error("it is not tried again later")
 	}
 }
