--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -167,7 +167,7 @@
 		return &refusal{fasthttp.StatusUnauthorized, outcome.Unauthorized, "unknown key", 0}
 	}
 	_, draw := x.server.draw()
-	x.service = x.route.Pick(draw)
+	x.service = x.route.PickService(draw)
 	x.print = x.fingerprint()
 	x.setLimit()
 	return nil
@@ -308,7 +308,7 @@
 // done logs the whole answer of an upstream.
 func (x *exchange) done(status int, u *directory.Upstream) {
 	took := x.server.opts.Now().Sub(x.arrived)
-	if x.route.Kind != routing.Streaming && x.route.Objective > 0 && took > x.route.Objective {
+	if x.route.Kind != routing.Streaming && x.route.LatencyObjective > 0 && took > x.route.LatencyObjective {
 		x.lateFor(latePlain)
 	}
 	x.count("outcome.answered")
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -236,11 +236,11 @@
 	return routing.Config{
 		Version: 7,
 		Routes: []routing.Route{
-			{Name: "safe", Host: "h", PathPrefix: "/safe/", Kind: routing.Idempotent, Splits: split("plain"), MaxAttempts: 2, Timeout: 2 * time.Second, Objective: time.Second},
+			{Name: "safe", Host: "h", PathPrefix: "/safe/", Kind: routing.Idempotent, Splits: split("plain"), MaxAttempts: 2, Timeout: 2 * time.Second, LatencyObjective: time.Second},
 			{Name: "unsafe", Host: "h", PathPrefix: "/unsafe/", Kind: routing.NonIdempotent, Splits: split("plain"), MaxAttempts: 1, Timeout: 2 * time.Second},
 			{Name: "hurry", Host: "h", PathPrefix: "/hurry/", Kind: routing.NonIdempotent, Splits: split("plain"), MaxAttempts: 1, Timeout: 100 * time.Millisecond},
-			{Name: "open", Host: "h", PathPrefix: "/open/", Kind: routing.Idempotent, Splits: split("plain"), Open: true, Timeout: time.Second},
-			{Name: "stream", Host: "h", PathPrefix: "/stream/", Kind: routing.Streaming, Resumable: true, Splits: split("model"), MaxAttempts: 2, Timeout: 10 * time.Second, Objective: 250 * time.Millisecond, PauseObjective: 200 * time.Millisecond},
+			{Name: "open", Host: "h", PathPrefix: "/open/", Kind: routing.Idempotent, Splits: split("plain"), AuthExempt: true, Timeout: time.Second},
+			{Name: "stream", Host: "h", PathPrefix: "/stream/", Kind: routing.Streaming, Resumable: true, Splits: split("model"), MaxAttempts: 2, Timeout: 10 * time.Second, LatencyObjective: 250 * time.Millisecond, PauseObjective: 200 * time.Millisecond},
 			{Name: "plainstream", Host: "h", PathPrefix: "/plainstream/", Kind: routing.Streaming, Splits: split("plain"), Timeout: 10 * time.Second},
 			{Name: "once", Host: "h", PathPrefix: "/once/", Kind: routing.Streaming, Splits: split("model"), MaxAttempts: 2, Timeout: 10 * time.Second},
 		},
--- a/adapter/forward/headers.go
+++ b/adapter/forward/headers.go
@@ -133,9 +133,9 @@
 // keyOf finds the client account of a request; ok is false if it needs a key
 // and names none that is known.
 func (x *exchange) keyOf(table *routing.Table) (account *routing.Account, ok bool) {
-	if x.route.Open || !table.KeysNeeded() {
+	if x.route.AuthExempt || !table.RequiresKey() {
 		return nil, true
 	}
-	account = table.Account(string(x.req.Header.Peek(x.server.opts.Headers.Key)))
+	account = table.AccountByKey(string(x.req.Header.Peek(x.server.opts.Headers.Key)))
 	return account, account != nil
 }
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -150,7 +150,7 @@
 	// The request's own end comes first, with the answer for it.
 	wait := x.limit.Sub(x.server.opts.Now()) + time.Second
 	if first && x.route.Kind == routing.Idempotent && x.route.Attempts() > 1 {
-		hedge := max(time.Duration(float64(x.route.Objective)*hedgeObjectives), leastHedge)
+		hedge := max(time.Duration(float64(x.route.LatencyObjective)*hedgeObjectives), leastHedge)
 		wait = min(wait, hedge)
 	}
 	return func(waited time.Duration) (time.Duration, error) {
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -74,7 +74,7 @@
 	x := w.s.x
 	now := x.server.opts.Now()
 	pause := now.Sub(w.s.last)
-	if !w.begun && x.route.Objective > 0 && now.Sub(x.arrived) > x.route.Objective {
+	if !w.begun && x.route.LatencyObjective > 0 && now.Sub(x.arrived) > x.route.LatencyObjective {
 		x.lateFor(w.why(true))
 	}
 	if w.begun && x.route.PauseObjective > 0 && pause > x.route.PauseObjective {
@@ -97,7 +97,7 @@
 func (w *streamWait) patience() time.Duration {
 	route := w.s.x.route
 	if !w.begun {
-		objective := route.Objective
+		objective := route.LatencyObjective
 		if objective <= 0 {
 			objective = defaultObjective
 		}
--- a/adapter/relay/packed_test.go
+++ b/adapter/relay/packed_test.go
@@ -40,7 +40,7 @@
 		c.Routes = append(c.Routes, routing.Route{
 			Name: "r-" + word(7), Host: word(6) + ".example", PathPrefix: "/" + word(7) + "/", Kind: routing.Streaming, Resumable: true,
 			Splits: []routing.Split{{Service: "huvo11a", Weight: 1}}, MaxAttempts: 2, Timeout: 20 * time.Second,
-			Objective: 600 * time.Millisecond, PauseObjective: 300 * time.Millisecond, Priority: 1,
+			LatencyObjective: 600 * time.Millisecond, PauseObjective: 300 * time.Millisecond, Priority: 1,
 		})
 	}
 	return c
--- a/decide/routing/routing.go
+++ b/decide/routing/routing.go
@@ -44,14 +44,14 @@
 	MaxAttempts int
 	// Timeout is the longest a caller is kept waiting.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event.
-	Objective time.Duration
+	// LatencyObjective is the time to the answer, or to a stream's first event.
+	LatencyObjective time.Duration `json:"Objective"`
 	// PauseObjective is the longest pause between two events of a stream.
 	PauseObjective time.Duration
 	// Priority ranks the route's requests; 0 goes first.
 	Priority int
-	// Open routes need no key.
-	Open bool
+	// AuthExempt routes need no key.
+	AuthExempt bool `json:"Open"`
 }
 
 // MayRepeat reports whether a request of the route may run more than once.
@@ -197,14 +197,14 @@
 	return nil
 }
 
-// KeysNeeded reports whether requests must name a client account.
-func (t *Table) KeysNeeded() bool { return len(t.config.Accounts) > 0 }
+// RequiresKey reports whether requests must name a client account.
+func (t *Table) RequiresKey() bool { return len(t.config.Accounts) > 0 }
 
-// Account gives the client account of a key; nil if no account has it.
-func (t *Table) Account(key string) *Account { return t.accounts[key] }
+// AccountByKey gives the client account of a key; nil if no account has it.
+func (t *Table) AccountByKey(key string) *Account { return t.accounts[key] }
 
-// Pick gives the service for a draw that is uniform over all of uint64.
-func (r *Route) Pick(draw uint64) ids.Service {
+// PickService gives the service for a draw that is uniform over all of uint64.
+func (r *Route) PickService(draw uint64) ids.Service {
 	total := 0
 	for _, s := range r.Splits {
 		total += max(s.Weight, 0)
--- a/decide/routing/routing_test.go
+++ b/decide/routing/routing_test.go
@@ -60,7 +60,7 @@
 	r := Route{Splits: []Split{{"a", 90}, {"b", 10}, {"c", 0}}}
 	counts := make(map[ids.Service]int)
 	for draw := range uint64(1000) {
-		counts[r.Pick(draw)]++
+		counts[r.PickService(draw)]++
 	}
 	if counts["a"] != 900 || counts["b"] != 100 || counts["c"] != 0 {
 		t.Errorf("shares %v", counts)
@@ -76,14 +76,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a := table.Account("k2"); a == nil || a.Name != "x" {
+	if a := table.AccountByKey("k2"); a == nil || a.Name != "x" {
 		t.Errorf("account of k2: %v", a)
 	}
-	if table.Account("k4") != nil || table.Account("") != nil {
+	if table.AccountByKey("k4") != nil || table.AccountByKey("") != nil {
 		t.Error("an unknown key names an account")
 	}
 	r := Route{Priority: 2}
-	if r.PriorityOf(table.Account("k1")) != 0 || r.PriorityOf(table.Account("k3")) != 2 || r.PriorityOf(nil) != 2 {
+	if r.PriorityOf(table.AccountByKey("k1")) != 0 || r.PriorityOf(table.AccountByKey("k3")) != 2 || r.PriorityOf(nil) != 2 {
 		t.Error("an account's priority goes before the route's, where it is set")
 	}
 }
