--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -161,7 +161,7 @@
 	if c.dead[u.ID] {
 		return layered.Report{}, &GoneError{Cause: context.DeadlineExceeded}
 	}
-	return layered.Report{Born: c.born[u.ID.Upstream], Pace: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
+	return layered.Report{Born: c.born[u.ID.Upstream], Slowdown: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
 }
 
 // Reroute implements Engines.
@@ -226,8 +226,8 @@
 
 // testModel has ten layers.
 var testModel = &layered.Model{
-	Layers: 10, LayerMB: 1, KVTokenBytes: 1, StepMs: 1, ReadPerMs: 100, Stride: 1, Prompt: 10, Answer: 10,
-	Cards: map[string]layered.Card{"card": {MemoryMB: 1000, StepFactor: 1, ReadFactor: 1}},
+	Layers: 10, LayerMB: 1, KVTokenBytes: 1, StepMs: 1, PrefillTokensPerMs: 100, StepsPerPass: 1, MeanPromptTokens: 10, MeanOutputTokens: 10,
+	Cards: map[string]layered.Card{"card": {MemoryMB: 1000, StepFactor: 1, PrefillFactor: 1}},
 }
 
 // testConfig has a route of each kind.
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -64,10 +64,10 @@
 		return
 	}
 	if s.req.PromptTokens == 0 {
-		s.req.PromptTokens = s.model.Prompt
+		s.req.PromptTokens = s.model.MeanPromptTokens
 	}
 	if s.req.OutputTokens == 0 {
-		s.req.OutputTokens = s.model.Answer
+		s.req.OutputTokens = s.model.MeanOutputTokens
 	}
 }
 
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -321,7 +321,7 @@
 		p.opts.Restarted(now)
 		return Unfit, &directory.RestartedError{Known: u.ID, Now: now}
 	}
-	if report.Busy {
+	if report.ExecutingOrder {
 		return Unfit, nil
 	}
 	limit, done = context.WithTimeout(ctx, callTimeout)
@@ -330,7 +330,7 @@
 	if !ok {
 		return Unfit, &LeaseError{}
 	}
-	return p.opts.Engines.Place(limit, u, Order{Layers: layers, Fence: fence, After: report.Orders})
+	return p.opts.Engines.Place(limit, u, Order{Layers: layers, Fence: fence, After: report.OrdersStarted})
 }
 
 // term gives the number of the own term, if orders may be given in it now.
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -79,7 +79,7 @@
 	if f.hangs {
 		return layered.Report{}, &LeaseError{}
 	}
-	return layered.Report{Born: f.born[u.ID.Upstream], Orders: 4}, nil
+	return layered.Report{Born: f.born[u.ID.Upstream], OrdersStarted: 4}, nil
 }
 
 func (f *fleet) Place(_ context.Context, u *directory.Upstream, o Order) (Result, error) {
@@ -120,8 +120,8 @@
 
 // playModel has 10 layers on one kind of card.
 var playModel = &layered.Model{
-	Layers: 10, LayerMB: 10, KVTokenBytes: 10, StepMs: 1, Stride: 1, LoadSeconds: 10,
-	Cards: map[string]layered.Card{"card": {MemoryMB: 100, StepFactor: 1, ReadFactor: 1}},
+	Layers: 10, LayerMB: 10, KVTokenBytes: 10, StepMs: 1, StepsPerPass: 1, LoadSeconds: 10,
+	Cards: map[string]layered.Card{"card": {MemoryMB: 100, StepFactor: 1, PrefillFactor: 1}},
 }
 
 // play runs the duty over a fleet, in a bubble of its own clock.
--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -40,11 +40,11 @@
 // siteModel has 80 layers on three kinds of cards.
 var siteModel = &layered.Model{
 	Layers: 80, LayerMB: 1750, KVTokenBytes: 590000, StepMs: 0.85, PerSequenceMs: 0.004, PerContextMs: 0.005,
-	ReadPerMs: 196, Stride: 2, LoadSeconds: 14, Prompt: 760, Answer: 172,
+	PrefillTokensPerMs: 196, StepsPerPass: 2, LoadSeconds: 14, MeanPromptTokens: 760, MeanOutputTokens: 172,
 	Cards: map[string]layered.Card{
-		"large":  {MemoryMB: 36000, StepFactor: 3.1, ReadFactor: 3.2},
-		"medium": {MemoryMB: 21600, StepFactor: 16, ReadFactor: 8.2},
-		"small":  {MemoryMB: 14400, StepFactor: 15, ReadFactor: 15},
+		"large":  {MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
+		"medium": {MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2},
+		"small":  {MemoryMB: 14400, StepFactor: 15, PrefillFactor: 15},
 	},
 }
 
@@ -127,7 +127,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.servers[u.ID]
-	return layered.Report{Orders: e.orders, Busy: e.busy}, nil
+	return layered.Report{OrdersStarted: e.orders, ExecutingOrder: e.busy}, nil
 }
 
 // Place implements Engines: layers that are given up take nothing new at once, and others
@@ -141,7 +141,7 @@
 	}
 	e.orders++
 	e.busy = true
-	kept := e.up.Layers.Common(o.Layers)
+	kept := e.up.Layers.Intersect(o.Layers)
 	if kept.Empty() {
 		kept = layered.Range{}
 	}
@@ -223,7 +223,7 @@
 
 // request is what streams need.
 func (s *site) request(begun bool) chain.Request {
-	return chain.Request{Service: "s", Zone: "x", PromptTokens: siteModel.Prompt, OutputTokens: siteModel.Answer, OutputStarted: begun, JitterSeed: s.rand.Uint64() | 1}
+	return chain.Request{Service: "s", Zone: "x", PromptTokens: siteModel.MeanPromptTokens, OutputTokens: siteModel.MeanOutputTokens, OutputStarted: begun, JitterSeed: s.rand.Uint64() | 1}
 }
 
 // try sends a stream through a chain, and reports whether all engines took it.
@@ -256,7 +256,7 @@
 	for _, r := range e.runs {
 		used += r.Len()
 	}
-	return float64(used)*(siteModel.Prompt+siteModel.Answer)*siteModel.KVTokenBytes/float64(siteModel.Layers) <= free
+	return float64(used)*(siteModel.MeanPromptTokens+siteModel.MeanOutputTokens)*siteModel.KVTokenBytes/float64(siteModel.Layers) <= free
 }
 
 // finish ends a stream once its time is over, if it still runs on the same chain.
--- a/core/layered/layered.go
+++ b/core/layered/layered.go
@@ -23,8 +23,8 @@
 // Covers reports whether every layer of o is in r.
 func (r Range) Covers(o Range) bool { return r.From <= o.From && o.To <= r.To }
 
-// Common gives the layers that are in both ranges.
-func (r Range) Common(o Range) Range {
+// Intersect gives the layers that are in both ranges.
+func (r Range) Intersect(o Range) Range {
 	return Range{From: max(r.From, o.From), To: min(r.To, o.To)}
 }
 
@@ -37,8 +37,8 @@
 	MemoryMB float64
 	// StepFactor multiplies the time of a decoding step.
 	StepFactor float64
-	// ReadFactor multiplies the time of reading a prompt.
-	ReadFactor float64
+	// PrefillFactor multiplies the time of reading a prompt.
+	PrefillFactor float64 `json:"ReadFactor"`
 }
 
 // Model is a model and the pace of its engines. Times are for all layers on a
@@ -56,21 +56,22 @@
 	PerSequenceMs float64
 	// PerContextMs is added to a step for each 1,000 tokens of context.
 	PerContextMs float64
-	// ReadPerMs is how many prompt tokens are read in a ms.
-	ReadPerMs float64
-	// Stride is how many steps one pass makes.
-	Stride int
+	// PrefillTokensPerMs is how many prompt tokens are read in a ms.
+	PrefillTokensPerMs float64 `json:"ReadPerMs"`
+	// StepsPerPass is how many steps one pass makes.
+	StepsPerPass int `json:"Stride"`
 	// LoadSeconds is the time to load all layers, in s.
 	LoadSeconds float64
-	// Prompt and Answer are the mean sizes of requests, in tokens.
-	Prompt, Answer float64
+	// MeanPromptTokens and MeanOutputTokens are the mean sizes of requests, in tokens.
+	MeanPromptTokens float64 `json:"Prompt"`
+	MeanOutputTokens float64 `json:"Answer"`
 	// Cards are the kinds of accelerators by name.
 	Cards map[string]Card
 	// ActivationBytes is what one token hands on from stage to stage.
 	ActivationBytes float64
-	// PipeMbps is the rate of the way between two zones, which all share, 0 where
+	// ZoneLinkMbps is the rate of the way between two zones, which all share, 0 where
 	// it is not known.
-	PipeMbps float64
+	ZoneLinkMbps float64 `json:"PipeMbps"`
 }
 
 // mb is the number of bytes in a MB, as the platform counts them.
@@ -81,8 +82,8 @@
 	return float64(layers)*m.LayerMB <= card.MemoryMB
 }
 
-// Room gives the tokens of KV cache that fit beside so many layers of weights.
-func (m *Model) Room(card Card, layers int) float64 {
+// KVCapacityTokens gives the tokens of KV cache that fit beside so many layers of weights.
+func (m *Model) KVCapacityTokens(card Card, layers int) float64 {
 	if layers <= 0 || m.Layers <= 0 || m.KVTokenBytes <= 0 {
 		return 0
 	}
@@ -91,9 +92,9 @@
 	return max(free, 0) / perToken
 }
 
-// PartBeside gives the part of a card's memory that weights may take, 0 to 1, so that so
+// MaxWeightFraction gives the part of a card's memory that weights may take, 0 to 1, so that so
 // many tokens of KV cache fit beside them, as Room tells; 0 where the cache is not known.
-func (m *Model) PartBeside(tokens float64) float64 {
+func (m *Model) MaxWeightFraction(tokens float64) float64 {
 	weights := float64(m.Layers) * m.LayerMB * mb
 	cache := tokens * m.KVTokenBytes
 	if weights <= 0 || cache <= 0 {
@@ -109,7 +110,7 @@
 // many requests writing, each with context tokens behind it.
 func (m *Model) PassMs(card Card, layers int, writers, context float64) float64 {
 	step := m.StepMs + writers*(m.PerSequenceMs+m.PerContextMs*context/1000)
-	return float64(max(m.Stride, 1)) * step * card.StepFactor * m.share(layers)
+	return float64(max(m.StepsPerPass, 1)) * step * card.StepFactor * m.share(layers)
 }
 
 // waitPart of a whole pass of an engine is waited at each stage for the pass that
@@ -122,12 +123,12 @@
 	return waitPart * m.PassMs(card, held, writers, context)
 }
 
-// ReadMs is the time to read a prompt through so many layers, in ms.
-func (m *Model) ReadMs(card Card, layers int, tokens float64) float64 {
-	if m.ReadPerMs <= 0 {
+// PrefillMs is the time to read a prompt through so many layers, in ms.
+func (m *Model) PrefillMs(card Card, layers int, tokens float64) float64 {
+	if m.PrefillTokensPerMs <= 0 {
 		return 0
 	}
-	return tokens / m.ReadPerMs * card.ReadFactor * m.share(layers)
+	return tokens / m.PrefillTokensPerMs * card.PrefillFactor * m.share(layers)
 }
 
 // Life gives the life that a report speaks for: the one known, or a later one if
@@ -139,13 +140,13 @@
 	return ids.Life{Upstream: known.Upstream, Born: max(known.Born, r.Born)}
 }
 
-// PipeShare gives the part of the way between two zones that so many tokens a
+// ZoneLinkUtilization gives the part of the way between two zones that so many tokens a
 // second take.
-func (m *Model) PipeShare(tokensPerS float64) float64 {
-	if m.PipeMbps <= 0 {
+func (m *Model) ZoneLinkUtilization(tokensPerS float64) float64 {
+	if m.ZoneLinkMbps <= 0 {
 		return 0
 	}
-	return tokensPerS * m.ActivationBytes * bits / (m.PipeMbps * mb)
+	return tokensPerS * m.ActivationBytes * bits / (m.ZoneLinkMbps * mb)
 }
 
 // bits is the number of bits in a byte.
@@ -155,14 +156,14 @@
 type Report struct {
 	// Born is the Unix time of its start in ms, 0 where it does not tell.
 	Born int64
-	// Pace over 1 means that it takes so many times as long as usual.
-	Pace float64
+	// Slowdown over 1 means that it takes so many times as long as usual.
+	Slowdown float64
 	// Active and Queued count its requests.
 	Active, Queued int
-	// Busy tells that it carries out an order; Orders counts those it began
+	// ExecutingOrder tells that it carries out an order; Orders counts those it began
 	// since its start.
-	Busy   bool
-	Orders int64
+	ExecutingOrder bool
+	OrdersStarted  int64
 	// Layers is what it holds, empty for nothing.
 	Layers Range
 	// KVUsed and KVTotal are its KV cache, in tokens times layers.
--- a/decide/chain/book.go
+++ b/decide/chain/book.go
@@ -174,5 +174,5 @@
 		return zoneHopMs
 	}
 	p.fade(now)
-	return zoneHopMs / max(1-m.PipeShare(p.tokensPerS*b.fleet), leastFree)
+	return zoneHopMs / max(1-m.ZoneLinkUtilization(p.tokensPerS*b.fleet), leastFree)
 }
--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -18,10 +18,10 @@
 func model() *layered.Model {
 	return &layered.Model{
 		Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, StepMs: 1, PerSequenceMs: 0.007, PerContextMs: 0.01,
-		ReadPerMs: 105, Stride: 3, Prompt: 774, Answer: 200,
+		PrefillTokensPerMs: 105, StepsPerPass: 3, MeanPromptTokens: 774, MeanOutputTokens: 200,
 		Cards: map[string]layered.Card{
-			"fast": {MemoryMB: 72000, StepFactor: 2, ReadFactor: 2},
-			"slow": {MemoryMB: 72000, StepFactor: 10, ReadFactor: 10},
+			"fast": {MemoryMB: 72000, StepFactor: 2, PrefillFactor: 2},
+			"slow": {MemoryMB: 72000, StepFactor: 10, PrefillFactor: 10},
 		},
 	}
 }
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -68,7 +68,9 @@
 }
 
 // mayBegin reports whether an engine may be the first stage.
-func (r Request) mayBegin(e *directory.Upstream) bool { return r.AllowedFirst == nil || r.AllowedFirst[e.ID] }
+func (r Request) mayBegin(e *directory.Upstream) bool {
+	return r.AllowedFirst == nil || r.AllowedFirst[e.ID]
+}
 
 // tokens is the KV cache that a request needs on each stage.
 func (r Request) tokens() float64 { return r.PromptTokens + r.OutputTokens }
@@ -168,7 +170,7 @@
 	if s == nil {
 		return 0
 	}
-	room := m.Room(m.Cards[e.Card], e.Layers.Len()) * float64(e.Layers.Len())
+	room := m.KVCapacityTokens(m.Cards[e.Card], e.Layers.Len()) * float64(e.Layers.Len())
 	if room <= 0 {
 		return 0
 	}
@@ -294,7 +296,9 @@
 }
 
 // passes is how many decoding passes a request takes.
-func (r Request) passes(m *layered.Model) float64 { return r.OutputTokens / float64(max(m.Stride, 1)) }
+func (r Request) passes(m *layered.Model) float64 {
+	return r.OutputTokens / float64(max(m.StepsPerPass, 1))
+}
 
 // stageCost is the time that a request takes at an engine beside its passes, in
 // ms.
@@ -329,13 +333,13 @@
 func (b *Picker) layerCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
 	card, known := m.Cards[e.Card]
 	if !known {
-		card = layered.Card{StepFactor: 1, ReadFactor: 1}
+		card = layered.Card{StepFactor: 1, PrefillFactor: 1}
 	}
 	writers := 1.0
 	if s := b.engines[e.ID]; s != nil {
 		writers += s.guess(now).streams * b.fleet
 	}
-	cost := m.ReadMs(card, 1, r.PromptTokens) + r.passes(m)*m.PassMs(card, 1, writers, r.tokens())
+	cost := m.PrefillMs(card, 1, r.PromptTokens) + r.passes(m)*m.PassMs(card, 1, writers, r.tokens())
 	return cost * b.pace(now, e.ID)
 }
 
--- a/decide/chain/shortage_test.go
+++ b/decide/chain/shortage_test.go
@@ -13,7 +13,7 @@
 // pipedModel is the model with figures of the way between zones.
 func pipedModel() *layered.Model {
 	m := model()
-	m.ActivationBytes, m.PipeMbps = 29500, 3280
+	m.ActivationBytes, m.ZoneLinkMbps = 29500, 3280
 	return m
 }
 
@@ -49,7 +49,7 @@
 	if crossed == 0 {
 		t.Error("no request crossed while the pipe was free")
 	}
-	if share := m.PipeShare(float64(after) / 0.5 * request.PromptTokens); share > 1.2 {
+	if share := m.ZoneLinkUtilization(float64(after) / 0.5 * request.PromptTokens); share > 1.2 {
 		t.Errorf("%d of the last 50 requests crossed, %.1f times what the pipe takes", after, share)
 	}
 }
--- a/decide/load/entry.go
+++ b/decide/load/entry.go
@@ -100,15 +100,15 @@
 // estimate gives the belief now.
 func (e *entry) estimate(now time.Time) Estimate {
 	est := Estimate{
-		InFlight: float64(e.own+e.peers) + max(e.unexplained, 0),
-		OwnInFlight:      e.own,
+		InFlight:        float64(e.own+e.peers) + max(e.unexplained, 0),
+		OwnInFlight:     e.own,
 		ReportedRunning: e.last.Running,
-		Slots:    e.last.Slots,
-		Rate:     e.last.TokensPerSecond,
-		Epoch:    e.last.Epoch,
-		Leaving:  e.last.Leaving,
-		Failures: e.failures,
-		HasReport:    e.known,
+		Slots:           e.last.Slots,
+		Rate:            e.last.TokensPerSecond,
+		Epoch:           e.last.Epoch,
+		Leaving:         e.last.Leaving,
+		Failures:        e.failures,
+		HasReport:       e.known,
 	}
 	if e.known {
 		est.Age = now.Sub(e.measured)
--- a/decide/placement/compare_test.go
+++ b/decide/placement/compare_test.go
@@ -71,7 +71,7 @@
 		sum := 0.0
 		for _, e := range engines {
 			if e.Holds.Covers(layered.Range{From: layer, To: layer + 1}) {
-				sum += 1 / m.PassMs(m.Cards[e.Card], e.Holds.Len(), 1, m.Prompt)
+				sum += 1 / m.PassMs(m.Cards[e.Card], e.Holds.Len(), 1, m.MeanPromptTokens)
 			}
 		}
 		least = min(least, sum)
@@ -83,7 +83,7 @@
 func bound(m *layered.Model, engines []Engine) float64 {
 	sum := 0.0
 	for _, e := range engines {
-		sum += 1 / m.PassMs(m.Cards[e.Card], 1, 1, m.Prompt)
+		sum += 1 / m.PassMs(m.Cards[e.Card], 1, 1, m.MeanPromptTokens)
 	}
 	return sum / float64(m.Layers)
 }
@@ -93,7 +93,7 @@
 	least := math.Inf(1)
 	for _, e := range engines {
 		if !e.Holds.Empty() {
-			least = min(least, m.Room(m.Cards[e.Card], e.Holds.Len()))
+			least = min(least, m.KVCapacityTokens(m.Cards[e.Card], e.Holds.Len()))
 		}
 	}
 	return least
@@ -151,7 +151,7 @@
 			}
 			card := m.Cards[e.Card]
 			for to := at + 1; to <= e.Holds.To; to++ {
-				ms := best[at] + m.PassMs(card, to-at, 1, m.Prompt) + m.WaitMs(card, e.Holds.Len(), 1, m.Prompt)
+				ms := best[at] + m.PassMs(card, to-at, 1, m.MeanPromptTokens) + m.WaitMs(card, e.Holds.Len(), 1, m.MeanPromptTokens)
 				best[to] = min(best[to], ms)
 			}
 		}
--- a/decide/placement/part.go
+++ b/decide/placement/part.go
@@ -33,7 +33,7 @@
 // an engine has room for so many requests of the usual size beside its layers; 0 where
 // the size of requests or their cache is not told.
 func partBeside(m *layered.Model, streams float64) float64 {
-	return m.PartBeside(streams * (m.Prompt + m.Answer))
+	return m.MaxWeightFraction(streams * (m.MeanPromptTokens + m.MeanOutputTokens))
 }
 
 // widest are options by which engines leave the room of few requests.
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -47,7 +47,7 @@
 }
 
 // serves gives what it holds and goes on holding.
-func (e Engine) serves() layered.Range { return e.Holds.Common(e.will()) }
+func (e Engine) serves() layered.Range { return e.Holds.Intersect(e.will()) }
 
 // Order tells an engine what to hold.
 type Order struct {
@@ -154,7 +154,7 @@
 		}
 		at = order.Layers.To
 		card := cards[order.Engine]
-		ms += m.PassMs(card, order.Layers.Len(), 1, m.Prompt) + m.WaitMs(card, order.Layers.Len(), 1, m.Prompt)
+		ms += m.PassMs(card, order.Layers.Len(), 1, m.MeanPromptTokens) + m.WaitMs(card, order.Layers.Len(), 1, m.MeanPromptTokens)
 	}
 	if at < m.Layers {
 		return math.Inf(1)
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -16,11 +16,11 @@
 func model() *layered.Model {
 	return &layered.Model{
 		Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, StepMs: 1, PerSequenceMs: 0.007, PerContextMs: 0.01,
-		ReadPerMs: 105, Stride: 3, LoadSeconds: 14, Prompt: 774, Answer: 200,
+		PrefillTokensPerMs: 105, StepsPerPass: 3, LoadSeconds: 14, MeanPromptTokens: 774, MeanOutputTokens: 200,
 		Cards: map[string]layered.Card{
-			"large":  {MemoryMB: 72000, StepFactor: 2.4, ReadFactor: 3.2},
-			"medium": {MemoryMB: 43200, StepFactor: 5.6, ReadFactor: 2.7},
-			"small":  {MemoryMB: 21600, StepFactor: 16, ReadFactor: 8.2},
+			"large":  {MemoryMB: 72000, StepFactor: 2.4, PrefillFactor: 3.2},
+			"medium": {MemoryMB: 43200, StepFactor: 5.6, PrefillFactor: 2.7},
+			"small":  {MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2},
 		},
 	}
 }
--- a/decide/placement/shift.go
+++ b/decide/placement/shift.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		add(serving, e.Holds, -1)
-		add(serving, e.Holds.Common(next), 1)
+		add(serving, e.Holds.Intersect(next), 1)
 		orders = append(orders, Order{Engine: e.ID, Layers: next})
 	}
 	return orders
--- a/decide/placement/tiling.go
+++ b/decide/placement/tiling.go
@@ -88,7 +88,7 @@
 	if r.Len() > most || e.Fixed && !e.underWay() {
 		return math.MaxInt
 	}
-	cost := r.Len() - held.Common(r).Len()
+	cost := r.Len() - held.Intersect(r).Len()
 	if !e.underWay() {
 		cost += orderLayers
 	}
@@ -107,9 +107,9 @@
 	}
 	passMs := 0.0
 	for _, e := range along {
-		passMs += m.PassMs(m.Cards[e.Card], e.will().Len(), fewStreams, m.Prompt+m.Answer)
+		passMs += m.PassMs(m.Cards[e.Card], e.will().Len(), fewStreams, m.MeanPromptTokens+m.MeanOutputTokens)
 	}
-	answer := time.Duration(m.Answer / float64(max(m.Stride, 1)) * passMs * float64(time.Millisecond))
+	answer := time.Duration(m.MeanOutputTokens / float64(max(m.StepsPerPass, 1)) * passMs * float64(time.Millisecond))
 	return int(answer.Seconds() / m.LoadSeconds * float64(m.Layers))
 }
 
--- a/decide/placement/whole_test.go
+++ b/decide/placement/whole_test.go
@@ -20,7 +20,7 @@
 func drawFleet(r *rand.Rand) (*layered.Model, []Engine) {
 	m := model()
 	m.KVTokenBytes = []float64{300e3, 600e3, 900e3}[r.IntN(3)]
-	m.Prompt = 300 + 1000*r.Float64()
+	m.MeanPromptTokens = 300 + 1000*r.Float64()
 	var engines []Engine
 	for i := range 1 + r.IntN(4) {
 		engines = append(engines, zone(string(rune('a'+i)), r.IntN(2), r.IntN(5), 1+r.IntN(9))...)
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -58,11 +58,11 @@
 // pickExcluding chooses among the upstreams that exclude does not name.
 func (r *Router) pickExcluding(req *request, exclude func(ids.Upstream) bool) (topology.Chain, bool) {
 	want := balancer.Request{
-		Service: req.arrive.Service,
-		PrefixHash:  req.arrive.PrefixHash,
-		Tokens:  int(req.cost()),
-		Zone:    r.opts.Zone,
-		Exclude: exclude,
+		Service:    req.arrive.Service,
+		PrefixHash: req.arrive.PrefixHash,
+		Tokens:     int(req.cost()),
+		Zone:       r.opts.Zone,
+		Exclude:    exclude,
 	}
 	if req.svc.model() {
 		return req.svc.picker.Pick(r.now, want, r)
