--- a/decide/balancer/balancer.go
+++ b/decide/balancer/balancer.go
@@ -1,9 +1,11 @@
 // Package balancer chooses the chain of engines for a model request and the
-// upstream for a plain one. Each strategy is one type.
+// upstream for a plain request, one that a single upstream answers. Each
+// load-balancing strategy is one type.
 //
-// A Picker makes no effect and keeps little state: the load it weighs comes
-// from the View. It is not safe for concurrent use; the goroutine of the
-// decision loop owns it. Same calls and seed, same choices.
+// Package router makes these decisions with it, in its event loop. A Picker
+// performs no I/O and keeps little state: the load of the engines comes from
+// the View. It is not safe for concurrent use. With the same seed and the same
+// calls it makes the same choices.
 package balancer
 
 import (
@@ -17,60 +19,65 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// Picker chooses chains.
+// Picker chooses a chain of engines for each model request.
 type Picker interface {
-	// Pick gives the chain to send a request to now. False means that no
-	// chain has room, and the request waits.
+	// Pick returns the chain for a request at time now, and false when no
+	// chain of usable engines has capacity, so that the request must wait.
 	Pick(now time.Time, r Request, v View) (topology.Chain, bool)
 }
 
-// View is what a Picker sees of the fleet.
+// View is a Picker's read access to the state of the fleet.
 type View interface {
-	// Graph gives the engines of a service; nil when there are none. The same
-	// pointer means that nothing has changed.
+	// Graph returns the engines of a service and their links, nil when the
+	// service has none. The same pointer is returned until the graph changes.
 	Graph(service ids.Service) *topology.Graph
-	// Estimate gives the load of an upstream.
+	// Estimate returns the estimated load of an upstream at time now.
 	Estimate(now time.Time, id ids.Upstream) load.Estimate
-	// Weight is the part of an upstream's capacity to be used: 0 means
-	// none, below 1 a slow return, 1 all.
+	// Weight returns the fraction of an upstream's capacity that may be used:
+	// 0 excludes it, 1 uses all of it, and a value between lets an upstream
+	// that has recovered take load gradually.
 	Weight(id ids.Upstream) float64
-	// LinkWeight is the same for a link.
+	// LinkWeight returns the same fraction for the link between two engines.
 	LinkWeight(from, to ids.Upstream) float64
 }
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that affect the choice.
 type Request struct {
 	Service ids.Service
-	// PrefixHash hashes the prompt's prefix, for cache affinity; 0 means none.
+	// PrefixHash is the hash of the prompt's prefix. Requests with the same
+	// hash prefer the same chain, whose KV cache may hold the prefix; 0 means
+	// no preference.
 	PrefixHash uint64
-	// Tokens estimates the steps the request needs.
+	// Tokens is the estimated number of token steps that the request needs:
+	// its output tokens and the steps that read its prompt.
 	Tokens int
-	// Zone is the chooser's own availability zone.
+	// Zone is the availability zone of this node.
 	Zone ids.Zone
-	// Exclude names upstreams not to be used, for instance since the request
-	// has failed there; nil excludes none.
+	// Exclude reports whether an upstream must not be used, for instance
+	// because the request has already failed there; nil excludes none.
 	Exclude func(ids.Upstream) bool
 }
 
-// Options tune the strategies.
+// Options configures the strategies.
 type Options struct {
-	// TokenInterval is the time between tokens that a choice should not push
-	// a chain over; 0 means no such limit. Strategy flow only.
+	// TokenInterval is the target for the time between two tokens of a stream:
+	// strategy flow gives an engine no further request that would exceed it.
+	// 0 means no target. The other strategies ignore it.
 	TokenInterval time.Duration
 }
 
-// UnknownStrategyError refuses the name of a strategy that there isn't.
+// UnknownStrategyError reports a strategy name that New does not know.
 type UnknownStrategyError struct{ Name string }
 
 // Error implements error.
 func (e *UnknownStrategyError) Error() string {
-	return fmt.Sprintf("no strategy %q", e.Name)
+	return fmt.Sprintf("unknown load-balancing strategy %q", e.Name)
 }
 
-// New makes the Picker of a strategy, one of fleet.Strategy*; empty means
-// flow. The error is a *StrategyError.
+// New returns a Picker for a strategy, one of fleet.Strategy*; empty means
+// flow. seed seeds its random choices. The error is an *UnknownStrategyError.
 func New(strategy string, opts Options, seed uint64) (Picker, error) {
-	rng := rand.New(rand.NewPCG(seed, seedStream))
+	rng := rand.New(rand.NewPCG(seed, pickerSeedStream))
 	switch strategy {
 	case fleet.StrategyFlow, "":
 		return newFlow(opts, rng), nil
@@ -84,5 +91,5 @@
 	return nil, &UnknownStrategyError{Name: strategy}
 }
 
-// seedStream is the second half of a Picker's seed.
-const seedStream = 0x6d696d6f73616172
+// pickerSeedStream is the second word of the PCG seed of every picker.
+const pickerSeedStream = 0x6d696d6f73616172
--- a/decide/balancer/flow.go
+++ b/decide/balancer/flow.go
@@ -11,57 +11,65 @@
 
 // Tuning of the flow strategy.
 const (
-	// flowDraws is how many chains are drawn and compared. More draws come
-	// closer to the emptiest engines but pass over the proportions of the
-	// links, whose load no report tells.
-	flowDraws = 2
-	// affinityCost and affinityIdle bound how much dearer the prefix's own
-	// chain may be than the best drawn one: by a factor, and by a part of the
-	// time of a token through an empty chain.
-	affinityCost = 1.25
-	affinityIdle = 1.0
-	// intervalPart is the part of Options.TokenInterval that the mean time
-	// between tokens may reach: 95 in 100 are then near the whole of it.
-	intervalPart = 0.65
-	// slowLink is the part of Options.TokenInterval from which the time of a
-	// step over a link makes it a slow one.
-	slowLink = 0.25
-	// idleTimes bounds the fill from below, in token times of an empty
-	// chain: less could not keep engines busy.
-	idleTimes = 1.2
-	// replanEvery is how often the parts in use are looked at for changes.
-	replanEvery = time.Second
+	// chainSamples is the number of chains that are sampled and compared. More
+	// samples favor the least loaded engines, but depart from the flow's
+	// proportions on the links, whose load is not reported.
+	chainSamples = 2
+	// affinityCostFactor and affinityIdleTimeFactor bound the cost of cache
+	// affinity: a request takes the chain that its prefix hash prefers while
+	// that costs at most affinityCostFactor times the best sampled chain, plus
+	// affinityIdleTimeFactor times the token time of an idle chain.
+	affinityCostFactor     = 1.25
+	affinityIdleTimeFactor = 1.0
+	// meanIntervalFraction is the fraction of Options.TokenInterval that the
+	// mean time between tokens may reach. The 95th percentile is then close to
+	// the whole interval.
+	meanIntervalFraction = 0.65
+	// slowLinkIntervalFraction is the fraction of Options.TokenInterval from which on
+	// the time of a token step over a link makes the link a slow one.
+	slowLinkIntervalFraction = 0.25
+	// minWaitFactor bounds the maximum wait at engines from below, as a
+	// multiple of the token time of an idle chain. A lower maximum could not
+	// keep engines busy.
+	minWaitFactor = 1.2
+	// weightCheckInterval is the time between two checks whether the weights
+	// of engines and links still are those of the plan.
+	weightCheckInterval = time.Second
 )
 
-// flow is the product's strategy. It draws chains in proportion to a maximum
-// flow through engines and links, so that the work in flight at each keeps to
-// its share of what the hardware can carry, and takes the one with the least
-// expected time of a token.
+// flow is the default strategy. It samples chains in proportion to a maximum
+// flow through engines and links, so that the requests in flight at each are in
+// proportion to its capacity, and picks the one with the least expected time
+// per token.
 //
-// The wait expected at an engine is its work in flight over its target rate.
-// An engine has room while that stays within the token interval: beyond it
-// more work in flight adds no throughput, only time between tokens, and the
-// request does better to wait for the next chain with room.
+// The expected wait at an engine is its number of requests in flight divided by
+// its target rate. An engine has capacity while that wait is within the token
+// interval. Beyond it, more requests in flight only increase the time between
+// tokens and add no throughput, so a request waits for the next chain with
+// capacity instead.
 //
-// Draws cost the same at any size of fleet. When all fail for lack of room the
-// request waits, though some chain may have room: it would mostly lie over
-// links that the flow uses little. When some fail since an engine or link must
-// not be used, all chains are searched.
+// Sampling costs the same for any number of engines. When all samples lack
+// capacity, the request waits although some chain may have capacity: that chain
+// would mostly use links with little flow. When a sample met an engine or link
+// that must not be used, all chains are searched.
 type flow struct {
-	interval float64
-	rng      *rand.Rand
-	plans    map[ids.Service]*plan
-	finder   search
-	path     []int
-	best     []int
+	// tokenInterval is in seconds; 0 means no target.
+	tokenInterval float64
+	rng           *rand.Rand
+	plans         map[ids.Service]*plan
+	finder        pathSearch
+	// path and best are the engine indices of the last sampled chain and of
+	// the cheapest one.
+	path []int
+	best []int
 }
 
-// newFlow makes a flow that draws from rng.
+// newFlow returns a flow that takes random numbers from rng.
 func newFlow(opts Options, rng *rand.Rand) *flow {
 	return &flow{
-		interval: opts.TokenInterval.Seconds(),
-		rng:      rng,
-		plans:    make(map[ids.Service]*plan),
+		tokenInterval: opts.TokenInterval.Seconds(),
+		rng:           rng,
+		plans:         make(map[ids.Service]*plan),
 	}
 }
 
@@ -72,58 +80,59 @@
 		delete(p.plans, r.Service)
 		return nil, false
 	}
-	s := flowLook{
-		look: look{now: now, request: &r, view: v, graph: g},
+	c := flowContext{
+		pickContext: pickContext{now: now, request: &r, view: v, graph: g},
 	}
-	s.plan = p.plan(&s.look)
-	s.most = p.most(s.plan)
-	cost := p.draw(&s)
+	c.plan = p.plan(&c.pickContext)
+	c.maxWait = p.maxWait(c.plan)
+	cost := p.sampleChains(&c)
 	if math.IsInf(cost, 1) {
-		return p.search(&s)
+		return p.searchAll(&c)
 	}
-	if r.PrefixHash != 0 && p.own(&s) <= affinityCost*cost+affinityIdle*s.plan.idle {
+	if r.PrefixHash != 0 && p.affinityChain(&c) <= affinityCostFactor*cost+affinityIdleTimeFactor*c.plan.idleTokenTime {
 		return g.Chain(p.path), true
 	}
 	return g.Chain(p.best), true
 }
 
-// plan gives the plan of a service, made anew when its graph or the parts in
-// use have changed.
-func (p *flow) plan(l *look) *plan {
-	slowest := math.Inf(1)
-	if p.interval > 0 {
-		slowest = slowLink * p.interval
-	}
-	service := l.request.Service
+// plan returns the plan of the request's service, computed again when the graph
+// or the weights of its engines and links have changed.
+func (p *flow) plan(c *pickContext) *plan {
+	maxLinkTime := math.Inf(1)
+	if p.tokenInterval > 0 {
+		maxLinkTime = slowLinkIntervalFraction * p.tokenInterval
+	}
+	service := c.request.Service
 	old := p.plans[service]
-	if old != nil && old.graph == l.graph {
-		if l.now.Sub(old.checked) < replanEvery {
+	if old != nil && old.graph == c.graph {
+		if c.now.Sub(old.checkedAt) < weightCheckInterval {
 			return old
 		}
-		old.checked = l.now
-		if !old.changed(l) {
+		old.checkedAt = c.now
+		if !old.weightsChanged(c) {
 			return old
 		}
 	}
-	made := newPlan(l, slowest)
-	p.plans[service] = made
-	return made
+	computed := newPlan(c, maxLinkTime)
+	p.plans[service] = computed
+	return computed
 }
 
-// most gives the longest wait that engines may be filled to, in seconds.
-func (p *flow) most(plan *plan) float64 {
-	if p.interval <= 0 {
+// maxWait returns the longest expected wait up to which engines take further
+// requests, in seconds.
+func (p *flow) maxWait(plan *plan) float64 {
+	if p.tokenInterval <= 0 {
 		return math.Inf(1)
 	}
-	return max(intervalPart*p.interval, idleTimes*plan.idle)
+	return max(meanIntervalFraction*p.tokenInterval, minWaitFactor*plan.idleTokenTime)
 }
 
-// draw draws chains and leaves the cheapest in p.best. It gives its cost,
-// +Inf when none had room.
-func (p *flow) draw(s *flowLook) float64 {
+// sampleChains samples chains and stores the cheapest in p.best. It returns the
+// cost of that chain in seconds, +Inf when none had capacity.
+func (p *flow) sampleChains(c *flowContext) float64 {
 	least := math.Inf(1)
-	for range flowDraws {
-		if cost := p.walk(s); cost < least {
+	for range chainSamples {
+		if cost := p.sampleChain(c); cost < least {
 			least = cost
 			p.best, p.path = p.path, p.best
 		}
@@ -131,14 +140,15 @@
 	return least
 }
 
-// walk draws one chain into p.path. At each stage it draws two engines and
-// takes the cheaper one.
-func (p *flow) walk(s *flowLook) float64 {
+// sampleChain samples one chain into p.path and returns its cost in seconds,
+// +Inf when it lacks capacity. At each stage it samples two engines and takes
+// the cheaper one.
+func (p *flow) sampleChain(c *flowContext) float64 {
 	p.path = p.path[:0]
-	at, total := source, 0.0
-	for at == source || !s.graph.Ends(at) {
-		first, cost := p.hop(s, at)
-		second, other := p.hop(s, at)
+	at, total := sourceNode, 0.0
+	for at == sourceNode || !c.graph.Ends(at) {
+		first, cost := p.sampleEngine(c, at)
+		second, other := p.sampleEngine(c, at)
 		if other < cost {
 			first, cost = second, other
 		}
@@ -152,59 +162,64 @@
 	return total
 }
 
-// hop draws an engine to follow another and gives its cost with its link's.
-func (p *flow) hop(s *flowLook, at int) (int, float64) {
-	k := p.start(s.plan, at)
+// sampleEngine samples a successor of an engine and returns it with the cost of
+// the successor and of the link to it, in seconds.
+func (p *flow) sampleEngine(c *flowContext, at int) (int, float64) {
+	k := p.sampleSuccessor(c.plan, at)
 	if k < 0 {
-		return source, math.Inf(1)
+		return sourceNode, math.Inf(1)
 	}
-	if at == source {
-		i := s.graph.Heads()[k]
-		return i, s.engine(i) + s.reach(i)
+	if at == sourceNode {
+		i := c.graph.Heads()[k]
+		return i, c.engineWait(i) + c.headDelay(i)
 	}
-	e := s.graph.Next(at)[k]
-	return e.To, s.engine(e.To) + s.edge(at, e)
+	e := c.graph.Next(at)[k]
+	return e.To, c.engineWait(e.To) + c.linkTime(at, e)
 }
 
-// search looks at all chains, those along the plan's flow first, when a draw
-// met an engine or link that must not be used.
-func (p *flow) search(s *flowLook) (topology.Chain, bool) {
-	if !s.barred && s.plan.total > 0 {
+// searchAll searches all chains if the samples met an engine or link that must
+// not be used, or if the plan has no flow. Chains along the plan's flow are
+// searched first.
+func (p *flow) searchAll(c *flowContext) (topology.Chain, bool) {
+	if !c.unusableSeen && c.plan.totalFlow > 0 {
 		return nil, false
 	}
-	p.finder.usable = func(i int) bool { return !math.IsInf(s.engine(i), 1) }
-	p.finder.start = func(engine, _ int) int { return max(p.start(s.plan, engine), 0) }
-	p.finder.link = func(from, k int) bool { return s.plan.carries(from, k) && s.linked(from, k) }
-	if path := p.finder.find(s.graph); path != nil {
-		return s.graph.Chain(path), true
+	p.finder.engineUsable = func(i int) bool { return !math.IsInf(c.engineWait(i), 1) }
+	p.finder.startIndex = func(engine, _ int) int { return max(p.sampleSuccessor(c.plan, engine), 0) }
+	p.finder.linkUsable = func(from, k int) bool { return c.plan.hasFlow(from, k) && c.linkAllowed(from, k) }
+	if path := p.finder.find(c.graph); path != nil {
+		return c.graph.Chain(path), true
 	}
-	p.finder.link = s.linked
-	if path := p.finder.find(s.graph); path != nil {
-		return s.graph.Chain(path), true
+	p.finder.linkUsable = c.linkAllowed
+	if path := p.finder.find(c.graph); path != nil {
+		return c.graph.Chain(path), true
 	}
 	return nil, false
 }
 
-// start draws among the followers of an engine, or among the heads.
-func (p *flow) start(plan *plan, engine int) int {
-	if engine == source {
-		return drawn(plan.heads, p.rng.Float64())
-	}
-	return drawn(plan.edges[engine], p.rng.Float64())
+// sampleSuccessor samples among the successors of an engine, or among the heads
+// for sourceNode, in proportion to the flow. It returns the position in Graph.Next
+// or Graph.Heads, -1 when there is no flow.
+func (p *flow) sampleSuccessor(plan *plan, engine int) int {
+	if engine == sourceNode {
+		return sampleIndex(plan.headSums, p.rng.Float64())
+	}
+	return sampleIndex(plan.edgeSums[engine], p.rng.Float64())
 }
 
-// own leaves the chain of the request's prefix in p.path and gives its cost.
-func (p *flow) own(s *flowLook) float64 {
+// affinityChain stores the chain that the request's prefix hash prefers in
+// p.path and returns its cost in seconds, +Inf when it lacks capacity.
+func (p *flow) affinityChain(c *flowContext) float64 {
 	p.path = p.path[:0]
-	at, total := source, 0.0
-	for at == source || !s.graph.Ends(at) {
-		i, edge := s.favourite(at)
-		if i == source {
+	at, total := sourceNode, 0.0
+	for at == sourceNode || !c.graph.Ends(at) {
+		i, edge := c.preferredSuccessor(at)
+		if i == sourceNode {
 			return math.Inf(1)
 		}
-		total += s.engine(i)
-		if at != source {
-			total += s.edge(at, edge)
+		total += c.engineWait(i)
+		if at != sourceNode {
+			total += c.linkTime(at, edge)
 		}
 		p.path = append(p.path, i)
 		at = i
--- a/decide/balancer/least_loaded.go
+++ b/decide/balancer/least_loaded.go
@@ -7,13 +7,14 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// leastLoaded takes the chain with the least sum of slots taken, by the
-// engines' own reports alone. It shows what comes of lagging reports.
+// leastLoaded picks the chain with the least sum of slot utilizations. It uses
+// the engines' own load reports only, without the requests sent since, and so
+// serves as a baseline that shows the effect of stale reports.
 type leastLoaded struct {
-	cheapest cheapest
+	shortest shortestPath
 }
 
-// newLeastLoaded makes a leastLoaded.
+// newLeastLoaded returns a leastLoaded without any state.
 func newLeastLoaded() *leastLoaded { return &leastLoaded{} }
 
 // Pick implements Picker.
@@ -22,28 +23,28 @@
 	if g == nil {
 		return nil, false
 	}
-	l := look{now: now, request: &r, view: v, graph: g}
-	p.cheapest.engine = l.slotsTaken
-	p.cheapest.edge = func(from int, e topology.Edge) float64 {
-		if l.linkWeight(from, e.To) <= 0 {
+	c := pickContext{now: now, request: &r, view: v, graph: g}
+	p.shortest.engineCost = c.reportedUtilization
+	p.shortest.linkCost = func(from int, e topology.Edge) float64 {
+		if c.linkWeight(from, e.To) <= 0 {
 			return math.Inf(1)
 		}
 		return 0
 	}
-	path := p.cheapest.find(g)
+	path := p.shortest.find(g)
 	if path == nil {
 		return nil, false
 	}
 	return g.Chain(path), true
 }
 
-// slotsTaken gives the part of an engine's slots that its report shows as
-// taken, +Inf when it may not be used or has none free.
-func (l *look) slotsTaken(i int) float64 {
-	e := l.estimate(i)
+// reportedUtilization returns the fraction of an engine's slots that its last
+// report shows as taken, +Inf when it must not be used or has no free slot.
+func (c *pickContext) reportedUtilization(i int) float64 {
+	e := c.estimate(i)
 	reported := float64(e.ReportedRunning)
-	if !l.allowed(i) || !l.room(i, e, reported) {
+	if !c.engineAllowed(i) || !c.hasFreeSlot(i, e, reported) {
 		return math.Inf(1)
 	}
-	return reported / float64(l.slots(i, e))
+	return reported / float64(c.slots(i, e))
 }
--- a/decide/balancer/plain.go
+++ b/decide/balancer/plain.go
@@ -8,38 +8,43 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// PlainPicker chooses the upstream of plain requests: two at random, and of these
-// the one with less in flight; upstreams of the chooser's own zone first.
+// PlainPicker chooses the upstream of plain requests, those that a single
+// upstream answers. It samples two usable upstreams at random and picks the one
+// with fewer requests in flight relative to its weight. It is not safe for
+// concurrent use.
 type PlainPicker struct {
 	rng    *rand.Rand
 	usable []int
 }
 
-// NewPlainPicker makes a Plain.
+// NewPlainPicker returns a PlainPicker whose random choices are seeded with
+// seed.
 func NewPlainPicker(seed uint64) *PlainPicker {
-	return &PlainPicker{rng: rand.New(rand.NewPCG(seed, seedStream))}
+	return &PlainPicker{rng: rand.New(rand.NewPCG(seed, pickerSeedStream))}
 }
 
-// Pick gives the upstream to call now. Slots 0, by report and by the
-// engine's own record, means no limit known. False means that none has room.
-// Upstreams of another zone are used when the own zone has none with room.
+// Pick returns the upstream for a request at time now, and false when none of
+// upstreams has capacity. Upstreams in other zones than r.Zone are used only
+// when none in r.Zone has capacity. Slots in an upstream's load report override
+// those in upstreams; 0 in both means that the number is not limited.
 func (p *PlainPicker) Pick(now time.Time, r Request, upstreams []topology.Engine, v View) (topology.Engine, bool) {
-	for _, own := range [...]bool{true, false} {
+	for _, sameZone := range [...]bool{true, false} {
 		p.usable = p.usable[:0]
 		for i := range upstreams {
-			if (upstreams[i].Zone == r.Zone) == own && plainRoom(now, &r, &upstreams[i], v) {
+			if (upstreams[i].Zone == r.Zone) == sameZone && hasCapacity(now, &r, &upstreams[i], v) {
 				p.usable = append(p.usable, i)
 			}
 		}
 		if len(p.usable) > 0 {
-			return upstreams[p.choose(now, upstreams, v)], true
+			return upstreams[p.pickUsable(now, upstreams, v)], true
 		}
 	}
 	return topology.Engine{}, false
 }
 
-// plainRoom reports whether an upstream may be called and has room.
-func plainRoom(now time.Time, r *Request, u *topology.Engine, v View) bool {
+// hasCapacity reports whether a request may use an upstream and finds a free
+// slot there.
+func hasCapacity(now time.Time, r *Request, u *topology.Engine, v View) bool {
 	if r.Exclude != nil && r.Exclude(u.ID) {
 		return false
 	}
@@ -54,8 +59,9 @@
 	return !e.Leaving && (slots == 0 || e.InFlight < float64(slots))
 }
 
-// choose draws two of the usable upstreams and gives the better one.
-func (p *PlainPicker) choose(now time.Time, upstreams []topology.Engine, v View) int {
+// pickUsable samples two of the usable upstreams and returns the index of the
+// less loaded one.
+func (p *PlainPicker) pickUsable(now time.Time, upstreams []topology.Engine, v View) int {
 	a := p.rng.IntN(len(p.usable))
 	b := a
 	if len(p.usable) > 1 {
@@ -65,13 +71,14 @@
 		}
 	}
 	first, second := p.usable[a], p.usable[b]
-	if relative(now, upstreams[second].ID, v) < relative(now, upstreams[first].ID, v) {
+	if weightedLoad(now, upstreams[second].ID, v) < weightedLoad(now, upstreams[first].ID, v) {
 		return second
 	}
 	return first
 }
 
-// relative gives the work in flight by the part of the upstream to be used.
-func relative(now time.Time, id ids.Upstream, v View) float64 {
+// weightedLoad returns the number of requests in flight at an upstream, with
+// the new one added, divided by the upstream's weight.
+func weightedLoad(now time.Time, id ids.Upstream, v View) float64 {
 	return (v.Estimate(now, id).InFlight + 1) / v.Weight(id)
 }
--- a/decide/balancer/plan.go
+++ b/decide/balancer/plan.go
@@ -10,80 +10,86 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// quickPart is the part of the whole flow that quick links must carry for the
-// slow ones to be left out.
-const quickPart = 0.98
+// minFastFlowFraction is the fraction of the maximum flow that the fast links
+// must carry on their own for the slow ones to be left out of the plan.
+const minFastFlowFraction = 0.98
 
-// leastPart is the least part of an engine's rate that counts as its target,
-// for engines that the maximum flow leaves almost unused.
-const leastPart = 0.05
+// minTargetRateFraction is the least target rate of an engine as a fraction of its
+// own rate, for engines that the maximum flow leaves almost unused.
+const minTargetRateFraction = 0.05
 
-// leastRate is the least target, in steps a second.
-const leastRate = 1
+// minTargetStepsPerSecond is the least target rate, in token steps per second.
+const minTargetStepsPerSecond = 1
 
-// plan is what the flow strategy works out once for a graph.
+// plan holds what the flow strategy computes once for a graph and the weights
+// of its engines and links.
 type plan struct {
 	graph *topology.Graph
-	// checked is when the parts in use were last compared with the view.
-	checked time.Time
-	// engine and link are the parts in use that the plan was made for, link
-	// in the shape of Graph.Next.
-	engine []float64
-	link   [][]float64
-	// total is the whole flow; 0 means that the plan says nothing.
-	total float64
-	// target is the steps a second each engine should run at full load.
-	target []float64
-	// heads and edges are running sums of flow, for draws in proportion:
-	// heads in the order of Graph.Heads, edges[i] in that of Graph.Next(i).
-	heads []float64
-	edges [][]float64
-	// hash names each engine in rendezvous hashes.
-	hash []uint64
-	// idle is the least time of a token through an empty chain, in seconds.
-	idle float64
+	// checkedAt is when the weights were last compared with those of the view.
+	checkedAt time.Time
+	// engineWeight and linkWeight are the weights that the plan was computed
+	// for. linkWeight has the shape of Graph.Next.
+	engineWeight []float64
+	linkWeight   [][]float64
+	// totalFlow is the value of the flow, in token steps per second; 0 means
+	// that the plan prefers no chain.
+	totalFlow float64
+	// targetRate is the number of token steps per second that each engine
+	// should run at full load.
+	targetRate []float64
+	// headSums and edgeSums are cumulative sums of flow, for sampling in
+	// proportion to it: headSums in the order of Graph.Heads, edgeSums[i] in
+	// that of Graph.Next(i).
+	headSums []float64
+	edgeSums [][]float64
+	// idHash is the hash of each engine's ID, for rendezvous hashing.
+	idHash []uint64
+	// idleTokenTime is the least time of a token through an idle chain, in
+	// seconds.
+	idleTokenTime float64
 }
 
-// newPlan works out the plan of a graph and the parts of it in use. Links
-// whose steps take longer than slowest, in seconds, are left out when little
-// is lost by it.
-func newPlan(l *look, slowest float64) *plan {
-	n := len(l.graph.Engines())
+// newPlan computes the plan for a graph and the current weights. Links whose
+// token step takes longer than maxLinkTime, in seconds, are left out if that
+// costs little flow.
+func newPlan(c *pickContext, maxLinkTime float64) *plan {
+	n := len(c.graph.Engines())
 	p := &plan{
-		graph:   l.graph,
-		checked: l.now,
-		engine:  make([]float64, n),
-		link:    make([][]float64, n),
-		target:  make([]float64, n),
-		edges:   make([][]float64, n),
-		hash:    make([]uint64, n),
-		idle:    idleTime(l.graph),
+		graph:         c.graph,
+		checkedAt:     c.now,
+		engineWeight:  make([]float64, n),
+		linkWeight:    make([][]float64, n),
+		targetRate:    make([]float64, n),
+		edgeSums:      make([][]float64, n),
+		idHash:        make([]uint64, n),
+		idleTokenTime: idleTokenTime(c.graph),
 	}
-	p.read(l)
-	p.fill(p.flow(slowest))
+	p.readWeights(c)
+	p.setFlow(p.targetFlow(maxLinkTime))
 	return p
 }
 
-// read notes the parts of engines and links in use.
-func (p *plan) read(l *look) {
-	for i := range p.engine {
-		p.engine[i] = l.part(i)
+// readWeights copies the weights of engines and links from the view.
+func (p *plan) readWeights(c *pickContext) {
+	for i := range p.engineWeight {
+		p.engineWeight[i] = c.engineWeight(i)
 		next := p.graph.Next(i)
-		p.link[i] = make([]float64, len(next))
+		p.linkWeight[i] = make([]float64, len(next))
 		for k, e := range next {
-			p.link[i][k] = l.linkWeight(i, e.To)
+			p.linkWeight[i][k] = c.linkWeight(i, e.To)
 		}
 	}
 }
 
-// changed reports whether the parts in use are no longer those of the plan.
-func (p *plan) changed(l *look) bool {
-	for i := range p.engine {
-		if p.engine[i] != l.part(i) {
+// weightsChanged reports whether the weights in the view differ from those of
+// the plan.
+func (p *plan) weightsChanged(c *pickContext) bool {
+	for i := range p.engineWeight {
+		if p.engineWeight[i] != c.engineWeight(i) {
 			return true
 		}
 		for k, e := range p.graph.Next(i) {
-			if p.link[i][k] != l.linkWeight(i, e.To) {
+			if p.linkWeight[i][k] != c.linkWeight(i, e.To) {
 				return true
 			}
 		}
@@ -91,67 +97,71 @@
 	return false
 }
 
-// flow gives the flow to aim at.
-func (p *plan) flow(slowest float64) *topology.Flow {
-	engine := func(i int) float64 { return p.engine[i] }
+// targetFlow returns the maximum flow over the links whose token step takes at
+// most maxLinkTime, in seconds, or over all links if the slower ones are needed.
+func (p *plan) targetFlow(maxLinkTime float64) *topology.Flow {
+	engine := func(i int) float64 { return p.engineWeight[i] }
 	all := topology.PartFlows(p.graph, topology.Parts{
 		Engine: engine,
-		Link:   func(i, k int) float64 { return p.link[i][k] },
+		Link:   func(i, k int) float64 { return p.linkWeight[i][k] },
 	})
-	if math.IsInf(slowest, 1) {
+	if math.IsInf(maxLinkTime, 1) {
 		return all
 	}
-	quick := topology.PartFlows(p.graph, topology.Parts{Engine: engine, Link: func(i, k int) float64 {
-		if p.graph.Next(i)[k].StepTime() > slowest {
+	fast := topology.PartFlows(p.graph, topology.Parts{Engine: engine, Link: func(i, k int) float64 {
+		if p.graph.Next(i)[k].StepTime() > maxLinkTime {
 			return 0
 		}
-		return p.link[i][k]
+		return p.linkWeight[i][k]
 	}})
-	if quick.Total >= quickPart*all.Total {
-		return quick
+	if fast.Total >= minFastFlowFraction*all.Total {
+		return fast
 	}
 	return all
 }
 
-// fill takes a flow into the plan.
-func (p *plan) fill(f *topology.Flow) {
-	p.total = f.Total
+// setFlow sets the fields of the plan that derive from a flow.
+func (p *plan) setFlow(f *topology.Flow) {
+	p.totalFlow = f.Total
 	for i, e := range p.graph.Engines() {
-		p.target[i] = max(f.Engine[i], leastPart*e.Rate*p.engine[i], leastRate)
-		p.edges[i] = sums(f.Edge[i])
-		p.hash[i] = xxhash.Sum64String(string(e.ID))
+		p.targetRate[i] = max(f.Engine[i], minTargetRateFraction*e.Rate*p.engineWeight[i], minTargetStepsPerSecond)
+		p.edgeSums[i] = cumulativeSums(f.Edge[i])
+		p.idHash[i] = xxhash.Sum64String(string(e.ID))
 	}
 	heads := make([]float64, len(p.graph.Heads()))
 	for k, i := range p.graph.Heads() {
 		heads[k] = f.Engine[i]
 	}
-	p.heads = sums(heads)
+	p.headSums = cumulativeSums(heads)
 }
 
-// rate gives an engine's target when the given part of it is in use now.
-func (p *plan) rate(i int, part float64) float64 {
-	if p.engine[i] > 0 {
-		part /= p.engine[i]
+// weightedRate returns the target rate of an engine in token steps per second,
+// scaled from the weight in the plan to the current weight.
+func (p *plan) weightedRate(i int, weight float64) float64 {
+	if p.engineWeight[i] > 0 {
+		weight /= p.engineWeight[i]
 	}
-	return p.target[i] * part
+	return p.targetRate[i] * weight
 }
 
-// sums gives the running sums of parts.
-func sums(parts []float64) []float64 {
-	out := make([]float64, len(parts))
+// cumulativeSums returns the cumulative sums of values. Negative values count
+// as 0.
+func cumulativeSums(values []float64) []float64 {
+	out := make([]float64, len(values))
 	sum := 0.0
-	for k, part := range parts {
-		sum += max(part, 0)
+	for k, value := range values {
+		sum += max(value, 0)
 		out[k] = sum
 	}
 	return out
 }
 
-// idleTime gives the least time of a token through an empty chain, in seconds.
-func idleTime(g *topology.Graph) float64 {
-	c := cheapest{
-		engine: func(i int) float64 { return 1 / g.Engines()[i].Rate },
-		edge:   func(_ int, e topology.Edge) float64 { return e.StepTime() },
+// idleTokenTime returns the least time of a token through an idle chain, in
+// seconds, +Inf when the graph has no chain.
+func idleTokenTime(g *topology.Graph) float64 {
+	c := shortestPath{
+		engineCost: func(i int) float64 { return 1 / g.Engines()[i].Rate },
+		linkCost:   func(_ int, e topology.Edge) float64 { return e.StepTime() },
 	}
 	path := c.find(g)
 	if path == nil {
@@ -160,9 +170,10 @@
 	return c.cost[path[0]]
 }
 
-// drawn gives the index of a draw u in [0, 1) in proportion to the parts that
-// sums were made of, or -1 when all are zero.
-func drawn(sums []float64, u float64) int {
+// sampleIndex maps u, uniform in [0, 1), to an index with a probability in
+// proportion to the value that the index adds to the cumulative sums. It
+// returns -1 when the sums are all zero.
+func sampleIndex(sums []float64, u float64) int {
 	if len(sums) == 0 || sums[len(sums)-1] <= 0 {
 		return -1
 	}
@@ -170,20 +181,20 @@
 	return min(k, len(sums)-1)
 }
 
-// affinity scores an engine for a prefix, given the flow that leads to it: of
-// several, the one with the least score is the prefix's own (weighted
-// rendezvous hash). +Inf when no flow leads there.
-func (p *plan) affinity(prefix uint64, i int, flow float64) float64 {
+// affinityScore returns the score of an engine for a prefix hash, given the
+// flow that leads to the engine (weighted rendezvous hashing). The prefix
+// prefers the engine with the lowest score. The score is +Inf without flow.
+func (p *plan) affinityScore(prefixHash uint64, i int, flow float64) float64 {
 	if flow <= 0 {
 		return math.Inf(1)
 	}
-	h := mix(prefix ^ p.hash[i])
+	h := mix64(prefixHash ^ p.idHash[i])
 	u := (float64(h>>11) + 0.5) / (1 << 53)
 	return -math.Log(u) / flow
 }
 
-// mix is the finishing step of the splitmix64 generator.
-func mix(h uint64) uint64 {
+// mix64 mixes the bits of h like the last step of the splitmix64 generator.
+func mix64(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
 	h ^= h >> 27
@@ -191,11 +202,11 @@
 	return h ^ h>>31
 }
 
-// carries reports whether the flow uses the k-th edge of an engine.
-func (p *plan) carries(i, k int) bool { return step(p.edges[i], k) > 0 }
+// hasFlow reports whether the flow uses the k-th edge of an engine.
+func (p *plan) hasFlow(i, k int) bool { return summand(p.edgeSums[i], k) > 0 }
 
-// step gives the k-th of the parts that running sums were made of.
-func step(sums []float64, k int) float64 {
+// summand returns the k-th of the values that the cumulative sums were made of.
+func summand(sums []float64, k int) float64 {
 	if k == 0 {
 		return sums[0]
 	}
--- a/decide/balancer/queue_model_test.go
+++ b/decide/balancer/queue_model_test.go
@@ -13,55 +13,65 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// Shape of the queue model: routers before one service, with lagging news.
+// Parameters of the queueing model: several routers send requests to one
+// service and learn its load from delayed reports.
 const (
 	modelRouters = 9
-	modelWarm    = 5 * time.Second
-	modelReport  = 500 * time.Millisecond
-	modelDigest  = 200 * time.Millisecond
-	modelTick    = 20 * time.Millisecond
-	modelTokens  = 60
-	modelSlots   = 24
-	modelQueue   = 64
+	modelWarmUp  = 5 * time.Second
+	// Each engine reports its load at this interval. A report arrives one
+	// interval after the load was measured.
+	modelReportInterval = 500 * time.Millisecond
+	// Routers exchange their in-flight counts at this interval.
+	modelDigestInterval = 200 * time.Millisecond
+	// Routers try to dispatch their queues at least this often.
+	modelDispatchInterval = 20 * time.Millisecond
+	// Requests have between half and one and a half times as many tokens.
+	modelMeanTokens     = 60
+	modelSlotsPerEngine = 24
+	// Routers drop requests that exceed this number of queued ones.
+	modelQueueLimit = 64
 )
 
-// server serves steps one by one, then delays them.
+// server models an engine or a link. It serves one step after the other, each
+// taking the time step, and delivers it after delay. Time free is when it has
+// served all steps so far; running is the number of requests at an engine.
 type server struct {
 	step, delay, free time.Duration
 	running           int
 }
 
-// job is one request; stage is where its current token is.
+// job is one request with left tokens to generate. stage is the position of the
+// current token in the chain, last the time when the token before was done.
 type job struct {
 	left, stage int
 	chain       topology.Chain
 	last        time.Duration
-	prefix      uint64
+	prefixHash  uint64
 }
 
-// occasion is a thing to do at a time; order breaks ties.
-type occasion struct {
-	at    time.Duration
-	order int
-	do    func()
+// event is a call of run at simulated time at; seq orders events of equal time.
+type event struct {
+	at  time.Duration
+	seq int
+	run func()
 }
 
-// agenda is a heap of occasions.
-type agenda []occasion
+// eventQueue is a heap of events by time.
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occasion)) }
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// router is one router of the model with its own Book and Picker.
+// router is one router of the model with its own Estimator and Picker.
 type router struct {
 	fakeView
 	m      *model
@@ -69,35 +79,40 @@
 	queue  []*job
 }
 
-// model is a queue model of engines and links under several routers.
+// model simulates the engines and links of a service behind several routers.
 type model struct {
 	graph   *topology.Graph
 	engines map[ids.Upstream]*server
 	links   map[[2]ids.Upstream]*server
 	routers []*router
-	agenda  agenda
+	events  eventQueue
 	now     time.Duration
-	orders  int
+	lastSeq int
 	rng     *rand.Rand
-	prefix  bool
-	// Figures after modelWarm; intervals are in milliseconds.
-	tokens, offered, busy int
-	intervals             []float64
+	// withPrefix gives each request one of 20 prefix hashes.
+	withPrefix bool
+	// Counted after modelWarmUp: tokens generated, tokens offered, requests
+	// refused by a full engine, and the times between tokens in milliseconds.
+	tokens, offered, refused int
+	intervals                []float64
 }
 
+// clock returns the simulated time.
 func (m *model) clock() time.Time { return epoch.Add(m.now) }
 
-// after plans to do something, every to do it again and again.
-func (m *model) after(d time.Duration, do func()) {
-	m.orders++
-	heap.Push(&m.agenda, occasion{m.now + d, m.orders, do})
+// after schedules a call of run when d has passed.
+func (m *model) after(d time.Duration, run func()) {
+	m.lastSeq++
+	heap.Push(&m.events, event{m.now + d, m.lastSeq, run})
 }
 
-func (m *model) every(d time.Duration, do func()) {
-	m.after(d, func() { do(); m.every(d, do) })
+// every schedules a call of run each time d has passed.
+func (m *model) every(d time.Duration, run func()) {
+	m.after(d, func() { run(); m.every(d, run) })
 }
 
-// newModel makes the model of a graph with one strategy in all routers.
+// newModel returns a model of a graph in which all routers use one strategy and
+// requests arrive at the given rate per second.
 func newModel(g *topology.Graph, strategy string, opts Options, arrivals float64) *model {
 	m := &model{graph: g, engines: map[ids.Upstream]*server{}, links: map[[2]ids.Upstream]*server{}, rng: rand.New(rand.NewPCG(7, 7))}
 	for i, e := range g.Engines() {
@@ -109,51 +124,53 @@
 			}
 			m.links[[2]ids.Upstream{e.ID, g.Engines()[edge.To].ID}] = &server{step: step, delay: edge.Latency}
 		}
-		m.after(time.Duration(m.rng.Int64N(int64(modelReport))), func() { m.every(modelReport, func() { m.report(e) }) })
+		m.after(time.Duration(m.rng.Int64N(int64(modelReportInterval))), func() { m.every(modelReportInterval, func() { m.report(e) }) })
 	}
 	for k := range modelRouters {
 		p, _ := New(strategy, opts, uint64(k+1))
-		r := &router{m: m, picker: p, fakeView: fakeView{graph: g, book: load.New(load.Settings{})}}
+		r := &router{m: m, picker: p, fakeView: fakeView{graph: g, estimator: load.New(load.Settings{})}}
 		m.routers = append(m.routers, r)
-		m.after(time.Duration(k)*time.Millisecond, func() { m.every(modelTick, r.dispatch) })
-		m.after(time.Duration(k)*17*time.Millisecond, func() { m.every(modelDigest, func() { m.digest(k) }) })
+		m.after(time.Duration(k)*time.Millisecond, func() { m.every(modelDispatchInterval, r.dispatch) })
+		m.after(time.Duration(k)*17*time.Millisecond, func() { m.every(modelDigestInterval, func() { m.digest(k) }) })
 	}
 	m.arrive(arrivals)
 	return m
 }
 
-// report sends an engine's report, which arrives a whole lag late.
+// report sends a load report of an engine to all routers. It arrives
+// modelReportInterval later.
 func (m *model) report(e topology.Engine) {
-	r := engineapi.LoadReport{Engine: string(e.ID), Slots: modelSlots, Running: m.engines[e.ID].running, AgeMs: modelReport.Milliseconds()}
-	m.after(modelReport, func() {
+	r := engineapi.LoadReport{Engine: string(e.ID), Slots: modelSlotsPerEngine, Running: m.engines[e.ID].running, AgeMs: modelReportInterval.Milliseconds()}
+	m.after(modelReportInterval, func() {
 		for _, to := range m.routers {
-			_ = to.book.ApplyReport(m.clock(), r, m.clock())
+			_ = to.estimator.ApplyReport(m.clock(), r, m.clock())
 		}
 	})
 }
 
-// digest tells a router's counts to its peers.
+// digest sends the in-flight counts of router k to the other routers.
 func (m *model) digest(k int) {
 	counts := map[ids.Upstream]int{}
-	m.routers[k].book.CopyOwnCounts(counts)
+	m.routers[k].estimator.CopyOwnCounts(counts)
 	for j, to := range m.routers {
 		if j != k {
-			_ = to.book.ApplyPeerDigest(m.clock(), ids.VM(fmt.Sprint(k)), counts)
+			_ = to.estimator.ApplyPeerDigest(m.clock(), ids.VM(fmt.Sprint(k)), counts)
 		}
 	}
 }
 
-// arrive brings requests as a Poisson process.
+// arrive schedules the arrivals of requests as a Poisson process with the given
+// rate per second.
 func (m *model) arrive(rate float64) {
 	m.after(time.Duration(m.rng.ExpFloat64()/rate*1e9), func() {
 		r := m.routers[m.rng.IntN(modelRouters)]
-		tokens := modelTokens/2 + m.rng.IntN(modelTokens+1)
+		tokens := modelMeanTokens/2 + m.rng.IntN(modelMeanTokens+1)
 		m.offered += tokens
 		j := &job{left: tokens}
-		if m.prefix {
-			j.prefix = 1 + m.rng.Uint64N(20)
+		if m.withPrefix {
+			j.prefixHash = 1 + m.rng.Uint64N(20)
 		}
-		if len(r.queue) < modelQueue {
+		if len(r.queue) < modelQueueLimit {
 			r.queue = append(r.queue, j)
 			r.dispatch()
 		}
@@ -161,49 +178,51 @@
 	})
 }
 
-// dispatch sends waiting requests while there are chains with room.
+// dispatch sends queued requests while there are chains with capacity.
 func (r *router) dispatch() {
 	for len(r.queue) > 0 {
 		j := r.queue[0]
-		chain, ok := r.picker.Pick(r.m.clock(), Request{PrefixHash: j.prefix}, r)
+		chain, ok := r.picker.Pick(r.m.clock(), Request{PrefixHash: j.prefixHash}, r)
 		if !ok {
 			return
 		}
-		full := func(e topology.Engine) bool { return r.m.engines[e.ID].running >= modelSlots }
+		full := func(e topology.Engine) bool { return r.m.engines[e.ID].running >= modelSlotsPerEngine }
 		if slices.ContainsFunc(chain, full) {
-			r.m.busy++
+			r.m.refused++
 			return
 		}
 		r.queue = r.queue[1:]
 		j.chain, j.last = chain, r.m.now
 		for _, e := range chain {
 			r.m.engines[e.ID].running++
-			_ = r.book.RequestStarted(r.m.clock(), e.ID)
+			_ = r.estimator.RequestStarted(r.m.clock(), e.ID)
 		}
 		r.step(j)
 	}
 }
 
-// through does something once a step that comes now is through a server.
-func (m *model) through(s *server, do func()) {
+// serve adds a step to those of a server and schedules a call of done for when
+// the step is delivered.
+func (m *model) serve(s *server, done func()) {
 	s.free = max(s.free, m.now) + s.step
-	m.after(s.free+s.delay-m.now, do)
+	m.after(s.free+s.delay-m.now, done)
 }
 
-// step runs a token at one engine and on over its link.
+// step runs the current token of a job at one engine and sends it over the link
+// to the next.
 func (r *router) step(j *job) {
 	e := j.chain[j.stage]
-	r.m.through(r.m.engines[e.ID], func() {
+	r.m.serve(r.m.engines[e.ID], func() {
 		j.stage++
 		if j.stage == len(j.chain) {
 			r.token(j)
 			return
 		}
-		r.m.through(r.m.links[[2]ids.Upstream{e.ID, j.chain[j.stage].ID}], func() { r.step(j) })
+		r.m.serve(r.m.links[[2]ids.Upstream{e.ID, j.chain[j.stage].ID}], func() { r.step(j) })
 	})
 }
 
-// token counts a token and goes on with the next or ends the request.
+// token counts a finished token and starts the next one or ends the request.
 func (r *router) token(j *job) {
 	r.m.tokens++
 	r.m.intervals = append(r.m.intervals, (r.m.now-j.last).Seconds()*1e3)
@@ -214,25 +233,26 @@
 	}
 	for _, e := range j.chain {
 		r.m.engines[e.ID].running--
-		r.book.RequestEnded(r.m.clock(), e.ID)
+		r.estimator.RequestEnded(r.m.clock(), e.ID)
 	}
 	r.dispatch()
 }
 
-// run runs the model and gives the tokens offered and delivered a second.
+// run runs the model for modelWarmUp and then for the given time. It returns the
+// tokens per second offered and delivered in the latter.
 func (m *model) run(length time.Duration) (offered, delivered float64) {
-	for warm := false; m.now < modelWarm+length; {
-		o := heap.Pop(&m.agenda).(occasion)
-		m.now = o.at
-		if !warm && m.now > modelWarm {
+	for warm := false; m.now < modelWarmUp+length; {
+		e := heap.Pop(&m.events).(event)
+		m.now = e.at
+		if !warm && m.now > modelWarmUp {
 			warm = true
-			m.tokens, m.offered, m.busy, m.intervals = 0, 0, 0, nil
+			m.tokens, m.offered, m.refused, m.intervals = 0, 0, 0, nil
 		}
-		o.do()
+		e.run()
 	}
 	slices.Sort(m.intervals)
 	return float64(m.offered) / length.Seconds(), float64(m.tokens) / length.Seconds()
 }
 
-// interval gives a quantile of the time between tokens.
+// interval returns the q-quantile of the time between tokens, in milliseconds.
 func (m *model) interval(q float64) float64 { return m.intervals[int(q*float64(len(m.intervals)-1))] }
--- a/decide/balancer/round_robin.go
+++ b/decide/balancer/round_robin.go
@@ -7,24 +7,25 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// roundRobin takes the engines of each stage in turn. It is blind to load and
-// to slots, but leaves out engines and links that must not be used.
+// roundRobin uses the engines of each stage in turn. It ignores load and
+// slots, but skips engines and links that must not be used.
 type roundRobin struct {
-	services map[ids.Service]*turns
-	search   search
+	services map[ids.Service]*rotation
+	search   pathSearch
 }
 
-// turns is where one service's engines stand in their turns.
-type turns struct {
+// rotation holds the round-robin positions of one service.
+type rotation struct {
 	graph *topology.Graph
-	// first is the turn of the heads, next that of each engine's followers.
-	first int
-	next  []int
+	// head is the position among the heads, next that among the successors of
+	// each engine.
+	head int
+	next []int
 }
 
-// newRoundRobin makes a roundRobin.
+// newRoundRobin returns a roundRobin that knows no service yet.
 func newRoundRobin() *roundRobin {
-	return &roundRobin{services: make(map[ids.Service]*turns)}
+	return &roundRobin{services: make(map[ids.Service]*rotation)}
 }
 
 // Pick implements Picker.
@@ -34,11 +35,11 @@
 		delete(p.services, r.Service)
 		return nil, false
 	}
-	t := p.turns(r.Service, g)
-	l := look{now: now, request: &r, view: v, graph: g}
-	p.search.usable = func(i int) bool { return l.allowed(i) && !l.estimate(i).Leaving }
-	p.search.link = l.linked
-	p.search.start = t.take
+	t := p.rotation(r.Service, g)
+	c := pickContext{now: now, request: &r, view: v, graph: g}
+	p.search.engineUsable = func(i int) bool { return c.engineAllowed(i) && !c.estimate(i).Leaving }
+	p.search.linkUsable = c.linkAllowed
+	p.search.startIndex = t.advance
 	path := p.search.find(g)
 	if path == nil {
 		return nil, false
@@ -46,28 +47,31 @@
 	return g.Chain(path), true
 }
 
-// turns gives the state of a service, started anew when its graph changed.
-func (p *roundRobin) turns(service ids.Service, g *topology.Graph) *turns {
+// rotation returns the positions of a service, reset when its graph has
+// changed.
+func (p *roundRobin) rotation(service ids.Service, g *topology.Graph) *rotation {
 	t := p.services[service]
 	if t != nil && t.graph == g {
 		return t
 	}
-	t = &turns{graph: g, next: make([]int, len(g.Engines()))}
+	t = &rotation{graph: g, next: make([]int, len(g.Engines()))}
 	for i := range t.next {
-		// Unequal starts keep the heads from all taking one follower at once.
+		// Different start positions keep the heads from all choosing the same
+		// successor at once.
 		t.next[i] = i
 	}
 	p.services[service] = t
 	return t
 }
 
-// take gives the turn at an engine and moves it on.
-func (t *turns) take(engine, n int) int {
-	at := &t.first
-	if engine != source {
+// advance returns the position among the n successors of an engine, or among
+// the heads for sourceNode, and moves it on by one.
+func (t *rotation) advance(engine, n int) int {
+	at := &t.head
+	if engine != sourceNode {
 		at = &t.next[engine]
 	}
-	turn := *at % n
-	*at = turn + 1
-	return turn
+	position := *at % n
+	*at = position + 1
+	return position
 }
