--- a/adapter/claims/committer.go
+++ b/adapter/claims/committer.go
@@ -24,7 +24,7 @@
 	Preferred(shard int) (ids.VM, bool)
 	// Forward hands an operation to a VM, once at most, and waits for the
 	// answer. The VM must have stopped to try when ctx ends. An answer other
-	// than ForwardUnsure needs proof. Any goroutine calls it.
+	// than ForwardUncertain needs proof. Any goroutine calls it.
 	Forward(ctx context.Context, c claim.Forward) claim.ForwardAnswer
 }
 
@@ -118,7 +118,7 @@
 	case a := <-answer:
 		return a
 	case <-ctx.Done():
-		return claim.ForwardAnswer{Kind: claim.ForwardUnsure}
+		return claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
 }
 
--- a/adapter/claims/peers_test.go
+++ b/adapter/claims/peers_test.go
@@ -34,7 +34,7 @@
 		return claim.ForwardAnswer{Kind: claim.ForwardRefused}
 	}
 	if p.lose.Load() {
-		return claim.ForwardAnswer{Kind: claim.ForwardUnsure}
+		return claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
 	op := c.Op
 	op.Deadline = c.Until
@@ -42,7 +42,7 @@
 	answer := (*p.fleet)[c.Shard%len(*p.fleet)].Serve(ctx, c.Shard, op)
 	<-time.After(hop)
 	if p.loseAnswer.Load() {
-		return claim.ForwardAnswer{Kind: claim.ForwardUnsure}
+		return claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
 	return answer
 }
@@ -125,7 +125,7 @@
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := c.Serve(ended, shard, op); got.Kind != claim.ForwardUnsure {
+	if got := c.Serve(ended, shard, op); got.Kind != claim.ForwardUncertain {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -146,7 +146,7 @@
 		late.Deadline = time.Now()
 		serve(2, late)
 		wait.Wait()
-		want := [3]claim.ForwardKind{claim.ForwardDone, claim.ForwardUnsure, claim.ForwardUnsure}
+		want := [3]claim.ForwardKind{claim.ForwardDone, claim.ForwardUncertain, claim.ForwardUncertain}
 		if kinds != want {
 			t.Errorf("got %v, want %v", kinds, want)
 		}
--- a/adapter/claims/worker.go
+++ b/adapter/claims/worker.go
@@ -76,7 +76,7 @@
 	if counts == *before {
 		return
 	}
-	added := counts.Less(*before)
+	added := counts.Sub(*before)
 	added.Each(func(name string, n uint64) {
 		if n > 0 {
 			w.settings.OnCount(name, int64(n))
@@ -154,8 +154,8 @@
 		return
 	}
 	kind := claim.ForwardRefused
-	if errors.As(err, new(*claim.LateError)) || errors.As(err, new(*claim.RepeatedError)) {
-		kind = claim.ForwardUnsure
+	if errors.As(err, new(*claim.ExpiredError)) || errors.As(err, new(*claim.RepeatedError)) {
+		kind = claim.ForwardUncertain
 	}
 	next.answer <- claim.ForwardAnswer{Kind: kind}
 }
@@ -202,7 +202,7 @@
 			w.forward(c)
 		case claim.Served:
 			w.served(c)
-		case claim.Problem:
+		case claim.InvalidValue:
 			w.settings.OnProblem(c.Err)
 		}
 	}
--- a/adapter/peer/claim.go
+++ b/adapter/peer/claim.go
@@ -109,7 +109,7 @@
 	switch answer.Kind {
 	case claim.ForwardRefused:
 		c.shun(f.VM, avoidRefusing)
-	case claim.ForwardUnsure:
+	case claim.ForwardUncertain:
 		c.shun(f.VM, avoidSilent)
 	}
 	return answer
--- a/adapter/peer/claim_conn.go
+++ b/adapter/peer/claim_conn.go
@@ -80,7 +80,7 @@
 	case errors.As(err, &refused):
 		return reply, claim.ForwardAnswer{Kind: claim.ForwardRefused}
 	case err != nil:
-		return peerapi.ClaimReply{}, claim.ForwardAnswer{Kind: claim.ForwardUnsure}
+		return peerapi.ClaimReply{}, claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
 	k.note(reply.ClockNs)
 	return reply, claimAnswer(f.Op, reply)
--- a/adapter/peer/claim_serve.go
+++ b/adapter/peer/claim_serve.go
@@ -125,7 +125,7 @@
 	switch {
 	case a.Kind == claim.ForwardRefused:
 		return peerapi.ClaimReply{State: peerapi.ClaimRefused}
-	case a.Kind == claim.ForwardUnsure:
+	case a.Kind == claim.ForwardUncertain:
 		return peerapi.ClaimReply{State: peerapi.ClaimUnsure}
 	case a.Result == router.ClaimTaken:
 		prior := tellClaimRecord(a.Prior)
@@ -140,7 +140,7 @@
 	case r.State == peerapi.ClaimRefused, r.State == peerapi.ClaimNoClock:
 		return claim.ForwardAnswer{Kind: claim.ForwardRefused}
 	case r.State != peerapi.ClaimDone:
-		return claim.ForwardAnswer{Kind: claim.ForwardUnsure}
+		return claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	case r.Prior == nil:
 		return claim.ForwardAnswer{Kind: claim.ForwardDone, Result: router.ClaimWon}
 	}
--- a/adapter/peer/claim_test.go
+++ b/adapter/peer/claim_test.go
@@ -58,7 +58,7 @@
 		"won":     {Kind: claim.ForwardDone},
 		"taken":   {Kind: claim.ForwardDone, Result: router.ClaimTaken, Prior: prior},
 		"refused": {Kind: claim.ForwardRefused},
-		"unsure":  {Kind: claim.ForwardUnsure},
+		"unsure":  {Kind: claim.ForwardUncertain},
 	}
 	var next claim.ForwardAnswer
 	var got claim.Op
@@ -148,7 +148,7 @@
 			break
 		}
 	}
-	if got := within(t, claims, forwardTo("b", 100*time.Millisecond)); got.Kind != claim.ForwardUnsure {
+	if got := within(t, claims, forwardTo("b", 100*time.Millisecond)); got.Kind != claim.ForwardUncertain {
 		t.Errorf("silent VM: got %+v", got)
 	}
 	if vm, ok := claims.Preferred(shard); ok {
--- a/decide/claim/claim.go
+++ b/decide/claim/claim.go
@@ -96,9 +96,9 @@
 	Confirmed bool
 }
 
-// Problem reports a shard's object that can't be used. Its claims fail; the
+// InvalidValue reports a shard's object that can't be used. Its claims fail; the
 // object is never overwritten.
-type Problem struct {
+type InvalidValue struct {
 	Shard int
 	Err   *ValueError
 }
@@ -107,7 +107,7 @@
 func (Write) isCommand()    {}
 func (Ended) isCommand()    {}
 func (Released) isCommand() {}
-func (Problem) isCommand()  {}
+func (InvalidValue) isCommand()  {}
 
 // request is the holder an operation is for.
 func (o Op) request() ids.Request { return o.Record.Request }
--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -253,7 +253,7 @@
 		g.Tick(epoch.Add(defaultWindow))
 		now := epoch.Add(defaultWindow)
 		commands := g.Answer(now, Answer{Object: platformapi.Object{Version: 5, Value: []byte(text)}})
-		if _, ok := commands[0].(Problem); !ok || len(commands) != 1 {
+		if _, ok := commands[0].(InvalidValue); !ok || len(commands) != 1 {
 			t.Errorf("%q: got %#v, want a Problem", text, commands)
 		}
 		commands = g.Tick(epoch.Add(time.Second))
@@ -270,7 +270,7 @@
 	_, err1 := g.Submit(epoch, claim)
 	_, err2 := g.Submit(epoch, claim)
 	_, err3 := g.Submit(epoch, claim)
-	var full *FullError
+	var full *QueueFullError
 	if err1 != nil || err2 != nil || !errors.As(err3, &full) {
 		t.Errorf("got %v, %v, %v", err1, err2, err3)
 	}
--- a/decide/claim/counts.go
+++ b/decide/claim/counts.go
@@ -18,8 +18,8 @@
 	Served uint64
 }
 
-// Less gives what was added since earlier counts.
-func (c Counts) Less(earlier Counts) Counts {
+// Sub gives what was added since earlier counts.
+func (c Counts) Sub(earlier Counts) Counts {
 	was, now := earlier.all(), c.all()
 	for i, count := range now {
 		*count.n -= *was[i].n
--- a/decide/claim/errors.go
+++ b/decide/claim/errors.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// FullError refuses a Claim, since too many wait for its shard. The operation
+// QueueFullError refuses a Claim, since too many wait for its shard. The operation
 // was not taken.
-type FullError struct{ Shard int }
+type QueueFullError struct{ Shard int }
 
 // Error implements error.
-func (e *FullError) Error() string {
+func (e *QueueFullError) Error() string {
 	return fmt.Sprintf("too many claims wait for shard %d", e.Shard)
 }
 
@@ -46,11 +46,11 @@
 // Error implements error.
 func (e *FormatError) Error() string { return fmt.Sprintf("not well-formed (format %d)", e.Format) }
 
-// LateError refuses an operation of another VM whose time is over.
-type LateError struct{}
+// ExpiredError refuses an operation of another VM whose time is over.
+type ExpiredError struct{}
 
 // Error implements error.
-func (e *LateError) Error() string { return "the claim operation came too late" }
+func (e *ExpiredError) Error() string { return "the claim operation came too late" }
 
 // RepeatedError refuses an operation of another VM that came before.
 type RepeatedError struct{}
--- a/decide/claim/forward.go
+++ b/decide/claim/forward.go
@@ -33,9 +33,9 @@
 
 // Kinds of answers to a Forward.
 const (
-	// ForwardUnsure: the VM may have committed the operation, or may yet do
+	// ForwardUncertain: the VM may have committed the operation, or may yet do
 	// so until the Forward's Until.
-	ForwardUnsure ForwardKind = iota
+	ForwardUncertain ForwardKind = iota
 	// ForwardRefused: the VM did not commit the operation and never will.
 	ForwardRefused
 	// ForwardDone: the operation is committed.
@@ -88,9 +88,9 @@
 // forwardUntil is how long another VM may try: a share of the time left.
 func (g *Group) forwardUntil(now time.Time, op Op) time.Time {
 	if op.Deadline.IsZero() {
-		return now.Add(g.settings.ForwardTime + g.settings.SettleWindow)
+		return now.Add(g.settings.ForwardTimeout + g.settings.SettleWindow)
 	}
-	share := min(op.Deadline.Sub(now)/forwardShare, g.settings.ForwardTime)
+	share := min(op.Deadline.Sub(now)/forwardShare, g.settings.ForwardTimeout)
 	return now.Add(share)
 }
 
@@ -163,7 +163,7 @@
 
 // Serve takes an operation of another VM, whose Deadline is the end of the
 // time given to this one, by this VM's clock: from then on the Group starts no
-// write of it. Errors: *OpError, *FullError, *LateError and *RepeatedError;
+// write of it. Errors: *OpError, *QueueFullError, *ExpiredError and *RepeatedError;
 // then the operation was not taken. One that is taken gets exactly one Served.
 func (g *Group) Serve(now time.Time, op Op) ([]Command, error) {
 	g.out = g.out[:0]
@@ -175,13 +175,13 @@
 		return nil, err
 	}
 	if !now.Before(op.Deadline) {
-		return nil, &LateError{}
+		return nil, &ExpiredError{}
 	}
 	if _, repeated := g.served[op.Nonce]; repeated {
 		return nil, &RepeatedError{}
 	}
 	if !g.roomToServe(now) {
-		return nil, &FullError{Shard: g.ShardOf(op.Record)}
+		return nil, &QueueFullError{Shard: g.ShardOf(op.Record)}
 	}
 	if err := g.machine(g.ShardOf(op.Record)).submit(now, op, untainted); err != nil {
 		return nil, err
@@ -210,7 +210,7 @@
 func (m *machine) giveBack(p *pending) {
 	answer := ForwardAnswer{Kind: ForwardRefused}
 	if p.inFlight || p.taint != untainted {
-		answer.Kind = ForwardUnsure
+		answer.Kind = ForwardUncertain
 	}
 	p.told = true
 	p.done = !p.inFlight
--- a/decide/claim/forward_test.go
+++ b/decide/claim/forward_test.go
@@ -113,9 +113,9 @@
 	s.finish()
 	op := late.forward.Op
 	op.Deadline = late.until.Add(preferred.skew)
-	var refused *LateError
+	var refused *ExpiredError
 	if _, err := preferred.Serve(s.clock(preferred), op); !errors.As(err, &refused) {
-		t.Errorf("got %v, want a *LateError", err)
+		t.Errorf("got %v, want a *ExpiredError", err)
 	}
 	// Even one that is not known to be late leaves what is done.
 	op.Deadline = s.clock(preferred).Add(time.Second)
@@ -229,10 +229,10 @@
 	if _, err := g.Serve(epoch, op); err != nil {
 		t.Fatal(err)
 	}
-	var full *FullError
+	var full *QueueFullError
 	op.Nonce = "c"
 	if _, err := g.Serve(epoch, op); !errors.As(err, &full) {
-		t.Errorf("got %v, want a *FullError", err)
+		t.Errorf("got %v, want a *QueueFullError", err)
 	}
 	// Room comes back once the time of the others is over.
 	op.Deadline = epoch.Add(2 * time.Second)
--- a/decide/claim/group.go
+++ b/decide/claim/group.go
@@ -61,7 +61,7 @@
 	return g.machines[shard]
 }
 
-// Submit takes an operation. Errors: *OpError, and *FullError for a Claim;
+// Submit takes an operation. Errors: *OpError, and *QueueFullError for a Claim;
 // then the operation was not taken. Each Claim taken gets exactly one Ended,
 // each Release exactly one Released; a Settle gets no answer. The commands
 // are valid until the next call of any method.
--- a/decide/claim/machine.go
+++ b/decide/claim/machine.go
@@ -68,10 +68,10 @@
 	failures, conflicts int
 }
 
-// submit queues an operation. The error is a *FullError.
+// submit queues an operation. The error is a *QueueFullError.
 func (m *machine) submit(now time.Time, op Op, taint int64) error {
 	if (op.Kind == Claim || op.remote) && m.waiting() >= m.group.settings.MaxQueue {
-		return &FullError{Shard: m.shard}
+		return &QueueFullError{Shard: m.shard}
 	}
 	p := &pending{op: op, told: op.Kind == Settle && !op.remote, taint: taint}
 	m.queue(now, p)
@@ -86,7 +86,7 @@
 // queue adds an operation, which waits for company. Nobody waits for a
 // settlement, so it waits longer.
 func (m *machine) queue(now time.Time, p *pending) {
-	ready := now.Add(m.group.settings.Window)
+	ready := now.Add(m.group.settings.BatchWindow)
 	if p.op.Kind == Settle {
 		ready = now.Add(m.group.settings.SettleWindow)
 	}
--- a/decide/claim/network_test.go
+++ b/decide/claim/network_test.go
@@ -40,7 +40,7 @@
 		s.serving[op.Nonce] = m
 	}
 	commands, err := m.to.Serve(s.clock(m.to), op)
-	if _, full := err.(*FullError); full {
+	if _, full := err.(*QueueFullError); full {
 		m.answer = &ForwardAnswer{Kind: ForwardRefused}
 		s.messages = append(s.messages, m)
 	}
--- a/decide/claim/settings.go
+++ b/decide/claim/settings.go
@@ -33,8 +33,8 @@
 	// Shards is the number of objects. All VMs must have the same number,
 	// and it must not change while claims are remembered. Default 64.
 	Shards int
-	// Window is how long a first operation waits for others. Default 5ms.
-	Window time.Duration
+	// BatchWindow is how long a first operation waits for others. Default 5ms.
+	BatchWindow time.Duration
 	// SettleWindow is how long settlements wait for another operation, whose
 	// write takes them along. A VM that dies meanwhile leaves claims held
 	// that were done. Default 200ms.
@@ -60,10 +60,10 @@
 	// MaxForwards bounds the operations handed to other VMs at a time, and
 	// those of other VMs whose time is not over. Default 4096.
 	MaxForwards int
-	// ForwardTime bounds the time that another VM may take for an operation;
+	// ForwardTimeout bounds the time that another VM may take for an operation;
 	// a third of the time to its deadline, if less. A settlement gets the
 	// SettleWindow on top. Default 100ms.
-	ForwardTime time.Duration
+	ForwardTimeout time.Duration
 	// Seed starts the random source of the pauses.
 	Seed uint64
 }
@@ -71,7 +71,7 @@
 // withDefaults fills in unset fields.
 func (s Settings) withDefaults() Settings {
 	s.Shards = defaults.Positive(s.Shards, defaultShards)
-	s.Window = defaults.Positive(s.Window, defaultWindow)
+	s.BatchWindow = defaults.Positive(s.BatchWindow, defaultWindow)
 	s.SettleWindow = defaults.Positive(s.SettleWindow, defaultSettleWindow)
 	s.MaxQueue = defaults.Positive(s.MaxQueue, defaultQueue)
 	s.MaxBatch = defaults.Positive(s.MaxBatch, defaultBatch)
@@ -82,7 +82,7 @@
 	s.BackoffMin = defaults.Positive(s.BackoffMin, defaultBackoffMin)
 	s.BackoffMax = defaults.Positive(s.BackoffMax, defaultBackoffMax)
 	s.MaxForwards = defaults.Positive(s.MaxForwards, defaultForwards)
-	s.ForwardTime = defaults.Positive(s.ForwardTime, defaultForwardTime)
+	s.ForwardTimeout = defaults.Positive(s.ForwardTimeout, defaultForwardTime)
 	s.MaxBytes = min(s.MaxBytes, platformapi.MaxValue)
 	return s
 }
--- a/decide/claim/settle.go
+++ b/decide/claim/settle.go
@@ -129,7 +129,7 @@
 func (m *machine) problem(now time.Time, err *ValueError) {
 	m.current = false
 	m.pause(now)
-	m.group.emit(Problem{Shard: m.shard, Err: err})
+	m.group.emit(InvalidValue{Shard: m.shard, Err: err})
 }
 
 // pause delays the next call after a failure.
--- a/decide/claim/sim_test.go
+++ b/decide/claim/sim_test.go
@@ -171,7 +171,7 @@
 			s.send(v, c)
 		case Served:
 			s.served(v, c)
-		case Problem:
+		case InvalidValue:
 			s.t.Fatalf("problem: %v", c.Err)
 		}
 	}
