--- a/decide/ledger/ledger.go
+++ b/decide/ledger/ledger.go
@@ -172,8 +172,8 @@
 // Next is the index of the next token to come out.
 func (l *Ledger) Next() int { return l.next }
 
-// Held is the count of tokens held back until their turn.
-func (l *Ledger) Held() int { return l.held.count }
+// Buffered is the count of tokens held back until their turn.
+func (l *Ledger) Buffered() int { return l.held.count }
 
 // Stale is the count of tokens and end markers of other attempts dropped.
 func (l *Ledger) Stale() int { return l.stale }
--- a/decide/ledger/ledger_test.go
+++ b/decide/ledger/ledger_test.go
@@ -58,8 +58,8 @@
 		if err != nil {
 			return next, err
 		}
-		if l.Held() > l.held.capacity() {
-			t.Fatalf("%d tokens held", l.Held())
+		if l.Buffered() > l.held.capacity() {
+			t.Fatalf("%d tokens held", l.Buffered())
 		}
 	}
 	return next, nil
