--- a/adapter/forward/budget_test.go
+++ b/adapter/forward/budget_test.go
@@ -35,7 +35,7 @@
 		for i, budget := range budgets {
 			// 64 requests a second, unevenly spread.
 			if (int(at/step)+i)%(6+3*i) == 0 {
-				budget.First(now)
+				budget.RecordFirst(now)
 				firsts = append(firsts, at)
 			}
 			for at >= calm && budget.Allow(now, outcome.UpstreamLost) {
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -27,7 +27,7 @@
 	nodes       int
 	conditions  *condition.Table
 	chains      *chain.Book
-	retryAfters *retryafter.Book
+	retryAfters *retryafter.Estimator
 	replicas    *replica.Book
 	budgets     map[ids.Service]*retry.Budget
 }
@@ -62,7 +62,7 @@
 func (p *picker) limit(b *retry.Budget) {
 	ratio, perSecond := p.opts.Budget.share(p.nodes)
 	b.SetPolicy(fleet.RetryPolicy{BudgetRatio: ratio, BudgetMin: perSecond})
-	b.BoundWindow(p.opts.Budget.bound(p.nodes))
+	b.LimitWindow(p.opts.Budget.bound(p.nodes))
 }
 
 // budget gives the budget of a service.
@@ -80,7 +80,7 @@
 func (p *picker) first(service ids.Service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(service).First(p.opts.Now())
+	p.budget(service).RecordFirst(p.opts.Now())
 }
 
 // newPart is the part of the retry budget that requests may use whose answer
@@ -94,7 +94,7 @@
 	defer p.mu.Unlock()
 	now := p.opts.Now()
 	b := p.budget(service)
-	if !begun && !b.AvailableOf(now, newPart) {
+	if !begun && !b.AvailableWithin(now, newPart) {
 		return false
 	}
 	return b.Allow(now, reason)
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.retryAfters.Found(began, r.Service)
+	p.retryAfters.ChainFound(began, r.Service)
 	if !p.tiles(c, m.Layers) {
 		return nil, &chain.TilingError{Chain: c.String(), Layers: m.Layers}
 	}
@@ -126,7 +126,7 @@
 func (p *picker) retryAfter(service ids.Service, left time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.retryAfters.Missing(p.opts.Now(), service, left)
+	return p.retryAfters.ChainMissing(p.opts.Now(), service, left)
 }
 
 // due gives the slow upstreams whose report should be asked for again.
@@ -171,7 +171,7 @@
 	if dead {
 		part = 1
 	}
-	if !p.budget(r.Service).AvailableOf(at, part) {
+	if !p.budget(r.Service).AvailableWithin(at, part) {
 		return false
 	}
 	other, err := p.chains.Choose(at, m, view, r)
--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -275,7 +275,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs++
-	s.budget.First(time.Now())
+	s.budget.RecordFirst(time.Now())
 	length := shortStream + time.Duration(s.rand.Float64()*float64(longStream-shortStream))
 	r := &run{until: time.Now().Add(length)}
 	if !s.try(r, false) && !(s.budget.Allow(time.Now(), outcome.UpstreamBusy) && s.try(r, false)) {
--- a/decide/chain/fleet_test.go
+++ b/decide/chain/fleet_test.go
@@ -134,7 +134,7 @@
 func (p *simulation) request(now time.Time) {
 	zone := p.rand.IntN(3)
 	n := p.nodes[3*p.rand.IntN(len(p.nodes)/3)+zone]
-	n.retries.First(now)
+	n.retries.RecordFirst(now)
 	r := request
 	r.Zone, r.Draw = ids.Zone(fmt.Sprintf("z%d", zone+1)), p.rand.Uint64()|1
 	r.Avoid = make(map[ids.Life]bool)
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -51,26 +51,26 @@
 	b.least = max(policy.BudgetMin, 0)
 }
 
-// BoundWindow bounds what is allowed in any BudgetWindow to ratio retries for each first
+// LimitWindow bounds what is allowed in any BudgetWindow to ratio retries for each first
 // attempt in it and slack more. The fading allowance alone grants what it holds at once
 // and, used up all the while, the same again in the window after.
-func (b *Budget) BoundWindow(ratio, slack float64) {
+func (b *Budget) LimitWindow(ratio, slack float64) {
 	b.bounded, b.windowRatio, b.windowSlack = true, max(ratio, 0), max(slack, 0)
 }
 
-// First counts the first attempt of a request.
-func (b *Budget) First(now time.Time) {
+// RecordFirst counts the first attempt of a request.
+func (b *Budget) RecordFirst(now time.Time) {
 	b.fade(now)
 	b.firsts++
 	b.windowFirsts.add(now)
 }
 
 // Available reports whether Allow would grant a retry now. It takes nothing.
-func (b *Budget) Available(now time.Time) bool { return b.AvailableOf(now, 1) }
+func (b *Budget) Available(now time.Time) bool { return b.AvailableWithin(now, 1) }
 
-// AvailableOf is Available within a part of the allowance, 0 to 1, so that
+// AvailableWithin is Available within a part of the allowance, 0 to 1, so that
 // retries which matter less leave the rest to those that matter more.
-func (b *Budget) AvailableOf(now time.Time, part float64) bool {
+func (b *Budget) AvailableWithin(now time.Time, part float64) bool {
 	b.fade(now)
 	allowance := b.ratio*b.firsts + b.least*BudgetWindow.Seconds()
 	return b.retries+1 <= allowance*part && b.inWindow(now, part)
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -211,7 +211,7 @@
 	allowed := 0
 	for range seconds * rate { // every first attempt fails, and so does each retry
 		now = now.Add(time.Second / rate)
-		b.First(now)
+		b.RecordFirst(now)
 		for range 3 {
 			if b.Allow(now, outcome.ConnectFailed) {
 				allowed++
--- a/decide/retryafter/retryafter.go
+++ b/decide/retryafter/retryafter.go
@@ -25,8 +25,8 @@
 	heededPart = 1.0 / 3
 )
 
-// Book knows, for each service, how long no chain was found. Make it with New.
-type Book struct {
+// Estimator knows, for each service, how long no chain was found. Make it with New.
+type Estimator struct {
 	services map[ids.Service]*state
 }
 
@@ -39,10 +39,10 @@
 }
 
 // New makes an empty Book.
-func New() *Book { return &Book{services: make(map[ids.Service]*state)} }
+func New() *Estimator { return &Estimator{services: make(map[ids.Service]*state)} }
 
-// Found tells that a chain was found.
-func (b *Book) Found(now time.Time, service ids.Service) {
+// ChainFound tells that a chain was found.
+func (b *Estimator) ChainFound(now time.Time, service ids.Service) {
 	s := b.services[service]
 	if s == nil || s.since.IsZero() {
 		return
@@ -56,9 +56,9 @@
 	s.lasted += time.Duration(weight * float64(passed-s.lasted))
 }
 
-// Missing tells that no chain was found, and gives the time after which a caller with so
+// ChainMissing tells that no chain was found, and gives the time after which a caller with so
 // much time left should come back.
-func (b *Book) Missing(now time.Time, service ids.Service, left time.Duration) time.Duration {
+func (b *Estimator) ChainMissing(now time.Time, service ids.Service, left time.Duration) time.Duration {
 	s := b.services[service]
 	if s == nil {
 		s = &state{}
--- a/decide/retryafter/retryafter_test.go
+++ b/decide/retryafter/retryafter_test.go
@@ -50,8 +50,8 @@
 	} {
 		b := New()
 		callers, refused := play(c.outages, func(now time.Time) time.Duration {
-			return b.Missing(now, service, deadline)
-		}, func(now time.Time) { b.Found(now, service) })
+			return b.ChainMissing(now, service, deadline)
+		}, func(now time.Time) { b.ChainFound(now, service) })
 		if part := float64(refused) / float64(callers); part > c.most+float64(between)/float64(time.Second) {
 			t.Errorf("%s: %d of %d callers were refused twice, %.2f of them may be", name, refused, callers, c.most)
 		}
@@ -61,10 +61,10 @@
 // Advice that a caller cannot heed within its time is not given.
 func TestAdviceFitsTheTimeLeft(t *testing.T) {
 	b := New()
-	b.Missing(start, service, deadline)
+	b.ChainMissing(start, service, deadline)
 	now := start.Add(15 * time.Second)
 	for _, left := range []time.Duration{0, -time.Second, 300 * time.Millisecond, 6 * time.Second, time.Hour} {
-		got := b.Missing(now, service, left)
+		got := b.ChainMissing(now, service, left)
 		if got < 0 || got > max(left/3, 0) {
 			t.Errorf("with %v left: %v", left, got)
 		}
@@ -76,12 +76,12 @@
 	b := New()
 	now := start
 	for _, lasts := range []time.Duration{8 * time.Second, time.Second, time.Second, time.Second, time.Second} {
-		b.Missing(now, service, deadline)
+		b.ChainMissing(now, service, deadline)
 		now = now.Add(lasts)
-		b.Found(now, service)
+		b.ChainFound(now, service)
 		now = now.Add(time.Minute)
 	}
-	if got := b.Missing(now, service, deadline); got > 2*time.Second {
+	if got := b.ChainMissing(now, service, deadline); got > 2*time.Second {
 		t.Errorf("advice of %v after four times of one second", got)
 	}
 }
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -110,7 +110,7 @@
 	req.sentAt = r.now
 	req.startedAt = time.Time{}
 	if req.attempt == 1 {
-		req.svc.budget.First(r.now)
+		req.svc.budget.RecordFirst(r.now)
 	}
 	r.trial(req)
 	r.note(req, StepSent, "", "")
