--- a/adapter/forward/culprits.go
+++ b/adapter/forward/culprits.go
@@ -45,7 +45,7 @@
 	opts Options
 
 	mu       sync.Mutex
-	blamers  map[ids.Service]*quarantine.Blamer
+	blamers  map[ids.Service]*quarantine.Detector
 	lost     []*run
 	lostAt   map[ids.Life][]*run
 	deadAt   map[ids.Life]time.Time
@@ -63,7 +63,7 @@
 func newCulprits(o Options) *culprits {
 	return &culprits{
 		opts:     o,
-		blamers:  make(map[ids.Service]*quarantine.Blamer),
+		blamers:  make(map[ids.Service]*quarantine.Detector),
 		lostAt:   make(map[ids.Life][]*run),
 		deadAt:   make(map[ids.Life]time.Time),
 		verdicts: make(map[quarantine.Fingerprint]held),
@@ -71,12 +71,12 @@
 }
 
 // blamer gives the evidence of a service.
-func (c *culprits) blamer(service ids.Service) *quarantine.Blamer {
+func (c *culprits) blamer(service ids.Service) *quarantine.Detector {
 	q := c.blamers[service]
 	if q == nil {
 		// Nodes tell each other verdicts and no evidence, so there is none to
 		// wait for.
-		q = quarantine.New(quarantine.Options{Settle: -1})
+		q = quarantine.New(quarantine.Options{PeerWait: -1})
 		c.blamers[service] = q
 	}
 	return q
@@ -144,14 +144,14 @@
 	}
 	// Deaths that nothing is blamed for count as well: they speak for a cause
 	// outside.
-	c.blamer(service).Died(now, id.Upstream, strconv.FormatInt(id.Born, 10), prints)
+	c.blamer(service).RecordDeath(now, id.Upstream, strconv.FormatInt(id.Born, 10), prints)
 }
 
 // served notes that a request was answered whole.
 func (c *culprits) served(service ids.Service, print quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.blamer(service).Succeeded(c.opts.Now(), print)
+	c.blamer(service).RecordSuccess(c.opts.Now(), print)
 }
 
 // refused reports whether requests of a fingerprint are refused; news is set
@@ -192,6 +192,6 @@
 		}
 	}
 	if len(c.verdicts) < maxVerdicts {
-		c.verdicts[v.Fingerprint] = held{until: now.Add(min(v.For, quarantine.DefaultFor)), own: own}
+		c.verdicts[v.Fingerprint] = held{until: now.Add(min(v.For, quarantine.DefaultDuration)), own: own}
 	}
 }
--- a/decide/quarantine/digest.go
+++ b/decide/quarantine/digest.go
@@ -37,13 +37,13 @@
 	Age time.Duration `json:"age_ns"`
 }
 
-// PeerBlame takes in a peer's digest. Whose it is does not matter, since
+// MergeDigest takes in a peer's digest. Whose it is does not matter, since
 // events name what they are of; relayed ones may come from anybody. Events
 // beyond MaxEvents, of unknown kind, or older than what is kept are ignored.
-func (b *Blamer) PeerBlame(now time.Time, _ ids.VM, events []Event) {
+func (b *Detector) MergeDigest(now time.Time, _ ids.VM, events []Event) {
 	b.prune(now)
 	for _, e := range events[:min(len(events), b.opts.MaxEvents)] {
-		if e.Age >= keepFactor*b.opts.For || !e.Kind.valid() {
+		if e.Age >= keepFactor*b.opts.Duration || !e.Kind.valid() {
 			continue
 		}
 		d := b.death(now.Add(-max(e.Age, 0)), deathID{e.Upstream, e.Epoch})
@@ -63,7 +63,7 @@
 // Digest gives the evidence for peers, what peers told included: first what
 // counts against suspects of several deaths, then the rest of the newest
 // deaths, at most MaxEvents.
-func (b *Blamer) Digest(now time.Time) []Event {
+func (b *Detector) Digest(now time.Time) []Event {
 	b.prune(now)
 	newest := slices.Clone(b.deaths)
 	slices.SortStableFunc(newest, func(x, y *death) int { return y.at.Compare(x.at) })
--- a/decide/quarantine/evidence.go
+++ b/decide/quarantine/evidence.go
@@ -25,7 +25,7 @@
 }
 
 // caseOf sums up the evidence against a fingerprint.
-func (b *Blamer) caseOf(fp Fingerprint) evidence {
+func (b *Detector) caseOf(fp Fingerprint) evidence {
 	var e evidence
 	var seen []ids.Upstream
 	for _, d := range b.suspects[fp] {
@@ -50,7 +50,7 @@
 
 // death gives the record of a death, made if needed. The first time it was
 // heard of stands.
-func (b *Blamer) death(at time.Time, id deathID) *death {
+func (b *Detector) death(at time.Time, id deathID) *death {
 	if d, known := b.byID[id]; known {
 		return d
 	}
@@ -66,7 +66,7 @@
 
 // blame counts a death against a fingerprint, once, unless it has succeeded
 // since.
-func (b *Blamer) blame(d *death, fp Fingerprint) {
+func (b *Detector) blame(d *death, fp Fingerprint) {
 	if _, known := d.inFlight[fp]; known || len(d.inFlight) >= b.opts.MaxInFlight {
 		return
 	}
@@ -87,7 +87,7 @@
 }
 
 // remember notes a success, in place of the oldest when there are too many.
-func (b *Blamer) remember(now time.Time, fp Fingerprint) {
+func (b *Detector) remember(now time.Time, fp Fingerprint) {
 	if _, known := b.successes[fp]; !known {
 		if len(b.order) < maxSuccesses {
 			b.order = append(b.order, fp)
@@ -101,8 +101,8 @@
 }
 
 // prune forgets old deaths.
-func (b *Blamer) prune(now time.Time) {
-	keep := keepFactor * b.opts.For
+func (b *Detector) prune(now time.Time) {
+	keep := keepFactor * b.opts.Duration
 	b.deaths = slices.DeleteFunc(b.deaths, func(d *death) bool {
 		if now.Sub(d.at) < keep {
 			return false
@@ -113,7 +113,7 @@
 }
 
 // forget takes a death out of what points to it.
-func (b *Blamer) forget(d *death) {
+func (b *Detector) forget(d *death) {
 	delete(b.byID, d.id)
 	for fp := range d.inFlight {
 		rest := slices.DeleteFunc(b.suspects[fp], func(other *death) bool { return other == d })
--- a/decide/quarantine/quarantine.go
+++ b/decide/quarantine/quarantine.go
@@ -25,7 +25,7 @@
 // dies by itself onto another that does, with nothing else dying; and equal
 // requests that run on all upstreams of a failing rack and nowhere else.
 //
-// A Blamer is used by one goroutine, for one service. It reads no clock.
+// A Detector is used by one goroutine, for one service. It reads no clock.
 package quarantine
 
 import (
@@ -37,9 +37,9 @@
 
 // Defaults of Options.
 const (
-	DefaultAfter       = 2
-	DefaultFor         = 10 * time.Minute
-	DefaultSettle      = time.Second
+	DefaultThreshold       = 2
+	DefaultDuration         = 10 * time.Minute
+	DefaultPeerWait      = time.Second
 	DefaultMaxDeaths   = 256
 	DefaultMaxInFlight = 512
 	DefaultMaxEvents   = 256
@@ -66,15 +66,15 @@
 // Fingerprint tells a request from others and is the same for its repeats.
 type Fingerprint string
 
-// Options bound a Blamer. Zero fields take their defaults.
+// Options bound a Detector. Zero fields take their defaults.
 type Options struct {
-	// After is the dead upstreams that quarantine a fingerprint.
-	After int
-	// For is the time of a quarantine, counted from the last death.
-	For time.Duration
-	// Settle is the time peers have to tell what they had in flight; below
+	// Threshold is the dead upstreams that quarantine a fingerprint.
+	Threshold int
+	// Duration is the time of a quarantine, counted from the last death.
+	Duration time.Duration
+	// PeerWait is the time peers have to tell what they had in flight; below
 	// zero means none.
-	Settle time.Duration
+	PeerWait time.Duration
 	// MaxDeaths is the most deaths kept, MaxInFlight the most fingerprints
 	// blamed for one, MaxEvents the most in a digest, sent or taken in.
 	MaxDeaths, MaxInFlight, MaxEvents int
@@ -95,8 +95,8 @@
 	blamed   int
 }
 
-// Blamer keeps the evidence of one service.
-type Blamer struct {
+// Detector keeps the evidence of one service.
+type Detector struct {
 	opts Options
 	// deaths are in the order they were learned of.
 	deaths   []*death
@@ -108,9 +108,9 @@
 	next      int
 }
 
-// New makes a Blamer without evidence.
-func New(opts Options) *Blamer {
-	b := &Blamer{
+// New makes a Detector without evidence.
+func New(opts Options) *Detector {
+	b := &Detector{
 		byID:      make(map[deathID]*death),
 		suspects:  make(map[Fingerprint][]*death),
 		successes: make(map[Fingerprint]time.Time),
@@ -120,12 +120,12 @@
 }
 
 // SetOptions changes the options; the evidence is judged anew by them.
-func (b *Blamer) SetOptions(opts Options) { b.opts = withDefaults(opts) }
+func (b *Detector) SetOptions(opts Options) { b.opts = withDefaults(opts) }
 
-// Died blames an upstream's death on what this VM had in flight there; tell
+// RecordDeath blames an upstream's death on what this VM had in flight there; tell
 // also of deaths without any. A death is a connection lost after start that is
 // followed by a new epoch or refused connects; epoch is the life that ended.
-func (b *Blamer) Died(now time.Time, upstream ids.Upstream, epoch string, inFlight []Fingerprint) {
+func (b *Detector) RecordDeath(now time.Time, upstream ids.Upstream, epoch string, inFlight []Fingerprint) {
 	b.prune(now)
 	d := b.death(now, deathID{upstream, epoch})
 	for _, fp := range inFlight {
@@ -133,8 +133,8 @@
 	}
 }
 
-// Succeeded tells that an upstream served a fingerprint whole.
-func (b *Blamer) Succeeded(now time.Time, fp Fingerprint) {
+// RecordSuccess tells that an upstream served a fingerprint whole.
+func (b *Detector) RecordSuccess(now time.Time, fp Fingerprint) {
 	b.remember(now, fp)
 	for _, d := range b.suspects[fp] {
 		if !d.at.After(now) {
@@ -145,10 +145,10 @@
 
 // Quarantined reports whether requests of a fingerprint are refused, and
 // until when.
-func (b *Blamer) Quarantined(now time.Time, fp Fingerprint) (bool, time.Time) {
+func (b *Detector) Quarantined(now time.Time, fp Fingerprint) (bool, time.Time) {
 	c := b.caseOf(fp)
-	until := c.last.Add(b.opts.For)
-	if c.upstreams < b.opts.After || !now.Before(until) {
+	until := c.last.Add(b.opts.Duration)
+	if c.upstreams < b.opts.Threshold || !now.Before(until) {
 		return false, time.Time{}
 	}
 	if !b.certain(c) && !b.proven(now, fp, c) {
@@ -159,13 +159,13 @@
 
 // certain reports whether the count alone is proof. It has to be for culprits
 // that kill at the same time as others.
-func (b *Blamer) certain(c evidence) bool {
-	return c.upstreams >= b.opts.After+certainAfter && b.explains(c, certainExplained)
+func (b *Detector) certain(c evidence) bool {
+	return c.upstreams >= b.opts.Threshold+certainAfter && b.explains(c, certainExplained)
 }
 
 // explains reports whether a share of all deaths in the time is blamed on the
 // fingerprint.
-func (b *Blamer) explains(c evidence, share float64) bool {
+func (b *Detector) explains(c evidence, share float64) bool {
 	return float64(c.deaths) >= share*float64(b.deathsBetween(c.first, c.last))
 }
 
@@ -177,14 +177,14 @@
 // death or success tells them apart; those whose turn is later wait for
 // turnFactor times Settle at most. A caller that does not wait lets a culprit
 // kill more upstreams.
-func (b *Blamer) Suspected(now time.Time, fp Fingerprint) (upstreams int, holdUntil time.Time) {
+func (b *Detector) Suspected(now time.Time, fp Fingerprint) (upstreams int, holdUntil time.Time) {
 	c := b.caseOf(fp)
-	if c.upstreams < b.opts.After {
+	if c.upstreams < b.opts.Threshold {
 		return c.upstreams, time.Time{}
 	}
-	hold := c.last.Add(b.opts.Settle)
+	hold := c.last.Add(b.opts.PeerWait)
 	if b.anyRival(fp, c, func(other Fingerprint) bool { return other < fp }) {
-		hold = c.last.Add(turnFactor * b.opts.Settle)
+		hold = c.last.Add(turnFactor * b.opts.PeerWait)
 	}
 	if now.Before(hold) {
 		holdUntil = hold
@@ -194,8 +194,8 @@
 
 // proven reports whether a fingerprint explains the deaths it is blamed for
 // and nothing else does as well.
-func (b *Blamer) proven(now time.Time, fp Fingerprint, c evidence) bool {
-	if now.Before(c.last.Add(b.opts.Settle)) {
+func (b *Detector) proven(now time.Time, fp Fingerprint, c evidence) bool {
+	if now.Before(c.last.Add(b.opts.PeerWait)) {
 		return false
 	}
 	return b.explains(c, explained) && !b.anyRival(fp, c, anyone)
@@ -203,7 +203,7 @@
 
 // anyRival reports whether another fingerprint, of those that match, explains
 // the same deaths about as well.
-func (b *Blamer) anyRival(fp Fingerprint, c evidence, match func(Fingerprint) bool) bool {
+func (b *Detector) anyRival(fp Fingerprint, c evidence, match func(Fingerprint) bool) bool {
 	for _, d := range b.suspects[fp] {
 		if !d.inFlight[fp] {
 			continue
@@ -224,7 +224,7 @@
 func anyone(Fingerprint) bool { return true }
 
 // deathsBetween counts the deaths in a span of time, its ends included.
-func (b *Blamer) deathsBetween(first, last time.Time) int {
+func (b *Detector) deathsBetween(first, last time.Time) int {
 	count := 0
 	for _, d := range b.deaths {
 		if !d.at.Before(first) && !d.at.After(last) {
@@ -236,12 +236,12 @@
 
 // withDefaults fills in unset options.
 func withDefaults(o Options) Options {
-	o.After = defaults.Positive(o.After, DefaultAfter)
-	o.For = defaults.Positive(o.For, DefaultFor)
-	if o.Settle == 0 {
-		o.Settle = DefaultSettle
+	o.Threshold = defaults.Positive(o.Threshold, DefaultThreshold)
+	o.Duration = defaults.Positive(o.Duration, DefaultDuration)
+	if o.PeerWait == 0 {
+		o.PeerWait = DefaultPeerWait
 	}
-	o.Settle = max(o.Settle, 0)
+	o.PeerWait = max(o.PeerWait, 0)
 	o.MaxDeaths = defaults.Positive(o.MaxDeaths, DefaultMaxDeaths)
 	o.MaxInFlight = defaults.Positive(o.MaxInFlight, DefaultMaxInFlight)
 	o.MaxEvents = defaults.Positive(o.MaxEvents, DefaultMaxEvents)
--- a/decide/quarantine/quarantine_test.go
+++ b/decide/quarantine/quarantine_test.go
@@ -13,25 +13,25 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-func refused(b *Blamer, ms int, fp Fingerprint) bool {
+func refused(b *Detector, ms int, fp Fingerprint) bool {
 	yes, _ := b.Quarantined(at(ms), fp)
 	return yes
 }
 
 func TestSecondUpstreamQuarantines(t *testing.T) {
 	b := New(Options{})
-	b.Died(at(0), "e1", "a", []Fingerprint{"bad", "x1", "x2"})
-	b.Died(at(100), "e1", "a", []Fingerprint{"bad"}) // the same death
-	b.Died(at(200), "e1", "b", []Fingerprint{"bad"}) // the same upstream
+	b.RecordDeath(at(0), "e1", "a", []Fingerprint{"bad", "x1", "x2"})
+	b.RecordDeath(at(100), "e1", "a", []Fingerprint{"bad"}) // the same death
+	b.RecordDeath(at(200), "e1", "b", []Fingerprint{"bad"}) // the same upstream
 	if refused(b, 5000, "bad") {
 		t.Fatal("quarantined for one upstream")
 	}
-	b.Died(at(5000), "e2", "a", []Fingerprint{"bad", "x3"})
+	b.RecordDeath(at(5000), "e2", "a", []Fingerprint{"bad", "x3"})
 	if n, hold := b.Suspected(at(5000), "bad"); n != 2 || !hold.Equal(at(6000)) || refused(b, 5000, "bad") {
 		t.Errorf("%d upstreams, hold until %v: peers have had no time", n, hold)
 	}
 	yes, until := b.Quarantined(at(6000), "bad")
-	if !yes || !until.Equal(at(5000).Add(DefaultFor)) {
+	if !yes || !until.Equal(at(5000).Add(DefaultDuration)) {
 		t.Errorf("Quarantined = %v until %v", yes, until)
 	}
 	if refused(b, 6000, "x1") || refused(b, 6000, "x3") {
@@ -44,17 +44,17 @@
 
 func TestInnocentRetriedBesideTheCulpritIsSpared(t *testing.T) {
 	b := New(Options{})
-	b.Died(at(0), "e1", "a", []Fingerprint{"bad", "unlucky", "x1"})
-	b.Died(at(300), "e2", "a", []Fingerprint{"bad", "unlucky", "x2"})
+	b.RecordDeath(at(0), "e1", "a", []Fingerprint{"bad", "unlucky", "x1"})
+	b.RecordDeath(at(300), "e2", "a", []Fingerprint{"bad", "unlucky", "x2"})
 	if refused(b, 2000, "unlucky") || refused(b, 2000, "bad") {
 		t.Fatal("a tie is decided")
 	}
 	_, first := b.Suspected(at(2000), "bad")
 	_, second := b.Suspected(at(2000), "unlucky")
-	if !first.IsZero() || !second.Equal(at(300).Add(turnFactor*DefaultSettle)) {
+	if !first.IsZero() || !second.Equal(at(300).Add(turnFactor*DefaultPeerWait)) {
 		t.Errorf("wait until %v and %v: suspects that tie must be tried one by one", first, second)
 	}
-	b.Succeeded(at(2500), "unlucky")
+	b.RecordSuccess(at(2500), "unlucky")
 	if refused(b, 2500, "unlucky") || !refused(b, 2500, "bad") {
 		t.Error("the success of one must convict the other")
 	}
@@ -63,8 +63,8 @@
 func TestPopularRequestIsClearedBySuccess(t *testing.T) {
 	b := New(Options{})
 	for i := range 6 { // in flight at every death, served in between
-		b.Died(at(i*1000), ids.Upstream(fmt.Sprint(i)), "a", []Fingerprint{"popular", "x"})
-		b.Succeeded(at(i*1000+500), "popular")
+		b.RecordDeath(at(i*1000), ids.Upstream(fmt.Sprint(i)), "a", []Fingerprint{"popular", "x"})
+		b.RecordSuccess(at(i*1000+500), "popular")
 	}
 	if refused(b, 9000, "popular") || !refused(b, 9000, "x") {
 		t.Error("want x, which never succeeded, and not the popular request")
@@ -78,7 +78,7 @@
 		if i%3 == 0 { // equal requests on four of ten upstreams
 			fps = append(fps, "r0")
 		}
-		b.Died(at(i*100), ids.Upstream(fmt.Sprint(i)), "a", fps)
+		b.RecordDeath(at(i*100), ids.Upstream(fmt.Sprint(i)), "a", fps)
 	}
 	for i := range 11 {
 		if refused(b, 5000, Fingerprint(fmt.Sprint("r", i))) {
@@ -89,31 +89,31 @@
 
 func TestRelaysCountOnce(t *testing.T) {
 	a, b, c := New(Options{}), New(Options{}), New(Options{})
-	a.Died(at(0), "e1", "x", []Fingerprint{"bad"})
+	a.RecordDeath(at(0), "e1", "x", []Fingerprint{"bad"})
 	for i := range 20 { // told back and forth
-		b.PeerBlame(at(i*100), "a", a.Digest(at(i*100)))
-		c.PeerBlame(at(i*100), "b", b.Digest(at(i*100)))
-		a.PeerBlame(at(i*100), "c", c.Digest(at(i*100)))
+		b.MergeDigest(at(i*100), "a", a.Digest(at(i*100)))
+		c.MergeDigest(at(i*100), "b", b.Digest(at(i*100)))
+		a.MergeDigest(at(i*100), "c", c.Digest(at(i*100)))
 	}
 	if n, _ := c.Suspected(at(2000), "bad"); n != 1 {
 		t.Errorf("one death counts as %d", n)
 	}
-	b.Died(at(2000), "e2", "x", []Fingerprint{"bad"})
-	c.PeerBlame(at(2100), "b", b.Digest(at(2100)))
+	b.RecordDeath(at(2000), "e2", "x", []Fingerprint{"bad"})
+	c.MergeDigest(at(2100), "b", b.Digest(at(2100)))
 	if !refused(c, 4000, "bad") {
 		t.Error("deaths seen by two peers do not add up at a third")
 	}
-	a.Succeeded(at(5000), "bad") // never saw the second death
-	a.PeerBlame(at(5100), "c", c.Digest(at(5100)))
+	a.RecordSuccess(at(5000), "bad") // never saw the second death
+	a.MergeDigest(at(5100), "c", c.Digest(at(5100)))
 	if n, _ := a.Suspected(at(5100), "bad"); n != 0 {
 		t.Errorf("late word of an earlier death counts against a later success: %d", n)
 	}
-	c.PeerBlame(at(5200), "a", a.Digest(at(5200)))
+	c.MergeDigest(at(5200), "a", a.Digest(at(5200)))
 	if refused(c, 5200, "bad") {
 		t.Error("a peer's success does not clear")
 	}
 	for range 3 { // an old digest changes nothing
-		c.PeerBlame(at(5300), "b", b.Digest(at(5300)))
+		c.MergeDigest(at(5300), "b", b.Digest(at(5300)))
 	}
 	if refused(c, 5300, "bad") {
 		t.Error("relayed blame undoes a success")
@@ -127,10 +127,10 @@
 		for j := range 20 {
 			fps = append(fps, Fingerprint(fmt.Sprint(i, "-", j)))
 		}
-		b.Died(at(i), ids.Upstream(fmt.Sprint(i)), "a", fps)
+		b.RecordDeath(at(i), ids.Upstream(fmt.Sprint(i)), "a", fps)
 		for _, fp := range fps {
 			for k := range 3 {
-				b.Succeeded(at(i), fp+Fingerprint(fmt.Sprint(k)))
+				b.RecordSuccess(at(i), fp+Fingerprint(fmt.Sprint(k)))
 			}
 		}
 		if n := len(b.Digest(at(i))); n > 10 {
@@ -165,7 +165,7 @@
 // other request that an engine's death cuts off is sent again at once.
 type fleet struct {
 	rng     *rand.Rand
-	blamers [simVMs]*Blamer
+	blamers [simVMs]*Detector
 	engines [simEngines][]run
 	downTo  [simEngines]int
 	epoch   [simEngines]int
@@ -208,7 +208,7 @@
 				own = append(own, r.fp)
 			}
 		}
-		b.Died(at(now), ids.Upstream(fmt.Sprint(engine)), fmt.Sprint(f.epoch[engine]), own)
+		b.RecordDeath(at(now), ids.Upstream(fmt.Sprint(engine)), fmt.Sprint(f.epoch[engine]), own)
 	}
 	f.engines[engine] = nil
 	f.epoch[engine]++
@@ -222,7 +222,7 @@
 		events := b.Digest(at(now))
 		for j, peer := range f.blamers {
 			if i != j {
-				peer.PeerBlame(at(now), ids.VM(fmt.Sprint(i)), events)
+				peer.MergeDigest(at(now), ids.VM(fmt.Sprint(i)), events)
 			}
 		}
 	}
@@ -287,7 +287,7 @@
 					kept = append(kept, r)
 					dies = true
 				default:
-					f.blamers[r.vm].Succeeded(at(now), r.fp)
+					f.blamers[r.vm].RecordSuccess(at(now), r.fp)
 				}
 			}
 			f.engines[engine] = kept
@@ -321,9 +321,9 @@
 		}
 		t.Logf("hold %v, %d runs: engines dead %.2f on average, %d at most; innocents refused %d",
 			hold, seeds, float64(sum)/seeds, worst, innocents)
-		bound := DefaultAfter + certainAfter
+		bound := DefaultThreshold + certainAfter
 		if hold {
-			bound = DefaultAfter + 1
+			bound = DefaultThreshold + 1
 		}
 		if worst > bound || innocents != 0 {
 			t.Errorf("hold %v: %d engines died, %d innocents refused", hold, worst, innocents)
--- a/decide/router/attempt.go
+++ b/decide/router/attempt.go
@@ -75,7 +75,7 @@
 	if !joining {
 		req.svc.finished(r.now.Sub(req.sentAt))
 	}
-	req.svc.blamer.Succeeded(r.now, req.fingerprint())
+	req.svc.blamer.RecordSuccess(r.now, req.fingerprint())
 	if req.claim != nil {
 		done := *req.claim
 		done.State = ClaimDone
--- a/decide/router/blame.go
+++ b/decide/router/blame.go
@@ -149,6 +149,6 @@
 // died tells the service's quarantine of an upstream's death.
 func (r *Router) died(u *upstream, epoch string, running []quarantine.Fingerprint) {
 	if svc := r.services[u.engine.Service]; svc != nil {
-		svc.blamer.Died(r.now, u.engine.ID, epoch, running)
+		svc.blamer.RecordDeath(r.now, u.engine.ID, epoch, running)
 	}
 }
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -132,7 +132,7 @@
 	}
 	for _, name := range sortedKeys(byService) {
 		if svc := r.services[name]; svc != nil {
-			svc.blamer.PeerBlame(r.now, vm, byService[name])
+			svc.blamer.MergeDigest(r.now, vm, byService[name])
 		}
 	}
 }
--- a/decide/router/service.go
+++ b/decide/router/service.go
@@ -19,7 +19,7 @@
 	profile fleet.Profile
 	queue   *queue.Queue
 	budget  *retry.Budget
-	blamer  *quarantine.Blamer
+	blamer  *quarantine.Detector
 	// picker chooses chains of a model service, plain the upstream of a
 	// plain one.
 	picker balancer.Picker
@@ -74,8 +74,8 @@
 // quarantineOptions takes a quarantine's bounds from a profile.
 func quarantineOptions(p fleet.Profile) quarantine.Options {
 	return quarantine.Options{
-		After: p.Health.QuarantineAfter,
-		For:   p.Health.QuarantineFor.D(),
+		Threshold: p.Health.QuarantineAfter,
+		Duration:   p.Health.QuarantineFor.D(),
 	}
 }
 
