--- a/adapter/leader/leader.go
+++ b/adapter/leader/leader.go
@@ -18,7 +18,7 @@
 	Call(ctx context.Context, c lease.Command) lease.Answer
 }
 
-// Options set up a Keeper.
+// Options set up a Elector.
 type Options struct {
 	Lease lease.Options
 	Store Store
@@ -42,22 +42,22 @@
 	callPart = 4
 )
 
-// Keeper seeks and keeps the lease. Make it with New, and let Run run. Any
+// Elector seeks and keeps the lease. Make it with New, and let Run run. Any
 // goroutine may call the other methods.
-type Keeper struct {
+type Elector struct {
 	opts Options
 
 	mu    sync.Mutex
 	lease *lease.Lease
 }
 
-// New makes a Keeper; it calls nothing before Run.
-func New(o Options) *Keeper {
-	return &Keeper{opts: o, lease: lease.New(o.Lease)}
+// New makes a Elector; it calls nothing before Run.
+func New(o Options) *Elector {
+	return &Elector{opts: o, lease: lease.New(o.Lease)}
 }
 
 // Run keeps the lease until ctx ends. The lease lapses by itself afterwards.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Elector) Run(ctx context.Context) {
 	duration := k.opts.Lease.Duration
 	held := false
 	every.Do(ctx, duration/tickPart, func() {
@@ -67,7 +67,7 @@
 }
 
 // turn makes the call that is due.
-func (k *Keeper) turn(ctx context.Context, within time.Duration) {
+func (k *Elector) turn(ctx context.Context, within time.Duration) {
 	k.mu.Lock()
 	if k.opts.Candidate != nil {
 		keep := k.opts.KeepHeld && k.lease.State(k.opts.Now()).Held
@@ -88,16 +88,16 @@
 }
 
 // seek sets whether the lease is wanted, with the lock held.
-func (k *Keeper) seek(wanted bool) {
+func (k *Elector) seek(wanted bool) {
 	if wanted {
-		k.lease.Want()
+		k.lease.Campaign()
 		return
 	}
-	k.lease.GiveUp()
+	k.lease.Resign()
 }
 
 // tell logs a change.
-func (k *Keeper) tell(before bool) bool {
+func (k *Elector) tell(before bool) bool {
 	s := k.Status()
 	if s.Held == before {
 		return before
@@ -111,30 +111,30 @@
 }
 
 // Status tells whether this node holds the lease now.
-func (k *Keeper) Status() lease.Status {
+func (k *Elector) Status() lease.Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.State(k.opts.Now())
 }
 
-// Lapsed tells of the own term after its lease has run out, as long as nobody
+// LastTerm tells of the own term after its lease has run out, as long as nobody
 // else is known to have taken it over; see lease.Lease.
-func (k *Keeper) Lapsed() lease.Status {
+func (k *Elector) LastTerm() lease.Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.lease.Lapsed()
+	return k.lease.LastTerm()
 }
 
 // StepDown ends the own term, as somebody with a later one was heard of.
-func (k *Keeper) StepDown() {
+func (k *Elector) StepDown() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lease.StepDown()
 }
 
-// Leave gives the lease back with the next call.
-func (k *Keeper) Leave() {
+// Resign gives the lease back with the next call.
+func (k *Elector) Resign() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lease.GiveUp()
+	k.lease.Resign()
 }
--- a/adapter/leader/leader_test.go
+++ b/adapter/leader/leader_test.go
@@ -38,8 +38,8 @@
 	return lease.Answer{Kind: lease.Found, Version: o.version, Record: o.record}
 }
 
-// keep runs a Keeper in a bubble.
-func keep(t *testing.T, test func(k *Keeper, o *object, wanted *atomic.Bool)) {
+// keep runs a Elector in a bubble.
+func keep(t *testing.T, test func(k *Elector, o *object, wanted *atomic.Bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		o, wanted := &object{}, &atomic.Bool{}
 		wanted.Store(true)
@@ -61,7 +61,7 @@
 }
 
 func TestLeaseIsTakenAndKept(t *testing.T) {
-	keep(t, func(k *Keeper, o *object, _ *atomic.Bool) {
+	keep(t, func(k *Elector, o *object, _ *atomic.Bool) {
 		after(duration)
 		first := k.Status()
 		after(10 * duration)
@@ -72,14 +72,14 @@
 }
 
 func TestLeaseLapsesWithTheStore(t *testing.T) {
-	keep(t, func(k *Keeper, o *object, _ *atomic.Bool) {
+	keep(t, func(k *Elector, o *object, _ *atomic.Bool) {
 		after(duration)
 		o.down.Store(true)
 		after(2 * duration)
 		if k.Status().Held {
 			t.Error("the lease outlived its duration")
 		}
-		if lapsed := k.Lapsed(); !lapsed.Held {
+		if lapsed := k.LastTerm(); !lapsed.Held {
 			t.Error("the lapsed term is not told")
 		}
 		o.down.Store(false)
@@ -91,7 +91,7 @@
 }
 
 func TestNodeThatIsNoCandidateGivesUp(t *testing.T) {
-	keep(t, func(k *Keeper, o *object, wanted *atomic.Bool) {
+	keep(t, func(k *Elector, o *object, wanted *atomic.Bool) {
 		after(duration)
 		wanted.Store(false)
 		after(duration)
@@ -112,7 +112,7 @@
 }
 
 func TestSteppingDownEndsTheTerm(t *testing.T) {
-	keep(t, func(k *Keeper, o *object, _ *atomic.Bool) {
+	keep(t, func(k *Elector, o *object, _ *atomic.Bool) {
 		after(duration)
 		old := k.Status().Fence
 		k.StepDown()
--- a/adapter/orders/duty.go
+++ b/adapter/orders/duty.go
@@ -13,7 +13,7 @@
 	"mimosaarch.example/decide/order"
 )
 
-// term is the part of the lease that orders depend on; a *leader.Keeper is one.
+// term is the part of the lease that orders depend on; a *leader.Elector is one.
 // Any goroutine may call it.
 type term interface {
 	Status() lease.Status
@@ -29,7 +29,7 @@
 	sends chan struct{}
 	calls sync.WaitGroup
 
-	keeper *leader.Keeper
+	keeper *leader.Elector
 	lease  term
 
 	// The rest is Run's.
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -59,9 +59,9 @@
 // Lease tells whether this node may give orders.
 type Lease interface {
 	Status() lease.Status
-	// Lapsed tells of a term whose lease has run out and that nobody is known
+	// LastTerm tells of a term whose lease has run out and that nobody is known
 	// to have followed.
-	Lapsed() lease.Status
+	LastTerm() lease.Status
 	StepDown()
 }
 
@@ -342,6 +342,6 @@
 	if !p.opts.Fenced {
 		return 0, false
 	}
-	lapsed := p.opts.Lease.Lapsed()
+	lapsed := p.opts.Lease.LastTerm()
 	return lapsed.Fence, lapsed.Held
 }
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -96,7 +96,7 @@
 	return f.status
 }
 
-func (f *fleet) Lapsed() lease.Status {
+func (f *fleet) LastTerm() lease.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lapsed
--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -368,5 +368,5 @@
 
 // Lease of the play: its node may always give orders.
 func (s *site) Status() lease.Status { return lease.Status{Held: true, Left: time.Hour, Fence: 9} }
-func (s *site) Lapsed() lease.Status { return lease.Status{} }
+func (s *site) LastTerm() lease.Status { return lease.Status{} }
 func (s *site) StepDown()            {}
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -38,15 +38,15 @@
 	// Margin is waited on top of another holder's duration. Default a tenth
 	// of the Duration.
 	Margin time.Duration
-	// ReadEvery is the time between two reads while another holds the lease.
+	// ReadInterval is the time between two reads while another holds the lease.
 	// Default a quarter of the Duration.
-	ReadEvery time.Duration
-	// RetryAfter is the wait after a call that failed; it doubles with each
-	// further one up to RetryMost. Defaults a twentieth and a half of the
+	ReadInterval time.Duration
+	// RetryMin is the wait after a call that failed; it doubles with each
+	// further one up to RetryMax. Defaults a twentieth and a half of the
 	// Duration: a store that was away answers the first call within half a
 	// lease of its return, and meanwhile it gets a few calls of each candidate
 	// instead of five a second.
-	RetryAfter, RetryMost time.Duration
+	RetryMin, RetryMax time.Duration
 	// StaleReads allows reads some seconds old while another holds the lease,
 	// for stores where these are cheaper. A takeover is no later by that.
 	StaleReads bool
@@ -72,9 +72,9 @@
 func (o Options) withDefaults() Options {
 	o.Duration = cmp.Or(o.Duration, DefaultDuration)
 	o.Margin = cmp.Or(o.Margin, o.Duration/marginPart)
-	o.ReadEvery = cmp.Or(o.ReadEvery, o.Duration/readPart)
-	o.RetryAfter = cmp.Or(o.RetryAfter, o.Duration/retryPart)
-	o.RetryMost = cmp.Or(o.RetryMost, o.Duration/retryMostPart)
+	o.ReadInterval = cmp.Or(o.ReadInterval, o.Duration/readPart)
+	o.RetryMin = cmp.Or(o.RetryMin, o.Duration/retryPart)
+	o.RetryMax = cmp.Or(o.RetryMax, o.Duration/retryMostPart)
 	return o
 }
 
@@ -240,10 +240,10 @@
 	return Status{Held: true, Left: left, Fence: l.fence, Since: l.since}
 }
 
-// Lapsed tells of the own term after its lease has run out, as long as nobody
+// LastTerm tells of the own term after its lease has run out, as long as nobody
 // else is known to have taken it over. Only duties whose every step is fenced
 // may go by it, while the store cannot be asked: Left is 0.
-func (l *Lease) Lapsed() Status {
+func (l *Lease) LastTerm() Status {
 	if l.term == 0 || !l.wanted {
 		return Status{}
 	}
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -181,13 +181,13 @@
 
 func TestOneThatSeeksNothingCallsNothing(t *testing.T) {
 	l := newLease("a")
-	l.GiveUp()
+	l.Resign()
 	for seconds := range 30 {
 		if c := l.Tick(at(float64(seconds))); c != nil {
 			t.Fatalf("%d: %s", seconds, c)
 		}
 	}
-	l.Want()
+	l.Campaign()
 	if c := l.Tick(at(30)); c != (Read{}) {
 		t.Errorf("%v once it seeks the lease", c)
 	}
@@ -204,7 +204,7 @@
 	s.answer(2, Answer{Kind: Found, Version: 5, Record: Record{Holder: "a", Term: 1}})
 	s.answer(3, written(s.tick(3), 6))
 	w := s.tick(8)
-	s.l.GiveUp()
+	s.l.Resign()
 	s.answer(9, written(w, 7))
 	s.state(9)
 	s.answer(9, written(s.tick(9), 8))
@@ -359,7 +359,7 @@
 }
 
 func TestStaleReadsWaitNoLonger(t *testing.T) {
-	l := New(Options{Holder: "b", Duration: duration, ReadEvery: duration, StaleReads: true})
+	l := New(Options{Holder: "b", Duration: duration, ReadInterval: duration, StaleReads: true})
 	s := &script{l: l}
 	held := Answer{Kind: Found, Version: 5, Record: Record{Holder: "a", Term: 3, DurationNs: int64(duration)}}
 	s.tick(0)
@@ -386,12 +386,12 @@
 	s.tick(0)
 	s.answer(0, Answer{Kind: Absent})
 	s.answer(1, written(s.tick(1), 5))
-	if got := s.l.Lapsed(); !got.Held || got.Fence != 5 || s.l.State(at(20)).Held {
+	if got := s.l.LastTerm(); !got.Held || got.Fence != 5 || s.l.State(at(20)).Held {
 		t.Errorf("after the lease ran out: lapsed %+v, state %+v", got, s.l.State(at(20)))
 	}
 	s.tick(20)
 	s.answer(20, Answer{Kind: Found, Version: 9, Record: Record{Holder: "b", Term: 2, DurationNs: int64(duration)}})
-	if got := s.l.Lapsed(); got.Held {
+	if got := s.l.LastTerm(); got.Held {
 		t.Errorf("after another took over: lapsed %+v", got)
 	}
 }
--- a/decide/lease/step.go
+++ b/decide/lease/step.go
@@ -129,7 +129,7 @@
 	case l.record.Holder == "" || l.ownRecord():
 		l.next = now
 	default:
-		l.next = now.Add(l.spread(l.opts.ReadEvery))
+		l.next = now.Add(l.spread(l.opts.ReadInterval))
 		if free := l.free(); l.wanted && free.Before(l.next) {
 			l.next = free
 		}
@@ -138,7 +138,7 @@
 
 // retryWait is the longest wait before the call after a failed one.
 func (l *Lease) retryWait() time.Duration {
-	return backoff.Doubled(l.opts.RetryAfter, l.opts.RetryMost, l.failures)
+	return backoff.Doubled(l.opts.RetryMin, l.opts.RetryMax, l.failures)
 }
 
 // spread gives a wait between half of a time and the whole of it.
@@ -190,15 +190,15 @@
 	l.term = 0
 }
 
-// GiveUp ends the lease at once for this process and makes Tick give it back
-// to the others; Want makes it a candidate again.
-func (l *Lease) GiveUp() {
+// Resign ends the lease at once for this process and makes Tick give it back
+// to the others; Campaign makes it a candidate again.
+func (l *Lease) Resign() {
 	l.wanted = false
 	l.term = 0
 }
 
-// Want makes the process a candidate for the lease, as it is after New.
-func (l *Lease) Want() { l.wanted = true }
+// Campaign makes the process a candidate for the lease, as it is after New.
+func (l *Lease) Campaign() { l.wanted = true }
 
 // StepDown ends the current term at once: somebody has shown a newer one. The
 // process stays a candidate, but it reads the object first.
--- a/decide/roster/lease_test.go
+++ b/decide/roster/lease_test.go
@@ -40,7 +40,7 @@
 func seekers(members []Member) []*seeker {
 	var out []*seeker
 	for i, m := range members {
-		l := lease.New(lease.Options{Holder: string(m.Name), Duration: leaseFor, ReadEvery: leaseFor / 2, StaleReads: true, Seed: uint64(i)})
+		l := lease.New(lease.Options{Holder: string(m.Name), Duration: leaseFor, ReadInterval: leaseFor / 2, StaleReads: true, Seed: uint64(i)})
 		out = append(out, &seeker{roster: knowing(m, members).Roster, lease: l})
 	}
 	return out
@@ -56,9 +56,9 @@
 			continue
 		}
 		if s.roster.Head(now) {
-			s.lease.Want()
+			s.lease.Campaign()
 		} else {
-			s.lease.GiveUp()
+			s.lease.Resign()
 		}
 		c := s.lease.Tick(now)
 		switch c := c.(type) {
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -96,7 +96,7 @@
 	probe     *probe
 	fleet     *fleet
 	server    *forward.Server
-	keeper    *leader.Keeper
+	keeper    *leader.Elector
 	placer    *placer.Placer
 
 	verdicts chan quarantine.Verdict
@@ -149,7 +149,7 @@
 		Lease: lease.Options{
 			Holder:     holder(settings),
 			Duration:   settings.Lease,
-			ReadEvery:  settings.Lease / leaseReadPart,
+			ReadInterval:  settings.Lease / leaseReadPart,
 			StaleReads: true,
 			Seed:       settings.Seed,
 		},
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -27,7 +27,7 @@
 	began := time.Now()
 	n.stopping.Store(true)
 	n.server.Stopping()
-	n.keeper.Leave()
+	n.keeper.Resign()
 	n.log.Info().Str("event", "stopping").Int64("active", n.server.Active()).Send()
 	limit, done := context.WithDeadline(ctx, began.Add(n.settings.Grace-killSlack))
 	defer done()
