--- a/decide/claim/answer.go
+++ b/decide/claim/answer.go
@@ -2,23 +2,25 @@
 
 import "mimosaarch.example/core/platformapi"
 
-// AnswerKind is what came of a Read or Write.
+// AnswerKind is the outcome of a Read or Write.
 type AnswerKind int
 
-// Kinds of answers.
+// Outcomes of a Read or Write.
 const (
-	// AnswerObject: a Read found the object.
+	// AnswerObject: the Read returned the object.
 	AnswerObject AnswerKind = iota
-	// AnswerNotFound: a Read found that there is no object.
+	// AnswerNotFound: the Read found no object.
 	AnswerNotFound
-	// AnswerWritten: a Write took effect.
+	// AnswerWritten: the Write took effect.
 	AnswerWritten
-	// AnswerConflict: a Write was refused because of the object's version.
+	// AnswerConflict: the Write had no effect because the object's version did
+	// not match.
 	AnswerConflict
-	// AnswerFailed: a Read brought nothing, or a Write certainly had no
-	// effect and will have none.
+	// AnswerFailed: the Read returned nothing, or the Write had no effect and
+	// never will.
 	AnswerFailed
-	// AnswerLost: a Write may have taken effect, or may yet do so.
+	// AnswerLost: the outcome of the Write is unknown. It may have taken effect
+	// or may still do so.
 	AnswerLost
 )
 
@@ -26,8 +28,9 @@
 type Answer struct {
 	Shard int
 	Kind  AnswerKind
-	// Object is the one found, written or in the way. After a conflict it
-	// may be unknown: then Version is below 0. Version 0 means that there is
-	// none.
+	// Object is the object that was read or written, or the one that caused a
+	// conflict. Version 0 means that the object does not exist. A negative
+	// Version, possible only after a conflict, means that the current object is
+	// unknown.
 	Object platformapi.Object
 }
--- a/decide/claim/apply.go
+++ b/decide/claim/apply.go
@@ -6,94 +6,101 @@
 	"mimosaarch.example/decide/router"
 )
 
-// verdict is what an operation comes to if the value it was applied to stands.
-type verdict struct {
+// opResult is the result of an operation, valid once the value it was applied to
+// is stored.
+type opResult struct {
 	result router.ClaimResult
 	prior  router.ClaimRecord
-	full   bool
+	// full is true when the claim failed because the shard's value has no room.
+	full bool
 }
 
-// change is a copy of a value under a batch of operations.
-type change struct {
+// update is a copy of a value to which a batch of operations is applied.
+type update struct {
 	*value
 	settings *Settings
 	now      time.Time
-	// changed is true when an operation changed the copy.
+	// changed reports whether any operation modified the copy.
 	changed bool
 }
 
-// apply runs operations over a copy of the value, in order. It reports
-// whether they change anything. Applying an operation again to a value that
-// holds its effect changes nothing and gives the same verdict.
-func (v *value) apply(settings *Settings, now time.Time, ops []*pending) (*change, []verdict) {
-	c := &change{value: v.clone(), settings: settings, now: now}
-	// That alone is no reason to write.
-	c.forget(now)
-	verdicts := make([]verdict, len(ops))
+// apply applies operations in order to a copy of the value and returns the copy
+// and one result per operation. It is idempotent: applying an operation to a
+// value that already contains its effect changes nothing and returns the same
+// result.
+func (v *value) apply(settings *Settings, now time.Time, ops []*pending) (*update, []opResult) {
+	u := &update{value: v.clone(), settings: settings, now: now}
+	// Dropping expired entries does not set changed: it alone does not justify a
+	// write.
+	u.dropExpired(now)
+	results := make([]opResult, len(ops))
 	for i, p := range ops {
-		verdicts[i] = c.run(p.op)
+		results[i] = u.applyOp(p.op)
 	}
-	return c, verdicts
+	return u, results
 }
 
-// run applies one operation.
-func (c *change) run(op Op) verdict {
+// applyOp applies one operation.
+func (u *update) applyOp(op Op) opResult {
 	switch op.Kind {
 	case Release:
-		c.release(op)
+		u.release(op)
 	case Settle:
-		c.settle(op)
+		u.settle(op)
 	default:
-		return c.claim(op)
+		return u.claim(op)
 	}
-	return verdict{}
+	return opResult{}
 }
 
-// claim takes a key if it may be taken.
-func (c *change) claim(op Op) verdict {
-	e := c.find(keyOf(op.Record))
+// claim takes the key if it is free, held by the same request, or held by the
+// claim that the operation may replace.
+func (u *update) claim(op Op) opResult {
+	e := u.find(keyOf(op.Record))
 	if e != nil && e.nonce == nonceOf(op.Nonce) {
-		return verdict{result: router.ClaimWon}
+		return opResult{result: router.ClaimWon}
 	}
 	if e != nil && !op.mayReplace(e) {
-		return verdict{result: router.ClaimTaken, prior: e.record(op.Record)}
+		return opResult{result: router.ClaimTaken, prior: e.record(op.Record)}
 	}
 	op.Record.State = router.ClaimHeld
-	if !c.insert(newEntry(op), op.Retention) {
-		return verdict{result: router.ClaimFailed, full: true}
+	if !u.insert(newEntry(op), op.Retention) {
+		return opResult{result: router.ClaimFailed, full: true}
 	}
-	return verdict{result: router.ClaimWon}
+	return opResult{result: router.ClaimWon}
 }
 
-// mayReplace reports whether a claim may take the place of one that stands.
-// The claim of an earlier attempt may come late, by way of another VM; it
-// does not replace a later attempt's.
+// mayReplace reports whether a claim may replace an existing entry. A claim of
+// an earlier attempt can arrive late through another VM; it must not replace the
+// claim of a later attempt.
 func (o Op) mayReplace(stands *entry) bool {
 	if stands.state != router.ClaimHeld {
 		return false
 	}
-	if stands.isOf(o.request()) {
+	if stands.isHeldBy(o.request()) {
 		return o.Record.Attempt >= stands.attempt
 	}
-	return o.Over != nil && stands.isOf(o.Over.Request) && o.Over.Attempt == stands.attempt
+	return o.Over != nil && stands.isHeldBy(o.Over.Request) && o.Over.Attempt == stands.attempt
 }
 
-// release gives up the request's own claim. Anything else stays.
-func (c *change) release(op Op) {
+// release removes the request's own claim unless it is done. It leaves claims of
+// other requests in place.
+func (u *update) release(op Op) {
 	key := keyOf(op.Record)
-	e := c.find(key)
-	if e == nil || !e.isOf(op.request()) || e.state != router.ClaimHeld {
+	e := u.find(key)
+	if e == nil || !e.isHeldBy(op.request()) || e.state != router.ClaimHeld {
 		return
 	}
-	c.drop(key)
-	c.changed = true
+	u.drop(key)
+	u.changed = true
 }
 
-// settle marks the request's own claim as done; a lost one is noted anew, so
-// that repeats learn of the run. Another request's claim stays.
-func (c *change) settle(op Op) {
-	e := c.find(keyOf(op.Record))
-	if e != nil && (!e.isOf(op.request()) || e.state == router.ClaimDone) {
+// settle marks the request's own claim as done. If the claim is missing, it is
+// recorded again, so that a repeated request is still recognized. It leaves
+// claims of other requests in place.
+func (u *update) settle(op Op) {
+	e := u.find(keyOf(op.Record))
+	if e != nil && (!e.isHeldBy(op.request()) || e.state == router.ClaimDone) {
 		return
 	}
 	op.Record.State = router.ClaimDone
@@ -101,21 +108,22 @@
 	if e != nil {
 		done.nonce, done.extra = e.nonce, e.extra
 	}
-	c.insert(done, op.Retention)
+	u.insert(done, op.Retention)
 }
 
-// insert stores an entry for a time, zero standing for the Settings' value;
-// false if there is no room.
-func (c *change) insert(e *entry, keep time.Duration) bool {
-	if keep <= 0 {
-		keep = c.settings.Retention
+// insert stores an entry with the given retention, or with Settings.Retention if
+// retention is not positive. It returns false if the value would exceed
+// Settings.MaxBytes.
+func (u *update) insert(e *entry, retention time.Duration) bool {
+	if retention <= 0 {
+		retention = u.settings.Retention
 	}
-	e.keep = keep.Round(time.Second)
-	e.since = c.now
-	if c.sizeWith(e) > c.settings.MaxBytes {
+	e.retention = retention.Round(time.Second)
+	e.since = u.now
+	if u.sizeWith(e) > u.settings.MaxBytes {
 		return false
 	}
-	c.put(e)
-	c.changed = true
+	u.put(e)
+	u.changed = true
 	return true
 }
--- a/decide/claim/bench_test.go
+++ b/decide/claim/bench_test.go
@@ -8,21 +8,21 @@
 	"mimosaarch.example/decide/router"
 )
 
-// BenchmarkCommit is one claim in a shard of 3,000 entries: applying and
-// encoding it.
+// BenchmarkCommit measures one claim in a shard of 3,000 entries: applying and
+// encoding it, and decoding the shard's value.
 func BenchmarkCommit(b *testing.B) {
 	settings := Settings{}.withDefaults()
 	v := newValue()
 	for i := range 3000 {
-		change, _ := v.apply(&settings, epoch, []*pending{{op: benchOp(i)}})
-		v = change.value
+		update, _ := v.apply(&settings, epoch, []*pending{{op: benchOp(i)}})
+		v = update.value
 	}
 	data := v.encode(settings.Shards, epoch)
 	b.Run("apply+encode", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			change, _ := v.apply(&settings, epoch, []*pending{{op: benchOp(3000)}})
-			_ = change.encode(settings.Shards, epoch)
+			update, _ := v.apply(&settings, epoch, []*pending{{op: benchOp(3000)}})
+			_ = update.encode(settings.Shards, epoch)
 		}
 		b.ReportMetric(float64(len(data)), "bytes")
 	})
--- a/decide/claim/claim.go
+++ b/decide/claim/claim.go
@@ -1,18 +1,22 @@
-// Package claim commits claims of idempotency keys through the platform's
-// conditional updates. Keys hash to shards, one object each; a shard has one
-// update in flight, and the operations that come meanwhile share the next.
+// Package claim implements claims on idempotency keys, so that at most one
+// request runs for each key across all VMs. A VM claims a key through
+// conditional updates of objects in the platform's store. Keys are hashed to
+// shards, and each shard is one object. A VM has at most one update per shard in
+// flight; operations that arrive in the meantime are batched into the next one.
 //
-// Safety rests on the conditional update alone: a claim is won only by a
-// write that the platform confirmed, or that was found standing by its nonce.
-// A write whose answer was lost may yet arrive as long as the object's version
-// has not moved; its operations are settled only by a newer version.
+// Correctness depends only on the conditional update: a claim is won only if the
+// platform confirmed its write, or if a later read found the claim's nonce in
+// the object. A write whose answer was lost may still take effect until the
+// object's version changes, so its operations stay unresolved until a newer
+// version is seen.
 //
-// No clock is compared between VMs. An entry carries its age as a lower bound:
-// each VM adds the time for which it has known the entry itself, and keeps the
-// highest figure. So an entry is never dropped early; it is dropped late by
-// the time in which no VM held the shard.
+// Clocks of different VMs are never compared. Each entry carries a lower bound
+// of its age. A VM adds the time for which it has known the entry itself and
+// keeps the highest value. Entries are therefore never dropped early. They are
+// dropped late by the time for which no VM had the shard in memory.
 //
-// The package is pure. A Group is not safe for concurrent use.
+// The package is pure: it does no I/O and reads no clock. A Group is not safe
+// for concurrent use.
 package claim
 
 import (
@@ -22,92 +26,98 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Kind is the kind of an operation.
+// Kind is the type of an operation.
 type Kind int
 
-// Kinds of operations.
+// Types of operations.
 const (
-	// Claim takes a key, if it is free, held by the same request, or held by
-	// the claim in Op.Over.
+	// Claim takes a key if it is free, held by the same request, or held by the
+	// claim in Op.Over.
 	Claim Kind = iota
-	// Release gives up a key that the request holds and has not settled.
+	// Release frees a key that the request holds and has not marked as done.
 	Release
-	// Settle marks the request's claim as done; the key stays taken for its
+	// Settle marks the request's claim as done. The key stays taken for its
 	// retention.
 	Settle
 )
 
-// Op is one operation on a key.
+// Op is an operation on one key.
 type Op struct {
 	Kind Kind
-	// Record names the key by its Account and Key, and the holder by its
-	// Request.
+	// Record identifies the key by Account and Key, and the holder by Request.
 	Record router.ClaimRecord
-	// Nonce tells this operation from any other; random. Needed for Claim
-	// and for what is forwarded.
+	// Nonce is a random value that is unique to this operation. It is required
+	// for a Claim and for every operation that another VM commits.
 	Nonce string
-	// Over is a held claim that a Claim may replace; nil for none. It is
-	// matched by key, Request and Attempt. The caller must have proof that
-	// its request did not run and never will.
+	// Over is an existing claim that this Claim may replace, or nil. It matches
+	// by key, Request and Attempt, and only while it is not done. The caller
+	// must know that the replaced claim's request has not run and never will.
 	Over *router.ClaimRecord
-	// Retention is how long the key is remembered after the operation; zero
-	// stands for the Settings' value.
+	// Retention is how long the key is remembered after the operation. Zero
+	// means Settings.Retention.
 	Retention time.Duration
-	// Deadline ends the wait for a Claim or Release; zero means none.
+	// Deadline limits the wait for the result of a Claim or Release. Zero means
+	// no limit.
 	Deadline time.Time
-	// remote marks an operation of another VM.
+	// remote marks an operation that is committed for another VM.
 	remote bool
 }
 
-// Command is one thing for the adapter to do or to pass on.
+// Command is a call for the adapter to make or a result for it to pass on.
 type Command interface{ isCommand() }
 
-// Read asks for a shard's object. The adapter gives exactly one Answer.
+// Read requests a shard's object. The adapter must return exactly one Answer.
 type Read struct {
 	Shard int
 	Key   string
 }
 
-// Write asks for a conditional update of a shard's object. The adapter gives
-// exactly one Answer, after one call at most.
+// Write requests a conditional update of a shard's object. The adapter must call
+// the platform at most once and return exactly one Answer.
 type Write struct {
-	Shard   int
-	Key     string
-	Value   []byte
+	Shard int
+	Key   string
+	Value []byte
+	// IfMatch is the version that the object must have; 0 means that the object
+	// must not exist.
 	IfMatch int64
 }
 
-// Ended tells what came of a Claim; the last word to it. After ClaimUncertain
-// the Group goes on to release the claim.
+// Ended is the final result of a Claim. After ClaimUncertain the Group releases
+// the claim in the background.
 type Ended struct {
 	Op     Op
 	Result router.ClaimResult
-	// Prior is the claim that stands, for ClaimTaken. Its Fingerprint is the
-	// operation's if that is the same, else one that no request has.
+	// Prior is the existing claim if Result is ClaimTaken. Its Fingerprint
+	// equals the operation's if the two requests match. Otherwise it is a value
+	// that no request has.
 	Prior router.ClaimRecord
-	// Full is true for ClaimFailed because the shard had no room.
+	// Full is true if Result is ClaimFailed because the shard's object has no
+	// room.
 	Full bool
 }
 
-// Released tells that a Release took effect or was not needed; or, with
-// Confirmed false, that its deadline came and it goes on by itself.
+// Released reports that a Release took effect or was unnecessary. If Confirmed
+// is false, the Release has not finished by its deadline, or too many operations
+// wait for the shard, and it continues in the background.
 type Released struct {
 	Op        Op
 	Confirmed bool
 }
 
-// InvalidValue reports a shard's object that can't be used. Its claims fail; the
-// object is never overwritten.
+// InvalidValue reports a shard object that cannot be decoded or was written for
+// another number of shards. Claims of that shard fail, and the object is never
+// overwritten.
 type InvalidValue struct {
 	Shard int
 	Err   *ValueError
 }
 
-func (Read) isCommand()     {}
-func (Write) isCommand()    {}
-func (Ended) isCommand()    {}
-func (Released) isCommand() {}
-func (InvalidValue) isCommand()  {}
+func (Read) isCommand()         {}
+func (Write) isCommand()        {}
+func (Ended) isCommand()        {}
+func (Released) isCommand()     {}
+func (InvalidValue) isCommand() {}
 
-// request is the holder an operation is for.
+// request returns the request that the operation belongs to.
 func (o Op) request() ids.Request { return o.Record.Request }
--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -13,15 +13,17 @@
 	"mimosaarch.example/decide/router"
 )
 
-// want fails unless a claim came to a result.
-func (s *sim) want(request ids.Request, want router.ClaimResult) {
+// wantResult fails the test unless the request's claim ended with the given
+// result.
+func (s *sim) wantResult(request ids.Request, want router.ClaimResult) {
 	s.t.Helper()
 	if got, ok := s.results[request]; !ok || got != want {
-		s.t.Fatalf("%s came to %v (known: %v), want %v", request, got, ok, want)
+		s.t.Fatalf("result of %s is %v (known: %v), want %v", request, got, ok, want)
 	}
 }
 
-// claimAndFinish claims a key, lets it end, and gives its request.
+// claimAndFinish claims a key, runs the simulation until the claim has ended,
+// and returns its request.
 func (s *sim) claimAndFinish(v *vm, key string) ids.Request {
 	request := s.claim(v, key, nil)
 	s.finish()
@@ -31,14 +33,14 @@
 func TestLostAnswerIsReadBackByNonce(t *testing.T) {
 	s := newSim(t, 1, Settings{Shards: 1})
 	request := s.claim(s.vms[0], "k1", nil)
-	s.tick(defaultWindow)
-	s.deliver(s.vms[0], 0, fateOK)
-	s.deliver(s.vms[0], 0, fateAnswerLost)
+	s.tick(defaultBatchWindow)
+	s.deliverCall(s.vms[0], 0, faultNone)
+	s.deliverCall(s.vms[0], 0, faultAnswerLost)
 	if _, ended := s.results[request]; ended {
 		t.Fatal("the claim ended before its lost answer was settled")
 	}
-	s.deliver(s.vms[0], 0, fateOK)
-	s.want(request, router.ClaimWon)
+	s.deliverCall(s.vms[0], 0, faultNone)
+	s.wantResult(request, router.ClaimWon)
 	if s.revision != 1 {
 		t.Errorf("%d writes, want 1", s.revision)
 	}
@@ -48,15 +50,15 @@
 	s := newSim(t, 1, Settings{Shards: 1})
 	v := s.vms[0]
 	request := s.claim(v, "k1", nil)
-	s.tick(defaultWindow)
-	s.deliver(v, 0, fateOK)
-	s.deliver(v, 0, fateLate)
-	s.deliver(v, 0, fateFailed)
+	s.tick(defaultBatchWindow)
+	s.deliverCall(v, 0, faultNone)
+	s.deliverCall(v, 0, faultLate)
+	s.deliverCall(v, 0, faultFailed)
 	s.tick(300 * time.Millisecond)
-	s.want(request, router.ClaimUncertain)
-	s.settleDown()
+	s.wantResult(request, router.ClaimUncertain)
+	s.quiesce()
 	if entries := s.entries(); len(entries) != 0 {
-		t.Errorf("the claim stands: %v", entries)
+		t.Errorf("the claim is still stored: %v", entries)
 	}
 }
 
@@ -67,10 +69,10 @@
 	for range 30 {
 		s.tick(10 * time.Millisecond)
 		for len(v.open) > 0 {
-			s.deliver(v, 0, fateFailed)
+			s.deliverCall(v, 0, faultFailed)
 		}
 	}
-	s.want(request, router.ClaimFailed)
+	s.wantResult(request, router.ClaimFailed)
 	if v.Pending() != 0 || v.Counts().Reads > 8 {
 		t.Errorf("%d pending, %+v", v.Pending(), v.Counts())
 	}
@@ -82,8 +84,8 @@
 	for i := range 100 {
 		s.claim(v, fmt.Sprint(i), nil)
 	}
-	s.tick(defaultWindow)
-	s.deliver(v, 0, fateOK)
+	s.tick(defaultBatchWindow)
+	s.deliverCall(v, 0, faultNone)
 	for i := range 50 {
 		s.claim(v, fmt.Sprint(100+i), nil)
 	}
@@ -94,28 +96,28 @@
 	}
 }
 
-func TestSettlementsWaitForCompany(t *testing.T) {
+func TestSettlementsWaitForOtherOperations(t *testing.T) {
 	s := newSim(t, 1, Settings{Shards: 1})
 	v := s.vms[0]
 	s.claimAndFinish(v, "k1")
 	s.settle(s.held()[0])
-	s.tick(defaultSettleWindow - 2*defaultWindow)
+	s.tick(defaultSettleWindow - 2*defaultBatchWindow)
 	if len(v.open) > 0 {
-		t.Fatalf("did not wait: %#v", v.open)
+		t.Fatalf("the settlement did not wait for other operations: %#v", v.open)
 	}
 	s.claim(v, "k2", nil)
-	s.tick(defaultWindow)
-	s.calm()
+	s.tick(defaultBatchWindow)
+	s.runPending()
 	if s.revision != 2 || v.Pending() != 0 {
 		t.Fatalf("%d writes, %d pending", s.revision, v.Pending())
 	}
 	s.settle(s.held()[0])
 	s.tick(defaultSettleWindow)
-	s.calm()
+	s.runPending()
 	s.checkEnd()
 }
 
-func TestTakenTellsThePrior(t *testing.T) {
+func TestTakenReportsExistingClaim(t *testing.T) {
 	s := newSim(t, 2, Settings{Shards: 1})
 	first := s.claimAndFinish(s.vms[0], "k1")
 	s.settle(s.held()[0])
@@ -123,7 +125,7 @@
 	op := Op{Kind: Claim, Nonce: "x", Record: router.ClaimRecord{Account: "a", Key: "k1", Request: "other", Fingerprint: "g"}}
 	over := router.ClaimRecord{Account: "a", Key: "k1", Request: first, Attempt: 1}
 	op.Over = &over
-	s.due["other"] = "claim"
+	s.awaiting["other"] = "claim"
 	s.submit(s.vms[1], op)
 	s.finish()
 	prior := s.priors[len(s.priors)-1]
@@ -131,7 +133,7 @@
 	if diff := cmp.Diff(want, prior); diff != "" {
 		t.Error(diff)
 	}
-	s.want("other", router.ClaimTaken)
+	s.wantResult("other", router.ClaimTaken)
 	s.claimAndFinish(s.vms[1], "k1")
 	want.Fingerprint = "f"
 	if diff := cmp.Diff(want, s.priors[len(s.priors)-1]); diff != "" {
@@ -146,20 +148,20 @@
 	record := old
 	record.Attempt, record.Upstream = 2, "engine-2"
 	s.holders["k1"] = nil
-	s.due[request] = "claim"
+	s.awaiting[request] = "claim"
 	s.submit(s.vms[0], Op{Kind: Claim, Record: record, Nonce: "second"})
 	s.finish()
-	s.want(request, router.ClaimWon)
+	s.wantResult(request, router.ClaimWon)
 	if got := s.entries()["k1"]; got.Attempt != 2 || got.Upstream != "engine-2" {
 		t.Errorf("the store has %+v", got)
 	}
 	late := s.claim(s.vms[1], "k1", &old)
 	s.finish()
-	s.want(late, router.ClaimTaken)
+	s.wantResult(late, router.ClaimTaken)
 }
 
 func TestFullShardFailsClaims(t *testing.T) {
-	// Room for three entries and the names they share.
+	// 270 bytes hold three entries and the strings they share.
 	const most = 270
 	s := newSim(t, 1, Settings{Shards: 1, MaxBytes: most})
 	v := s.vms[0]
@@ -169,14 +171,14 @@
 	}
 	fourth := s.claim(v, "k4", nil)
 	s.finish()
-	s.want(fourth, router.ClaimFailed)
+	s.wantResult(fourth, router.ClaimFailed)
 	if got := len(s.objects[Prefix+"0"].Value); got > most || v.Counts().Full == 0 {
 		t.Errorf("value of %d bytes, %+v", got, v.Counts())
 	}
-	s.want(requests[0], router.ClaimWon)
+	s.wantResult(requests[0], router.ClaimWon)
 	s.release(s.held()[0])
 	s.finish()
-	s.want(s.claimAndFinish(v, "k4"), router.ClaimWon)
+	s.wantResult(s.claimAndFinish(v, "k4"), router.ClaimWon)
 }
 
 func TestRetentionComparesNoClocks(t *testing.T) {
@@ -186,16 +188,18 @@
 	s.settle(s.held()[0])
 	s.finish()
 	s.tick(40 * time.Minute)
-	// The second VM, whose clock is far ahead, learns of the entry only now.
-	s.want(s.claimAndFinish(second, "k1"), router.ClaimTaken)
+	// The second VM's clock is far ahead, and it reads the entry for the first
+	// time.
+	s.wantResult(s.claimAndFinish(second, "k1"), router.ClaimTaken)
 	s.tick(40 * time.Minute)
-	s.want(s.claimAndFinish(second, "k1"), router.ClaimTaken)
-	// Its write hands on the age it has seen, to a third VM.
+	s.wantResult(s.claimAndFinish(second, "k1"), router.ClaimTaken)
+	// The second VM's write includes the age that it has observed, which the
+	// third VM then reads.
 	s.claimAndFinish(second, "k2")
-	s.want(s.claimAndFinish(third, "k1"), router.ClaimTaken)
+	s.wantResult(s.claimAndFinish(third, "k1"), router.ClaimTaken)
 	s.tick(25 * time.Minute)
 	s.holders["k1"] = nil
-	s.want(s.claimAndFinish(third, "k1"), router.ClaimWon)
+	s.wantResult(s.claimAndFinish(third, "k1"), router.ClaimWon)
 }
 
 func TestKnownAgeOutlivesAnothersWrite(t *testing.T) {
@@ -205,11 +209,11 @@
 	s.finish()
 	s.claimAndFinish(s.vms[1], "k2")
 	s.tick(40 * time.Minute)
-	// The third VM learns of the entry only now, and writes the shard.
+	// The third VM reads the entry for the first time and writes the shard.
 	s.claimAndFinish(s.vms[2], "k3")
 	s.tick(25 * time.Minute)
 	s.holders["k1"] = nil
-	s.want(s.claimAndFinish(s.vms[1], "k1"), router.ClaimWon)
+	s.wantResult(s.claimAndFinish(s.vms[1], "k1"), router.ClaimWon)
 }
 
 func TestAbsenceIsProvedByAWrite(t *testing.T) {
@@ -217,12 +221,12 @@
 	v := s.vms[0]
 	request := s.claimAndFinish(v, "k1")
 	s.release(s.held()[0])
-	s.tick(defaultWindow)
-	// A replica that lags says that there is no object.
+	s.tick(defaultBatchWindow)
+	// A lagging replica reports that the object does not exist.
 	v.open = nil
-	s.take(v, v.Answer(s.clock(v), Answer{Kind: AnswerNotFound}))
-	if s.due[request] != "release" {
-		t.Fatal("released by the word of a replica")
+	s.execute(v, v.Answer(s.clock(v), Answer{Kind: AnswerNotFound}))
+	if s.awaiting[request] != "release" {
+		t.Fatal("released although only a read reported the object missing")
 	}
 	s.finish()
 	s.checkEnd()
@@ -232,29 +236,29 @@
 	s := newSim(t, 1, Settings{Shards: 1})
 	v := s.vms[0]
 	request := s.claim(v, "k1", nil)
-	s.tick(defaultWindow)
-	s.deliver(v, 0, fateOK)
+	s.tick(defaultBatchWindow)
+	s.deliverCall(v, 0, faultNone)
 	v.open = nil
-	s.take(v, v.Answer(s.clock(v), Answer{Kind: AnswerConflict, Object: platformapi.Object{Version: -1}}))
+	s.execute(v, v.Answer(s.clock(v), Answer{Kind: AnswerConflict, Object: platformapi.Object{Version: -1}}))
 	if _, ok := v.open[0].(Read); !ok {
 		t.Fatalf("got %#v, want a Read", v.open[0])
 	}
 	s.finish()
-	s.want(request, router.ClaimWon)
+	s.wantResult(request, router.ClaimWon)
 }
 
-func TestForeignValueIsLeftAlone(t *testing.T) {
-	for _, text := range foreignValues() {
+func TestInvalidValueIsNotOverwritten(t *testing.T) {
+	for _, text := range invalidValues() {
 		g := New(Settings{Shards: 1})
 		op := Op{Kind: Claim, Nonce: "n", Record: router.ClaimRecord{Account: "a", Key: "k", Request: "r"}, Deadline: epoch.Add(time.Second)}
 		if _, err := g.Submit(epoch, op); err != nil {
 			t.Fatal(err)
 		}
-		g.Tick(epoch.Add(defaultWindow))
-		now := epoch.Add(defaultWindow)
+		g.Tick(epoch.Add(defaultBatchWindow))
+		now := epoch.Add(defaultBatchWindow)
 		commands := g.Answer(now, Answer{Object: platformapi.Object{Version: 5, Value: []byte(text)}})
 		if _, ok := commands[0].(InvalidValue); !ok || len(commands) != 1 {
-			t.Errorf("%q: got %#v, want a Problem", text, commands)
+			t.Errorf("%q: got %#v, want an InvalidValue", text, commands)
 		}
 		commands = g.Tick(epoch.Add(time.Second))
 		if ended, ok := commands[0].(Ended); !ok || ended.Result != router.ClaimFailed || len(commands) != 1 {
@@ -287,14 +291,14 @@
 
 func TestIncompleteOpsAreRefused(t *testing.T) {
 	whole := Op{Kind: Claim, Nonce: "n", Record: router.ClaimRecord{Account: "a", Key: "k", Request: "r"}}
-	for _, spoil := range []func(*Op){
+	for _, clearField := range []func(*Op){
 		func(op *Op) { op.Nonce = "" },
 		func(op *Op) { op.Record.Account = "" },
 		func(op *Op) { op.Record.Key = "" },
 		func(op *Op) { op.Record.Request = "" },
 	} {
 		op := whole
-		spoil(&op)
+		clearField(&op)
 		var missing *OpError
 		if _, err := New(Settings{}).Submit(epoch, op); !errors.As(err, &missing) {
 			t.Errorf("%+v: got %v, want an *OpError", op, err)
--- a/decide/claim/codec.go
+++ b/decide/claim/codec.go
@@ -12,72 +12,76 @@
 	"mimosaarch.example/decide/router"
 )
 
-// The encoded form of a value. Numbers are unsigned varints; a text is its
-// length and its bytes; times are in seconds.
+// The encoded form of a value. Numbers are unsigned varints. A string is its
+// length followed by its bytes. Durations are in seconds.
 //
 //	format, shards
-//	count of names, names
-//	count of entries, entries by key; each is its length and:
+//	count of interned strings, interned strings
+//	count of entries, entries sorted by key; each is its length and:
 //	  key (16 bytes), fingerprint (16), nonce (8), flags (1)
-//	  attempt, age, keep
-//	  VM, upstream, epoch, prefix of the request: each a name's place
-//	  suffix of the request
-//	  fields that a later version adds
-const format = 1
+//	  attempt, age, retention
+//	  VM, upstream, epoch, request prefix: indexes of interned strings
+//	  request suffix
+//	  fields added by later versions
+const formatVersion = 1
 
-// flagDone marks an entry that is done.
+// flagDone is set in the flags of an entry that is done.
 const flagDone = 1
 
 const (
-	// fixedBytes are those of an entry's digests, nonce and flags.
+	// fixedBytes is the size of an entry's digests, nonce and flags.
 	fixedBytes = 2*digestBytes + nonceBytes + 1
-	// placeBytes bounds the place of a name, lengthBytes a length: a value
-	// of platformapi.MaxValue holds fewer names than would need more.
-	placeBytes  = 3
+	// indexBytes is the maximum size of an index of an interned string, and
+	// lengthBytes that of a length. Three bytes suffice because a value of at
+	// most platformapi.MaxValue bytes cannot hold more strings.
+	indexBytes  = 3
 	lengthBytes = 3
-	// valueOverhead bounds the bytes of a value beside names and entries.
+	// valueOverhead is the maximum size of a value without interned strings and
+	// entries.
 	valueOverhead = 4 * binary.MaxVarintLen64
 )
 
-// bytes bounds the entry's encoded size, its shared names apart.
-func (e *entry) bytes() int {
-	numbers := varintBytes(uint64(e.attempt)) + 2*varintBytes(uint64(e.keep/time.Second))
-	texts := len(e.shared())*placeBytes + lengthBytes + len(e.suffix)
+// maxSize returns an upper bound of the entry's encoded size, without its
+// interned strings.
+func (e *entry) maxSize() int {
+	numbers := varintSize(uint64(e.attempt)) + 2*varintSize(uint64(e.retention/time.Second))
+	texts := len(e.internedStrings())*indexBytes + lengthBytes + len(e.requestSuffix)
 	return lengthBytes + fixedBytes + numbers + texts + len(e.extra)
 }
 
-// nameBytes bounds the encoded size of a name.
-func nameBytes(name string) int { return lengthBytes + len(name) }
+// internedBytes returns an upper bound of the encoded size of an interned
+// string.
+func internedBytes(name string) int { return lengthBytes + len(name) }
 
-// varintBytes is the encoded size of a number.
-func varintBytes(n uint64) int {
+// varintSize returns the encoded size of a number in bytes.
+func varintSize(n uint64) int {
 	return len(binary.AppendUvarint(make([]byte, 0, binary.MaxVarintLen64), n))
 }
 
-// encode writes the value with the ages at now.
+// encode returns the encoded value. The ages of its entries are those at now.
 func (v *value) encode(shards int, now time.Time) []byte {
-	names := slices.Sorted(maps.Keys(v.names))
-	places := make(map[string]uint64, len(names))
+	names := slices.Sorted(maps.Keys(v.interned))
+	indexes := make(map[string]uint64, len(names))
 	out := make([]byte, 0, v.size)
-	out = binary.AppendUvarint(out, format)
+	out = binary.AppendUvarint(out, formatVersion)
 	out = binary.AppendUvarint(out, uint64(shards))
 	out = binary.AppendUvarint(out, uint64(len(names)))
 	for i, name := range names {
-		places[name] = uint64(i)
-		out = appendText(out, name)
+		indexes[name] = uint64(i)
+		out = appendString(out, name)
 	}
 	out = binary.AppendUvarint(out, uint64(len(v.entries)))
 	var body []byte
 	for _, e := range v.entries {
-		body = e.encode(body[:0], places, now)
+		body = e.encode(body[:0], indexes, now)
 		out = binary.AppendUvarint(out, uint64(len(body)))
 		out = append(out, body...)
 	}
 	return out
 }
 
-// encode appends the entry's body.
-func (e *entry) encode(out []byte, places map[string]uint64, now time.Time) []byte {
+// encode appends the entry to out, without its length.
+func (e *entry) encode(out []byte, indexes map[string]uint64, now time.Time) []byte {
 	out = append(out, e.key[:]...)
 	out = append(out, e.fingerprint[:]...)
 	out = append(out, e.nonce[:]...)
@@ -86,58 +90,60 @@
 		flags = flagDone
 	}
 	out = append(out, flags)
-	age := min(max(e.ageAt(now), 0), e.keep)
-	for _, n := range []uint64{uint64(e.attempt), uint64(age / time.Second), uint64(e.keep / time.Second)} {
+	age := min(max(e.ageAt(now), 0), e.retention)
+	for _, n := range []uint64{uint64(e.attempt), uint64(age / time.Second), uint64(e.retention / time.Second)} {
 		out = binary.AppendUvarint(out, n)
 	}
-	for _, name := range e.shared() {
-		out = binary.AppendUvarint(out, places[name])
+	for _, name := range e.internedStrings() {
+		out = binary.AppendUvarint(out, indexes[name])
 	}
-	out = appendText(out, e.suffix)
+	out = appendString(out, e.requestSuffix)
 	return append(out, e.extra...)
 }
 
-// appendText appends a text.
-func appendText(out []byte, text string) []byte {
+// appendString appends the length and the bytes of a string.
+func appendString(out []byte, text string) []byte {
 	out = binary.AppendUvarint(out, uint64(len(text)))
 	return append(out, text...)
 }
 
-// decode reads a value that was observed at now. Ages known from an earlier
-// value of the same shard are kept where they are higher; old may be nil.
+// decode decodes a value that was read at now. If an entry is also in old, the
+// previously known value of the same shard, the higher of the two ages is kept.
+// old may be nil.
 func decode(data []byte, shards int, now time.Time, old *value) (*value, *ValueError) {
 	r := &reader{data: data}
-	if got := r.number(); got != format {
+	if got := r.uvarint(); got != formatVersion {
 		return nil, &ValueError{Cause: &FormatError{Format: got}}
 	}
-	if got := r.number(); got != uint64(shards) && !r.short {
+	if got := r.uvarint(); got != uint64(shards) && !r.malformed {
 		return nil, &ValueError{Shards: int(min(got, math.MaxInt32))}
 	}
 	names := make([]string, r.count())
 	for i := range names {
-		names[i] = string(r.text())
+		names[i] = string(r.bytes())
 	}
 	v := newValue()
 	count := r.count()
 	v.entries = make([]*entry, 0, count)
 	for range count {
-		e := decodeEntry(&reader{data: r.text()}, names)
-		if e == nil || !v.follows(e) {
-			return nil, &ValueError{Cause: &FormatError{Format: format}}
+		e := decodeEntry(&reader{data: r.bytes()}, names)
+		if e == nil || !v.sortsLast(e) {
+			return nil, &ValueError{Cause: &FormatError{Format: formatVersion}}
 		}
 		e.since = now
-		e = e.older(old)
+		e = e.withHigherAge(old)
 		v.entries = append(v.entries, e)
-		v.count(e)
+		v.addSize(e)
 	}
-	if r.short || len(r.data) > 0 {
-		return nil, &ValueError{Cause: &FormatError{Format: format}}
+	if r.malformed || len(r.data) > 0 {
+		return nil, &ValueError{Cause: &FormatError{Format: formatVersion}}
 	}
 	return v, nil
 }
 
-// follows reports whether an entry's key is above all others.
-func (v *value) follows(e *entry) bool {
+// sortsLast reports whether an entry's key is greater than all keys in the
+// value.
+func (v *value) sortsLast(e *entry) bool {
 	if len(v.entries) == 0 {
 		return true
 	}
@@ -145,25 +151,25 @@
 	return bytes.Compare(last.key[:], e.key[:]) < 0
 }
 
-// decodeEntry reads an entry; nil when it is malformed.
+// decodeEntry decodes an entry, or returns nil if it is malformed.
 func decodeEntry(r *reader, names []string) *entry {
 	e := &entry{state: router.ClaimHeld}
-	r.fill(e.key[:])
-	r.fill(e.fingerprint[:])
-	r.fill(e.nonce[:])
+	r.readInto(e.key[:])
+	r.readInto(e.fingerprint[:])
+	r.readInto(e.nonce[:])
 	var flags [1]byte
-	r.fill(flags[:])
+	r.readInto(flags[:])
 	if flags[0]&flagDone != 0 {
 		e.state = router.ClaimDone
 	}
-	e.attempt = ids.Attempt(min(r.number(), math.MaxInt32))
+	e.attempt = ids.Attempt(min(r.uvarint(), math.MaxInt32))
 	e.age = r.seconds()
-	e.keep = r.seconds()
-	for _, field := range []*string{&e.vm, &e.upstream, &e.epoch, &e.prefix} {
-		*field = r.name(names)
+	e.retention = r.seconds()
+	for _, field := range []*string{&e.vm, &e.upstream, &e.epoch, &e.requestPrefix} {
+		*field = r.internedString(names)
 	}
-	e.suffix = string(r.text())
-	if r.short {
+	e.requestSuffix = string(r.bytes())
+	if r.malformed {
 		return nil
 	}
 	if len(r.data) > 0 {
@@ -172,9 +178,10 @@
 	return e
 }
 
-// Inspect lists the claims of a shard's object, by key. Account and Key are
-// not known; Fingerprint is the hex form of its digest. For tests and for
-// people. The error is a *ValueError.
+// Inspect decodes a shard's object for tests and diagnostics and returns its
+// claims sorted by key digest. Account and Key are empty, because only their
+// digest is stored; Fingerprint is the hex form of its digest. The error is a
+// *ValueError.
 func Inspect(data []byte, shards int) ([]router.ClaimRecord, error) {
 	v, err := decode(data, shards, time.Time{}, nil)
 	if err != nil {
--- a/decide/claim/codec_test.go
+++ b/decide/claim/codec_test.go
@@ -13,8 +13,8 @@
 	"mimosaarch.example/decide/router"
 )
 
-// foreignValues are values that a Group of one shard can't use.
-func foreignValues() []string {
+// invalidValues returns values that a Group with one shard must reject.
+func invalidValues() []string {
 	one := newValue()
 	one.put(newEntry(benchOp(1)))
 	whole := string(one.encode(1, epoch))
@@ -32,7 +32,7 @@
 	}
 }
 
-// anyOp draws an operation.
+// anyOp generates a random operation.
 func anyOp(t *rapid.T) Op {
 	text := rapid.StringMatching(`[a-z-]{0,4}`)
 	return Op{Nonce: text.Draw(t, "nonce"), Record: router.ClaimRecord{
@@ -54,7 +54,7 @@
 		want := make(map[digest]router.ClaimRecord)
 		for _, op := range rapid.SliceOf(rapid.Custom(anyOp)).Draw(t, "ops") {
 			e := newEntry(op)
-			e.keep = time.Duration(rapid.IntRange(0, 1e6).Draw(t, "keep")) * time.Second
+			e.retention = time.Duration(rapid.IntRange(0, 1e6).Draw(t, "keep")) * time.Second
 			e.since = epoch
 			e.extra = rapid.SliceOfN(rapid.Byte(), 0, 3).Draw(t, "extra")
 			if rapid.Bool().Draw(t, "drop") {
@@ -65,7 +65,7 @@
 			before := v.sizeWith(e)
 			v.put(e)
 			if v.size > before {
-				t.Fatalf("size %d, foretold %d", v.size, before)
+				t.Fatalf("size %d, predicted %d", v.size, before)
 			}
 			want[e.key] = op.Record
 		}
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 		if back.size != v.size || string(back.encode(7, epoch)) != string(data) {
-			t.Fatal("another value after decoding")
+			t.Fatal("the decoded value differs")
 		}
 		got := make(map[digest]router.ClaimRecord)
 		for _, e := range back.entries {
@@ -98,17 +98,17 @@
 	data := v.encode(1, epoch)
 	for n := range data {
 		if _, err := decode(data[:n], 1, epoch, nil); err == nil {
-			t.Fatalf("%d of %d bytes were taken for a value", n, len(data))
+			t.Fatalf("a value cut to %d of %d bytes was decoded", n, len(data))
 		}
 	}
 }
 
 func TestDecodeTakesAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		data := append([]byte{format, 1}, rapid.SliceOf(rapid.Byte()).Draw(t, "data")...)
+		data := append([]byte{formatVersion, 1}, rapid.SliceOf(rapid.Byte()).Draw(t, "data")...)
 		v, err := decode(data, 1, epoch, nil)
 		if err == nil && len(v.encode(1, epoch)) > v.size {
-			t.Fatal("a value above its bound")
+			t.Fatal("the encoded value exceeds its size bound")
 		}
 	})
 }
--- a/decide/claim/counts.go
+++ b/decide/claim/counts.go
@@ -1,24 +1,27 @@
 package claim
 
-// Counts tell what a Group did since it was made.
+// Counts are the counters of a Group since it was created.
 type Counts struct {
-	// Reads and Writes are calls to the platform.
+	// Reads and Writes count calls to the platform.
 	Reads, Writes uint64
-	// Conflicts, Lost and Failed count answers of those kinds.
+	// Conflicts, Lost and Failed count the platform's answers of these kinds.
 	Conflicts, Lost, Failed uint64
-	// Won, Taken, Refused and Uncertain count the ends of claims; Full is
-	// the part of Refused for want of room in a shard.
+	// Won, Taken, Refused and Uncertain count the results of claims. Refused
+	// counts failed claims; Full counts those of them that failed because the
+	// shard's object had no room.
 	Won, Taken, Refused, Uncertain, Full uint64
-	// Abandoned counts releases and settlements given up for newer ones.
+	// Abandoned counts background releases and settlements dropped to make room
+	// for newer ones.
 	Abandoned uint64
-	// Forwarded counts operations handed to other VMs. ForwardsDone,
-	// ForwardsRefused and ForwardsSilent count what came of them.
+	// Forwarded counts operations forwarded to other VMs. Of these, ForwardsDone
+	// were committed, ForwardsRefused were refused, and ForwardsSilent got no
+	// answer in time.
 	Forwarded, ForwardsDone, ForwardsRefused, ForwardsSilent uint64
-	// Served counts operations taken from other VMs.
+	// Served counts operations accepted from other VMs.
 	Served uint64
 }
 
-// Sub gives what was added since earlier counts.
+// Sub returns the increase of each counter since earlier.
 func (c Counts) Sub(earlier Counts) Counts {
 	was, now := earlier.all(), c.all()
 	for i, count := range now {
@@ -27,22 +30,23 @@
 	return c
 }
 
-// Each gives each count by a name in snake case, always in the same order.
+// Each calls visit with each counter and its name in snake case, always in the
+// same order.
 func (c Counts) Each(visit func(name string, count uint64)) {
 	for _, count := range c.all() {
 		visit(count.name, *count.n)
 	}
 }
 
-// named is a count of a Counts.
-type named struct {
+// namedCount is a counter and its name.
+type namedCount struct {
 	name string
 	n    *uint64
 }
 
-// all lists the counts.
-func (c *Counts) all() []named {
-	return []named{
+// all lists the counters.
+func (c *Counts) all() []namedCount {
+	return []namedCount{
 		{"reads", &c.Reads},
 		{"writes", &c.Writes},
 		{"conflicts", &c.Conflicts},
@@ -62,5 +66,5 @@
 	}
 }
 
-// Counts tells what was done so far.
+// Counts returns the counters.
 func (g *Group) Counts() Counts { return g.counts }
--- a/decide/claim/deadline.go
+++ b/decide/claim/deadline.go
@@ -6,61 +6,63 @@
 	"mimosaarch.example/decide/router"
 )
 
-// expire says the last word on operations whose deadline has come, or will
-// come before the next call may start.
-func (m *machine) expire(now time.Time) {
+// expireOps reports the result of operations whose deadline has passed, or will
+// pass before the next call may start.
+func (s *shardCommitter) expireOps(now time.Time) {
 	done := false
-	for _, p := range m.ops {
-		if p.told || p.op.Deadline.IsZero() || !m.late(now, p) {
+	for _, p := range s.ops {
+		if p.reported || p.op.Deadline.IsZero() || !s.missesDeadline(now, p) {
 			continue
 		}
 		switch {
 		case p.op.remote:
-			m.giveBack(p)
+			s.returnToOrigin(p)
 			done = done || p.done
 		case p.op.Kind == Release:
-			m.postpone(p)
-		case p.inFlight || p.taint != untainted:
-			m.withdraw(p)
+			s.moveToBackground(p)
+		case p.inFlight || p.lostVersion != noLostWrite:
+			s.convertToRelease(p)
 		default:
 			p.done, done = true, true
-			m.group.end(Ended{Op: p.op, Result: router.ClaimFailed})
+			s.group.end(Ended{Op: p.op, Result: router.ClaimFailed})
 		}
 	}
 	if done {
-		m.removeDone()
+		s.removeDone()
 	}
-	m.trim()
+	s.trimBackground()
 }
 
-// late reports whether an operation can't be settled before its deadline.
-func (m *machine) late(now time.Time, p *pending) bool {
+// missesDeadline reports whether an operation cannot be committed before its
+// deadline.
+func (s *shardCommitter) missesDeadline(now time.Time, p *pending) bool {
 	if !now.Before(p.op.Deadline) {
 		return true
 	}
-	return m.call == callNone && m.retryAt.After(p.op.Deadline)
+	return s.call == callNone && s.retryAt.After(p.op.Deadline)
 }
 
-// withdraw ends a claim that may stand as uncertain, and turns it into its
-// release, which goes on in the background.
-func (m *machine) withdraw(p *pending) {
-	m.group.end(Ended{Op: p.op, Result: router.ClaimUncertain})
+// convertToRelease reports a claim that may have been committed as uncertain and
+// replaces it by a Release in the background.
+func (s *shardCommitter) convertToRelease(p *pending) {
+	s.group.end(Ended{Op: p.op, Result: router.ClaimUncertain})
 	p.op.Kind = Release
-	p.told = true
+	p.reported = true
 	p.replaced = p.inFlight
 }
 
-// wake is when the shard has something to do by itself; false if never.
-func (m *machine) wake() (time.Time, bool) {
-	if len(m.ops) == 0 {
+// wake returns when the shard next has work to do without outside input, or
+// false if never.
+func (s *shardCommitter) wake() (time.Time, bool) {
+	if len(s.ops) == 0 {
 		return time.Time{}, false
 	}
 	var at time.Time
-	if m.call == callNone {
-		at = later(m.readyAt, m.retryAt)
+	if s.call == callNone {
+		at = later(s.readyAt, s.retryAt)
 	}
-	for _, p := range m.ops {
-		due := !p.told && !p.op.Deadline.IsZero()
+	for _, p := range s.ops {
+		due := !p.reported && !p.op.Deadline.IsZero()
 		if due && (at.IsZero() || p.op.Deadline.Before(at)) {
 			at = p.op.Deadline
 		}
@@ -68,7 +70,7 @@
 	return at, !at.IsZero()
 }
 
-// later gives the later of two times.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/decide/claim/group.go
+++ b/decide/claim/group.go
@@ -8,75 +8,78 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Prefix starts the keys of the shards' objects.
+// Prefix is the key prefix of the shards' objects in the platform's store.
 const Prefix = "claims/"
 
-// Group commits the claims of one VM over all shards.
+// Group commits the claims of one VM. It holds the state of all shards.
 type Group struct {
-	settings Settings
-	rand     *rand.Rand
-	machines []*machine
-	counts   Counts
-	// forwards are the operations handed to other VMs, by number; forwarded
-	// is the last number given. forwardDue is no later than the first of
-	// their ends; zero when none is out.
-	forwards   map[uint64]*forward
-	forwarded  uint64
-	forwardDue time.Time
-	// served are the nonces of other VMs' operations, with their deadlines.
+	settings   Settings
+	rand       *rand.Rand
+	committers []*shardCommitter
+	counts     Counts
+	// forwards are the open forwards by ID, and lastForwardID is the last ID
+	// assigned. nextForwardDeadline is not after the earliest deadline of the
+	// open forwards, and zero if there are none.
+	forwards            map[uint64]*forward
+	lastForwardID       uint64
+	nextForwardDeadline time.Time
+	// served maps the nonces of operations accepted from other VMs to their
+	// deadlines.
 	served map[string]time.Time
-	// cached is the encoded size of the values kept.
+	// cached is the total encoded size of the values held in memory, in bytes.
 	cached int
-	out    []Command
+	// out collects the commands of the current call.
+	out []Command
 }
 
-// New makes a Group.
+// New returns a Group without claims. Zero fields of settings take their
+// defaults.
 func New(settings Settings) *Group {
 	settings = settings.withDefaults()
 	return &Group{
-		settings: settings,
-		rand:     rand.New(rand.NewPCG(settings.Seed, 0)),
-		machines: make([]*machine, settings.Shards),
-		forwards: make(map[uint64]*forward),
-		served:   make(map[string]time.Time),
+		settings:   settings,
+		rand:       rand.New(rand.NewPCG(settings.Seed, 0)),
+		committers: make([]*shardCommitter, settings.Shards),
+		forwards:   make(map[uint64]*forward),
+		served:     make(map[string]time.Time),
 	}
 }
 
-// Shards is the number of shards; at most one call is open for each.
+// Shards returns the number of shards. At most one call is open per shard.
 func (g *Group) Shards() int { return g.settings.Shards }
 
-// ShardOf gives the shard of a key.
+// ShardOf returns the shard of the record's key.
 func (g *Group) ShardOf(record router.ClaimRecord) int {
 	return ShardOf(record, g.settings.Shards)
 }
 
-// ShardOf gives the shard of a key among a number of shards.
+// ShardOf returns the shard of the record's key, given the number of shards.
 func ShardOf(record router.ClaimRecord, shards int) int { return keyOf(record).shard(shards) }
 
-// machine gives a shard's state machine.
-func (g *Group) machine(shard int) *machine {
-	if g.machines[shard] == nil {
-		g.machines[shard] = &machine{group: g, shard: shard, key: Prefix + strconv.Itoa(shard)}
+// committer returns the committer of a shard and creates it if necessary.
+func (g *Group) committer(shard int) *shardCommitter {
+	if g.committers[shard] == nil {
+		g.committers[shard] = &shardCommitter{group: g, shard: shard, key: Prefix + strconv.Itoa(shard)}
 	}
-	return g.machines[shard]
+	return g.committers[shard]
 }
 
-// Submit takes an operation. Errors: *OpError, and *QueueFullError for a Claim;
-// then the operation was not taken. Each Claim taken gets exactly one Ended,
-// each Release exactly one Released; a Settle gets no answer. The commands
-// are valid until the next call of any method.
+// Submit accepts an operation. Every accepted Claim gets exactly one Ended and
+// every Release exactly one Released; a Settle gets no result. The operation is
+// not accepted if an error is returned: *OpError, or for a Claim
+// *QueueFullError. The returned commands are valid until the next method call.
 func (g *Group) Submit(now time.Time, op Op) ([]Command, error) {
 	g.out = g.out[:0]
 	if err := op.check(); err != nil {
 		return nil, err
 	}
-	if err := g.machine(g.ShardOf(op.Record)).submit(now, op, untainted); err != nil {
+	if err := g.committer(g.ShardOf(op.Record)).submit(now, op, noLostWrite); err != nil {
 		return nil, err
 	}
 	return g.out, nil
 }
 
-// check refuses an operation that lacks a part.
+// check returns an *OpError if the operation lacks a required field.
 func (o Op) check() error {
 	switch {
 	case o.Record.Account == "":
@@ -91,49 +94,50 @@
 	return nil
 }
 
-// Answer takes the platform's answer to the open Read or Write of a shard.
+// Answer handles the platform's answer to the open Read or Write of a shard.
 func (g *Group) Answer(now time.Time, answer Answer) []Command {
 	g.out = g.out[:0]
-	g.machine(answer.Shard).answer(now, answer)
+	g.committer(answer.Shard).answer(now, answer)
 	return g.out
 }
 
-// Tick lets deadlines pass and calls start that are due.
+// Tick ends operations whose deadline has passed and starts calls that are due.
 func (g *Group) Tick(now time.Time) []Command {
 	g.out = g.out[:0]
-	g.takeBack(now)
-	for _, m := range g.machines {
-		if m != nil {
-			m.drive(now, false)
+	g.reclaimForwards(now)
+	for _, s := range g.committers {
+		if s != nil {
+			s.advance(now, false)
 		}
 	}
 	return g.out
 }
 
-// Wake is when the next Tick is due; false when none is.
+// Wake returns when the next Tick is due, or false if none is.
 func (g *Group) Wake() (time.Time, bool) {
-	next := g.forwardDue
-	for _, m := range g.machines {
-		if m == nil {
+	next := g.nextForwardDeadline
+	for _, s := range g.committers {
+		if s == nil {
 			continue
 		}
-		if at, ok := m.wake(); ok && (next.IsZero() || at.Before(next)) {
+		if at, ok := s.wake(); ok && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
 	return next, !next.IsZero()
 }
 
-// Pending counts the operations not done, those in the background included.
+// Pending returns the number of unfinished operations, including those in the
+// background and those forwarded.
 func (g *Group) Pending() int {
 	n := len(g.forwards)
-	for _, m := range g.machines {
-		if m != nil {
-			n += len(m.ops)
+	for _, s := range g.committers {
+		if s != nil {
+			n += len(s.ops)
 		}
 	}
 	return n
 }
 
-// emit adds a command to the current call's.
+// emit appends a command to the result of the current call.
 func (g *Group) emit(c Command) { g.out = append(g.out, c) }
--- a/decide/claim/network_test.go
+++ b/decide/claim/network_test.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// message is a forward on its way to a VM, or the answer on its way back.
+// message is a forward or its answer in transit.
 type message struct {
 	forward  Forward
 	from, to *vm
-	// until is the end of the VM's time, as of the simulation's clock.
+	// until is the forward's deadline by the simulation's clock.
 	until time.Time
-	// answer is nil on the way there.
+	// answer is nil for a forward that has not reached its receiver.
 	answer *ForwardAnswer
 }
 
-// send puts a forward on its way.
-func (s *sim) send(v *vm, c Forward) {
+// sendForward adds a forward to the messages in transit.
+func (s *sim) sendForward(v *vm, c Forward) {
 	to := s.vms[slices.IndexFunc(s.vms, func(to *vm) bool { return to.name == c.VM })]
 	s.messages = append(s.messages, message{forward: c, from: v, to: to, until: c.Until.Add(-v.skew)})
 }
 
-// serving are the forwards taken by VMs, by nonce.
+// serving maps the nonces of accepted forwards to their messages.
 type serving map[string]message
 
-// carry lets the i-th message arrive. One that is repeated stays on its way.
-func (s *sim) carry(i int, repeat bool) {
+// deliverMessage delivers the i-th message. With repeat, the message stays in
+// transit and can be delivered again.
+func (s *sim) deliverMessage(i int, repeat bool) {
 	m := s.messages[i]
 	if !repeat {
-		s.drop(i)
+		s.dropMessage(i)
 	}
 	if m.answer != nil {
-		s.take(m.from, m.from.ForwardEnded(s.clock(m.from), m.forward.ID, *m.answer))
+		s.execute(m.from, m.from.ForwardEnded(s.clock(m.from), m.forward.ID, *m.answer))
 		return
 	}
 	op := m.forward.Op
@@ -44,17 +45,17 @@
 		m.answer = &ForwardAnswer{Kind: ForwardRefused}
 		s.messages = append(s.messages, m)
 	}
-	s.take(m.to, commands)
+	s.execute(m.to, commands)
 }
 
-// drop loses the i-th message.
-func (s *sim) drop(i int) { s.messages = slices.Delete(s.messages, i, i+1) }
+// dropMessage loses the i-th message.
+func (s *sim) dropMessage(i int) { s.messages = slices.Delete(s.messages, i, i+1) }
 
-// served puts the answer to a forward on its way.
-func (s *sim) served(v *vm, c Served) {
+// sendForwardAnswer adds the answer to a forward to the messages in transit.
+func (s *sim) sendForwardAnswer(v *vm, c Served) {
 	m, ok := s.serving[c.Op.Nonce]
 	if !ok || m.to != v {
-		s.t.Fatalf("%s answered %s, which it was not asked", v.name, c.Op.Nonce)
+		s.t.Fatalf("%s answered forward %s, which it did not receive", v.name, c.Op.Nonce)
 	}
 	delete(s.serving, c.Op.Nonce)
 	m.answer = &c.Answer
--- a/decide/claim/reader.go
+++ b/decide/claim/reader.go
@@ -6,67 +6,68 @@
 	"time"
 )
 
-// reader takes parts off encoded data. Once one is missing, short stays true
-// and all further parts are zero.
+// reader decodes parts of encoded data in order. After a missing or malformed
+// part, malformed is true and all further parts are zero.
 type reader struct {
-	data  []byte
-	short bool
+	data      []byte
+	malformed bool
 }
 
-// fail notes that a part is missing or wrong.
-func (r *reader) fail() {
-	r.short = true
+// markMalformed records that a part is missing or malformed.
+func (r *reader) markMalformed() {
+	r.malformed = true
 	r.data = nil
 }
 
-// number takes a number.
-func (r *reader) number() uint64 {
+// uvarint decodes an unsigned varint.
+func (r *reader) uvarint() uint64 {
 	n, used := binary.Uvarint(r.data)
 	if used <= 0 {
-		r.fail()
+		r.markMalformed()
 		return 0
 	}
 	r.data = r.data[used:]
 	return n
 }
 
-// count takes a count of parts, each of which has at least one byte.
+// count decodes a number of parts of at least one byte each, so it cannot exceed
+// the number of remaining bytes.
 func (r *reader) count() int {
-	n := r.number()
+	n := r.uvarint()
 	if n > uint64(len(r.data)) {
-		r.fail()
+		r.markMalformed()
 		return 0
 	}
 	return int(n)
 }
 
-// text takes a text, which is valid as long as the data.
-func (r *reader) text() []byte {
+// bytes decodes a length and that many bytes. The result aliases the data.
+func (r *reader) bytes() []byte {
 	n := r.count()
 	text := r.data[:n]
 	r.data = r.data[n:]
 	return text
 }
 
-// fill takes as many bytes as fit.
-func (r *reader) fill(into []byte) {
+// readInto fills a slice with the next bytes.
+func (r *reader) readInto(into []byte) {
 	if len(r.data) < len(into) {
-		r.fail()
+		r.markMalformed()
 		return
 	}
 	r.data = r.data[copy(into, r.data):]
 }
 
-// seconds takes a time.
+// seconds decodes a duration.
 func (r *reader) seconds() time.Duration {
-	return time.Duration(min(r.number(), math.MaxInt32)) * time.Second
+	return time.Duration(min(r.uvarint(), math.MaxInt32)) * time.Second
 }
 
-// name takes the place of a name and gives the name.
-func (r *reader) name(names []string) string {
-	place := r.number()
+// internedString decodes an index and returns the interned string at that index.
+func (r *reader) internedString(names []string) string {
+	place := r.uvarint()
 	if place >= uint64(len(names)) {
-		r.fail()
+		r.markMalformed()
 		return ""
 	}
 	return names[place]
--- a/decide/claim/settings.go
+++ b/decide/claim/settings.go
@@ -7,82 +7,91 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// Defaults of Settings.
+// Defaults of Settings and fixed limits.
 const (
 	defaultShards        = 64
-	defaultWindow        = 5 * time.Millisecond
+	defaultBatchWindow   = 5 * time.Millisecond
 	defaultSettleWindow  = 200 * time.Millisecond
-	defaultQueue         = 1024
-	defaultBatch         = 256
-	defaultBackground    = 256
+	defaultMaxQueue      = 1024
+	defaultMaxBatch      = 256
+	defaultMaxBackground = 256
 	defaultRetention     = 24 * time.Hour
 	defaultCacheBytes    = 16 << 20
 	defaultBackoffMin    = 10 * time.Millisecond
 	defaultBackoffMax    = time.Second
-	conflictBackoff      = 2 * time.Millisecond
-	maxConflictDoublings = 5
-	defaultForwards      = 4096
-	defaultForwardTime   = 100 * time.Millisecond
-	// forwardShare is the part of an operation's time that another VM may
-	// take: one in so many.
-	forwardShare = 3
+	// The first of several conflicts in a row causes no pause. After the n-th,
+	// the pause is random; its maximum is conflictBackoff doubled n-1 times, at
+	// most maxConflictDoublings times.
+	conflictBackoff       = 2 * time.Millisecond
+	maxConflictDoublings  = 5
+	defaultMaxForwards    = 4096
+	defaultForwardTimeout = 100 * time.Millisecond
+	// forwardTimeDivisor limits the time for which another VM may try to commit
+	// an operation to a third of the time left. The rest is left for a local
+	// commit.
+	forwardTimeDivisor = 3
 )
 
-// Settings of a Group. Zero values stand for the defaults.
+// Settings configure a Group. Zero fields take their defaults.
 type Settings struct {
-	// Shards is the number of objects. All VMs must have the same number,
-	// and it must not change while claims are remembered. Default 64.
+	// Shards is the number of shards, each stored as one object. It must be the
+	// same on all VMs and must not change while claims are stored. Default 64.
 	Shards int
-	// BatchWindow is how long a first operation waits for others. Default 5ms.
+	// BatchWindow is how long the first operation of a batch waits for others.
+	// Default 5ms.
 	BatchWindow time.Duration
-	// SettleWindow is how long settlements wait for another operation, whose
-	// write takes them along. A VM that dies meanwhile leaves claims held
-	// that were done. Default 200ms.
+	// SettleWindow is how long a Settle waits for other operations to share its
+	// write. If the VM dies in that time, the claim stays held although its
+	// request is done. Default 200ms.
 	SettleWindow time.Duration
-	// MaxQueue bounds the claims waiting for one shard. Default 1024.
+	// MaxQueue is the maximum number of operations that wait for one shard.
+	// Default 1024.
 	MaxQueue int
-	// MaxBatch bounds the operations of one update. Default 256.
+	// MaxBatch is the maximum number of operations per update. Default 256.
 	MaxBatch int
-	// MaxBackground bounds, for one shard, the releases and settlements that
-	// go on by themselves; the oldest gives way. Default 256.
+	// MaxBackground is the maximum number of releases and settlements per shard
+	// that run in the background; beyond it the oldest are dropped. Default 256.
 	MaxBackground int
-	// Retention is given to operations that bring none. Default 24h.
+	// Retention is how long a key is remembered if the operation does not
+	// specify it. Default 24h.
 	Retention time.Duration
-	// MaxBytes bounds a shard's value; at most platformapi.MaxValue, the
-	// default.
+	// MaxBytes is the maximum encoded size of a shard's value. The default and
+	// the upper limit are platformapi.MaxValue.
 	MaxBytes int
-	// CacheBytes bounds the values kept for shards without work, by their
-	// encoded size. Default 16 MiB.
+	// CacheBytes is the encoded size of all cached values above which idle
+	// shards drop theirs. Default 16 MiB.
 	CacheBytes int
-	// BackoffMin and BackoffMax bound the pause after a failed call.
-	// Default 10ms and 1s.
+	// BackoffMin and BackoffMax are the first and the longest pause after failed
+	// calls. Each pause is shortened at random by up to half. Defaults 10ms and
+	// 1s.
 	BackoffMin, BackoffMax time.Duration
-	// MaxForwards bounds the operations handed to other VMs at a time, and
-	// those of other VMs whose time is not over. Default 4096.
+	// MaxForwards is the maximum number of open forwards to other VMs, and also
+	// of unexpired operations accepted from other VMs. Default 4096.
 	MaxForwards int
-	// ForwardTimeout bounds the time that another VM may take for an operation;
-	// a third of the time to its deadline, if less. A settlement gets the
-	// SettleWindow on top. Default 100ms.
+	// ForwardTimeout is the maximum time for which another VM may try to commit
+	// an operation, and at most a third of the time to the operation's deadline.
+	// For operations without deadline, such as a Settle, SettleWindow is added.
+	// Default 100ms.
 	ForwardTimeout time.Duration
-	// Seed starts the random source of the pauses.
+	// Seed seeds the random source of the pauses.
 	Seed uint64
 }
 
-// withDefaults fills in unset fields.
+// withDefaults returns the settings with defaults in unset fields.
 func (s Settings) withDefaults() Settings {
 	s.Shards = defaults.Positive(s.Shards, defaultShards)
-	s.BatchWindow = defaults.Positive(s.BatchWindow, defaultWindow)
+	s.BatchWindow = defaults.Positive(s.BatchWindow, defaultBatchWindow)
 	s.SettleWindow = defaults.Positive(s.SettleWindow, defaultSettleWindow)
-	s.MaxQueue = defaults.Positive(s.MaxQueue, defaultQueue)
-	s.MaxBatch = defaults.Positive(s.MaxBatch, defaultBatch)
-	s.MaxBackground = defaults.Positive(s.MaxBackground, defaultBackground)
+	s.MaxQueue = defaults.Positive(s.MaxQueue, defaultMaxQueue)
+	s.MaxBatch = defaults.Positive(s.MaxBatch, defaultMaxBatch)
+	s.MaxBackground = defaults.Positive(s.MaxBackground, defaultMaxBackground)
 	s.Retention = defaults.Positive(s.Retention, defaultRetention)
 	s.MaxBytes = defaults.Positive(s.MaxBytes, platformapi.MaxValue)
 	s.CacheBytes = defaults.Positive(s.CacheBytes, defaultCacheBytes)
 	s.BackoffMin = defaults.Positive(s.BackoffMin, defaultBackoffMin)
 	s.BackoffMax = defaults.Positive(s.BackoffMax, defaultBackoffMax)
-	s.MaxForwards = defaults.Positive(s.MaxForwards, defaultForwards)
-	s.ForwardTimeout = defaults.Positive(s.ForwardTimeout, defaultForwardTime)
+	s.MaxForwards = defaults.Positive(s.MaxForwards, defaultMaxForwards)
+	s.ForwardTimeout = defaults.Positive(s.ForwardTimeout, defaultForwardTimeout)
 	s.MaxBytes = min(s.MaxBytes, platformapi.MaxValue)
 	return s
 }
--- a/decide/claim/sim_test.go
+++ b/decide/claim/sim_test.go
@@ -25,19 +25,20 @@
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fatal is what a failing test calls.
+// fatal is the part of testing.T and rapid.T that the simulation uses.
 type fatal interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// memoryStore is the platform's store.
+// memoryStore is an in-memory implementation of the platform's store.
 type memoryStore struct {
 	revision int64
 	objects  map[string]platformapi.Object
 }
 
-// write makes a conditional update; false if the condition fails.
+// write makes a conditional update. It returns the current object and false if
+// the version does not match.
 func (s *memoryStore) write(w Write) (platformapi.Object, bool) {
 	if current := s.objects[w.Key]; current.Version != w.IfMatch {
 		return current, false
@@ -48,22 +49,24 @@
 	return object, true
 }
 
-// fate is what the network does to a call.
-type fate int
+// networkFault is what happens to a call.
+type networkFault int
 
 const (
-	fateOK fate = iota
-	// fateAnswerLost: a write is applied, but not answered.
-	fateAnswerLost
-	// fateRequestLost: a write is neither applied nor answered.
-	fateRequestLost
-	// fateLate: a write isn't answered, and may be applied later.
-	fateLate
-	// fateFailed: the call never leaves.
-	fateFailed
+	faultNone networkFault = iota
+	// faultAnswerLost: a write takes effect, but its answer is lost.
+	faultAnswerLost
+	// faultRequestLost: a write is lost before it takes effect.
+	faultRequestLost
+	// faultLate: the answer to a write is lost, and the write may take effect
+	// later.
+	faultLate
+	// faultFailed: the call is not sent.
+	faultFailed
 )
 
-// vm is one Group with the commands it has open. Its clock is its own.
+// vm is a Group with its open calls and a clock that differs from the others by
+// skew.
 type vm struct {
 	*Group
 	name ids.VM
@@ -71,35 +74,37 @@
 	open []Command
 }
 
-// sim is a fleet of VMs around one store. It knows who believes to hold what.
+// sim simulates several VMs with one store. It tracks which request believes
+// that it holds which key.
 type sim struct {
 	t   fatal
 	now time.Time
 	vms []*vm
 	memoryStore
-	// prefer gives the VM that one believes to be preferred; nil or its own
-	// name when it commits by itself.
+	// prefer returns the VM that the given VM believes to be preferred. If
+	// prefer is nil or returns the same VM, operations are committed locally.
 	prefer func(*vm) *vm
-	// messages are forwards and their answers on their way.
+	// messages are the forwards and answers in transit.
 	messages []message
 	serving  serving
-	// old are messages that arrive when all VMs believe to be done.
-	old []message
-	// late are lost writes that may yet arrive.
-	late     []Write
-	requests int
-	// holders has, by key, the requests that were told they won and did not
-	// release; settled ones stay.
+	// delayedMessages are delivered once all VMs have finished.
+	delayedMessages []message
+	// delayedWrites are lost writes that may still take effect.
+	delayedWrites []Write
+	requests      int
+	// holders maps each key to the requests that were told that they won it and
+	// have not released it. Requests that marked their claim as done stay.
 	holders map[string][]claimed
-	// priors are claims that others were told of; dead ones are proved not
-	// to run, ever.
-	priors  []router.ClaimRecord
-	dead    map[ids.Request]bool
-	due     map[ids.Request]string
-	results map[ids.Request]router.ClaimResult
+	// priors are the claims reported to requests that lost. neverRun are the
+	// requests that are known never to run. awaiting maps requests to the
+	// operation whose result is due.
+	priors   []router.ClaimRecord
+	neverRun map[ids.Request]bool
+	awaiting map[ids.Request]string
+	results  map[ids.Request]router.ClaimResult
 }
 
-// claimed is a record with the VM that holds it.
+// claimed is a won claim and the VM that holds it.
 type claimed struct {
 	vm      *vm
 	record  router.ClaimRecord
@@ -113,8 +118,8 @@
 		memoryStore: memoryStore{objects: make(map[string]platformapi.Object)},
 		holders:     make(map[string][]claimed),
 		serving:     make(serving),
-		dead:        make(map[ids.Request]bool),
-		due:         make(map[ids.Request]string),
+		neverRun:    make(map[ids.Request]bool),
+		awaiting:    make(map[ids.Request]string),
 		results:     make(map[ids.Request]router.ClaimResult),
 	}
 	for i := range vms {
@@ -124,31 +129,32 @@
 	return s
 }
 
-// clock is a VM's own time.
+// clock returns the current time by the VM's own clock.
 func (s *sim) clock(v *vm) time.Time { return s.now.Add(v.skew) }
 
-// claim submits a claim of a key by a new request.
+// claim submits a claim on a key by a new request.
 func (s *sim) claim(v *vm, key string, over *router.ClaimRecord) ids.Request {
 	s.requests++
 	request := ids.Request(fmt.Sprintf("r%d", s.requests))
 	record := router.ClaimRecord{Account: "a", Key: key, Request: request, Attempt: 1, Fingerprint: "f"}
 	op := Op{Kind: Claim, Record: record, Nonce: "n" + string(request), Over: over, Deadline: s.clock(v).Add(300 * time.Millisecond)}
-	s.due[request] = "claim"
+	s.awaiting[request] = "claim"
 	s.submit(v, op)
 	return request
 }
 
-// submit hands an operation to a VM.
+// submit passes an operation to a VM and executes the resulting commands.
 func (s *sim) submit(v *vm, op Op) {
-	commands, err := s.hand(v, op)
+	commands, err := s.submitOrForward(v, op)
 	if err != nil {
 		s.t.Fatalf("submit: %v", err)
 	}
-	s.take(v, commands)
+	s.execute(v, commands)
 }
 
-// hand lets a VM commit an operation or forward it.
-func (s *sim) hand(v *vm, op Op) ([]Command, error) {
+// submitOrForward lets the VM commit an operation or forward it to its preferred
+// VM.
+func (s *sim) submitOrForward(v *vm, op Op) ([]Command, error) {
 	if s.prefer != nil {
 		if to := s.prefer(v); to != v {
 			return v.Forward(s.clock(v), op, to.name)
@@ -157,8 +163,8 @@
 	return v.Submit(s.clock(v), op)
 }
 
-// take carries out a VM's commands.
-func (s *sim) take(v *vm, commands []Command) {
+// execute executes the commands of a VM.
+func (s *sim) execute(v *vm, commands []Command) {
 	for _, command := range slices.Clone(commands) {
 		switch c := command.(type) {
 		case Read, Write:
@@ -168,31 +174,32 @@
 		case Released:
 			s.answered(c.Op.Record.Request, "release")
 		case Forward:
-			s.send(v, c)
+			s.sendForward(v, c)
 		case Served:
-			s.served(v, c)
+			s.sendForwardAnswer(v, c)
 		case InvalidValue:
-			s.t.Fatalf("problem: %v", c.Err)
+			s.t.Fatalf("invalid value: %v", c.Err)
 		}
 	}
 }
 
-// answered notes that an operation got its one result.
+// answered checks that the result of an operation was due and records that it
+// arrived.
 func (s *sim) answered(request ids.Request, what string) {
-	if s.due[request] != what {
-		s.t.Fatalf("%s of %s answered, but %q was due", what, request, s.due[request])
+	if s.awaiting[request] != what {
+		s.t.Fatalf("got the result of the %s of %s, but %q was due", what, request, s.awaiting[request])
 	}
-	delete(s.due, request)
+	delete(s.awaiting, request)
 }
 
-// ended checks the result of a claim.
+// ended checks the result of a claim and records its holder.
 func (s *sim) ended(v *vm, c Ended) {
 	record := c.Op.Record
 	s.answered(record.Request, "claim")
 	s.results[record.Request] = c.Result
 	switch c.Result {
 	case router.ClaimWon:
-		if s.dead[record.Request] {
+		if s.neverRun[record.Request] {
 			return
 		}
 		if others := s.holders[record.Key]; len(others) > 0 {
@@ -207,28 +214,28 @@
 	}
 }
 
-// kill proves that a request never runs.
-func (s *sim) kill(request ids.Request) {
-	s.dead[request] = true
+// proveNeverRun records that a request never runs.
+func (s *sim) proveNeverRun(request ids.Request) {
+	s.neverRun[request] = true
 	for key, holders := range s.holders {
 		s.holders[key] = slices.DeleteFunc(holders, func(h claimed) bool { return h.record.Request == request })
 	}
 }
 
-// release gives up a held key.
+// release releases a key.
 func (s *sim) release(h claimed) {
 	s.holders[h.record.Key] = nil
-	s.due[h.record.Request] = "release"
+	s.awaiting[h.record.Request] = "release"
 	s.submit(h.vm, Op{Kind: Release, Nonce: "r" + string(h.record.Request), Record: h.record, Deadline: s.clock(h.vm).Add(100 * time.Millisecond)})
 }
 
-// settle marks a held key as done.
+// settle marks the claim of a key as done.
 func (s *sim) settle(h claimed) {
 	s.holders[h.record.Key][0].settled = true
 	s.submit(h.vm, Op{Kind: Settle, Nonce: "s" + string(h.record.Request), Record: h.record})
 }
 
-// held lists the holders that have not settled.
+// held lists the claims that are not marked as done.
 func (s *sim) held() []claimed {
 	var list []claimed
 	for _, key := range simKeys {
@@ -243,29 +250,29 @@
 
 var (
 	simKeys = []string{"k1", "k2", "k3"}
-	// allKeys are those that any test claims and looks for.
+	// allKeys are all keys that any test claims.
 	allKeys = append([]string{"k4"}, simKeys...)
 )
 
-// deliver carries out a VM's i-th open call.
-func (s *sim) deliver(v *vm, i int, f fate) {
+// deliverCall executes the i-th open call of a VM.
+func (s *sim) deliverCall(v *vm, i int, f networkFault) {
 	command := v.open[i]
 	v.open = slices.Delete(v.open, i, i+1)
 	var answer Answer
 	switch c := command.(type) {
 	case Read:
-		answer = s.read(c, f)
+		answer = s.answerRead(c, f)
 	case Write:
-		answer = s.writeWith(c, f)
+		answer = s.answerWrite(c, f)
 	}
-	s.take(v, v.Answer(s.clock(v), answer))
+	s.execute(v, v.Answer(s.clock(v), answer))
 }
 
-// read answers a Read.
-func (s *sim) read(c Read, f fate) Answer {
+// answerRead answers a Read.
+func (s *sim) answerRead(c Read, f networkFault) Answer {
 	object, exists := s.objects[c.Key]
 	switch {
-	case f != fateOK:
+	case f != faultNone:
 		return Answer{Shard: c.Shard, Kind: AnswerFailed}
 	case !exists:
 		return Answer{Shard: c.Shard, Kind: AnswerNotFound}
@@ -273,16 +280,16 @@
 	return Answer{Shard: c.Shard, Kind: AnswerObject, Object: object}
 }
 
-// writeWith answers a Write.
-func (s *sim) writeWith(c Write, f fate) Answer {
+// answerWrite executes and answers a Write.
+func (s *sim) answerWrite(c Write, f networkFault) Answer {
 	switch f {
-	case fateFailed:
+	case faultFailed:
 		return Answer{Shard: c.Shard, Kind: AnswerFailed}
-	case fateLate:
-		s.late = append(s.late, c)
-	case fateAnswerLost:
+	case faultLate:
+		s.delayedWrites = append(s.delayedWrites, c)
+	case faultAnswerLost:
 		s.write(c)
-	case fateOK:
+	case faultNone:
 		if object, ok := s.write(c); ok {
 			return Answer{Shard: c.Shard, Kind: AnswerWritten, Object: object}
 		}
@@ -291,31 +298,31 @@
 	return Answer{Shard: c.Shard, Kind: AnswerLost}
 }
 
-// tick lets time pass.
+// tick advances the clock.
 func (s *sim) tick(d time.Duration) {
 	s.now = s.now.Add(d)
 	for _, v := range s.vms {
-		s.take(v, v.Tick(s.clock(v)))
+		s.execute(v, v.Tick(s.clock(v)))
 	}
 }
 
-// settleDown mends the network and lets all VMs finish. What is late arrives
-// when they believe to be done.
-func (s *sim) settleDown() {
+// quiesce stops all network faults and runs until all VMs have finished. Delayed
+// writes and messages arrive only after that, and then the VMs finish again.
+func (s *sim) quiesce() {
 	s.finish()
-	for _, w := range s.late {
+	for _, w := range s.delayedWrites {
 		s.write(w)
 	}
-	s.late = nil
-	s.messages = append(s.messages, s.old...)
-	s.old = nil
+	s.delayedWrites = nil
+	s.messages = append(s.messages, s.delayedMessages...)
+	s.delayedMessages = nil
 	s.finish()
 }
 
-// finish lets all VMs finish.
+// finish runs until all VMs have finished.
 func (s *sim) finish() {
 	for range 1000 {
-		s.calm()
+		s.runPending()
 		pending := 0
 		for _, v := range s.vms {
 			pending += v.Pending()
@@ -325,26 +332,26 @@
 		}
 		s.tick(50 * time.Millisecond)
 	}
-	s.t.Fatalf("operations are left without end")
+	s.t.Fatalf("operations did not finish")
 }
 
-// calm lets all calls and messages end that need no time to pass.
-func (s *sim) calm() {
+// runPending executes all calls and messages that need no time to pass.
+func (s *sim) runPending() {
 	for again := true; again; {
 		again = len(s.messages) > 0
 		for len(s.messages) > 0 {
-			s.carry(0, false)
+			s.deliverMessage(0, false)
 		}
 		for _, v := range s.vms {
 			again = again || len(v.open) > 0
 			for len(v.open) > 0 {
-				s.deliver(v, 0, fateOK)
+				s.deliverCall(v, 0, faultNone)
 			}
 		}
 	}
 }
 
-// entries decodes the store's claims by key.
+// entries decodes the claims in the store, by key.
 func (s *sim) entries() map[string]router.ClaimRecord {
 	found := make(map[string]router.ClaimRecord)
 	for _, object := range s.objects {
@@ -364,11 +371,11 @@
 	return found
 }
 
-// checkEnd fails unless every operation has its result and the store holds
-// just what the holders believe.
+// checkEnd fails the test unless every operation has a result and the store
+// agrees with the holders.
 func (s *sim) checkEnd() {
-	if len(s.due) > 0 {
-		s.t.Fatalf("without result: %v", s.due)
+	if len(s.awaiting) > 0 {
+		s.t.Fatalf("operations without result: %v", s.awaiting)
 	}
 	entries := s.entries()
 	for _, key := range simKeys {
@@ -379,14 +386,15 @@
 			s.t.Fatalf("%s is held by %s, but the store has %q", key, holders[0].record.Request, record.Request)
 		case len(holders) > 0 && holders[0].settled != (record.State == router.ClaimDone):
 			s.t.Fatalf("%s: settled %v, but the store has %s", key, holders[0].settled, record.State)
-		case len(holders) == 0 && stands && !s.dead[record.Request]:
+		case len(holders) == 0 && stands && !s.neverRun[record.Request]:
 			s.t.Fatalf("%s is free, but the store has %s (%v)", key, record.Request, s.results[record.Request])
 		}
 	}
 }
 
-// checkFree fails unless each key that nobody holds can be won.
-func (s *sim) checkFree() {
+// checkKeysCanBeWon fails the test unless every key that is not marked as done
+// can be won.
+func (s *sim) checkKeysCanBeWon() {
 	for _, key := range simKeys {
 		record, stands := s.entries()[key]
 		if stands && record.State == router.ClaimDone {
@@ -396,12 +404,12 @@
 		if stands {
 			over = &record
 		}
-		// The pause after earlier failures has to be over.
+		// The backoff after earlier failures must be over.
 		s.tick(s.vms[0].settings.BackoffMax)
 		request := s.claim(s.vms[0], key, over)
-		s.settleDown()
+		s.quiesce()
 		if s.results[request] != router.ClaimWon {
-			s.t.Fatalf("%s could not be won again", key)
+			s.t.Fatalf("key %s could not be won", key)
 		}
 	}
 }
--- a/decide/claim/value.go
+++ b/decide/claim/value.go
@@ -11,18 +11,19 @@
 	"mimosaarch.example/decide/router"
 )
 
-// value is the content of a shard's object. A value is changed only by the
-// one that made it; entries are never changed.
+// value is the content of a shard's object. Only its creator modifies it. Its
+// entries may be shared with other values and are never modified.
 type value struct {
 	// entries are sorted by key.
 	entries []*entry
-	// names counts the uses of the texts that entries share.
-	names map[string]int
-	// size bounds the encoded size from above.
+	// interned counts how many times entries use each shared string. Each is
+	// encoded only once.
+	interned map[string]int
+	// size is an upper bound of the encoded size in bytes.
 	size int
 }
 
-// entry is one claimed key.
+// entry is the claim of one key.
 type entry struct {
 	key, fingerprint digest
 	nonce            nonce
@@ -30,55 +31,58 @@
 	attempt          ids.Attempt
 	vm, upstream     string
 	epoch            string
-	// prefix and suffix together are the request's name. Requests of one
-	// process life share their prefix.
-	prefix, suffix string
-	// extra are fields that this version does not know.
+	// requestPrefix and requestSuffix together are the request ID. Requests of
+	// the same process have the same prefix.
+	requestPrefix, requestSuffix string
+	// extra holds encoded fields of later versions that this version does not
+	// know.
 	extra []byte
-	// age is the least time since the last operation, as of since.
-	age   time.Duration
-	since time.Time
-	keep  time.Duration
+	// age is a lower bound, as of since, of the time since the last operation.
+	age       time.Duration
+	since     time.Time
+	retention time.Duration
 }
 
-// newValue is the value of a shard without object.
+// newValue returns the value of a shard whose object does not exist.
 func newValue() *value {
-	return &value{names: make(map[string]int), size: valueOverhead}
+	return &value{interned: make(map[string]int), size: valueOverhead}
 }
 
-// newEntry makes the entry of an operation.
+// newEntry returns the entry that an operation creates.
 func newEntry(op Op) *entry {
 	request := string(op.Record.Request)
 	cut := strings.LastIndexByte(request, '-') + 1
 	return &entry{
-		key:         keyOf(op.Record),
-		fingerprint: digestOf(op.Record.Fingerprint),
-		nonce:       nonceOf(op.Nonce),
-		state:       op.Record.State,
-		attempt:     op.Record.Attempt,
-		vm:          string(op.Record.VM),
-		upstream:    string(op.Record.Upstream),
-		epoch:       op.Record.Epoch,
-		prefix:      request[:cut],
-		suffix:      request[cut:],
+		key:           keyOf(op.Record),
+		fingerprint:   digestOf(op.Record.Fingerprint),
+		nonce:         nonceOf(op.Nonce),
+		state:         op.Record.State,
+		attempt:       op.Record.Attempt,
+		vm:            string(op.Record.VM),
+		upstream:      string(op.Record.Upstream),
+		epoch:         op.Record.Epoch,
+		requestPrefix: request[:cut],
+		requestSuffix: request[cut:],
 	}
 }
 
-// request is the holder.
-func (e *entry) request() ids.Request { return ids.Request(e.prefix + e.suffix) }
+// request returns the request that holds the claim.
+func (e *entry) request() ids.Request { return ids.Request(e.requestPrefix + e.requestSuffix) }
 
-// isOf reports whether a request is the holder.
-func (e *entry) isOf(request ids.Request) bool {
-	suffix, ok := strings.CutPrefix(string(request), e.prefix)
-	return ok && suffix == e.suffix
+// isHeldBy reports whether the claim belongs to the request.
+func (e *entry) isHeldBy(request ids.Request) bool {
+	suffix, ok := strings.CutPrefix(string(request), e.requestPrefix)
+	return ok && suffix == e.requestSuffix
 }
 
-// shared lists the texts that the entry may share with others.
-func (e *entry) shared() [4]string { return [4]string{e.vm, e.upstream, e.epoch, e.prefix} }
+// internedStrings returns the strings that other entries may share.
+func (e *entry) internedStrings() [4]string {
+	return [4]string{e.vm, e.upstream, e.epoch, e.requestPrefix}
+}
 
-// record tells of the entry to an operation on its key. The fingerprint is
-// the operation's when it is the same, else the hex form of its digest, which
-// no fingerprint equals.
+// record returns the entry as a claim record with the account and key of asked.
+// The fingerprint is that of asked if their digests are equal. Otherwise it is
+// the hex form of the entry's digest, which no fingerprint equals.
 func (e *entry) record(asked router.ClaimRecord) router.ClaimRecord {
 	fingerprint := asked.Fingerprint
 	if digestOf(fingerprint) != e.fingerprint {
@@ -97,9 +101,10 @@
 	}
 }
 
-// older gives the entry with the higher age of itself and its like in an
-// earlier value, which may be nil.
-func (e *entry) older(old *value) *entry {
+// withHigherAge raises the age of a newly decoded entry if the same claim has a
+// higher age in old, the previously known value, and returns the entry. old may
+// be nil.
+func (e *entry) withHigherAge(old *value) *entry {
 	if old == nil {
 		return e
 	}
@@ -112,96 +117,98 @@
 	return e
 }
 
-// ageAt is the entry's least age.
+// ageAt returns a lower bound of the entry's age.
 func (e *entry) ageAt(now time.Time) time.Duration { return e.age + now.Sub(e.since) }
 
-// expired reports whether the entry may be forgotten.
-func (e *entry) expired(now time.Time) bool { return e.ageAt(now) > e.keep }
+// expired reports whether the entry's retention has ended.
+func (e *entry) expired(now time.Time) bool { return e.ageAt(now) > e.retention }
 
-// place gives where the entry of a key is, or belongs.
-func (v *value) place(key digest) (int, bool) {
+// search returns the index of a key's entry and true, or the index at which it
+// would be inserted and false.
+func (v *value) search(key digest) (int, bool) {
 	return slices.BinarySearchFunc(v.entries, key, func(e *entry, key digest) int {
 		return bytes.Compare(e.key[:], key[:])
 	})
 }
 
-// find gives the entry of a key; nil when there is none.
+// find returns the entry of a key, or nil.
 func (v *value) find(key digest) *entry {
-	if i, ok := v.place(key); ok {
+	if i, ok := v.search(key); ok {
 		return v.entries[i]
 	}
 	return nil
 }
 
-// put stores an entry in place of one for the same key.
+// put adds an entry and replaces any entry of the same key.
 func (v *value) put(e *entry) {
-	i, ok := v.place(e.key)
+	i, ok := v.search(e.key)
 	if ok {
-		v.uncount(v.entries[i])
+		v.subtractSize(v.entries[i])
 		v.entries[i] = e
 	} else {
 		v.entries = slices.Insert(v.entries, i, e)
 	}
-	v.count(e)
+	v.addSize(e)
 }
 
 // drop removes the entry of a key, if there is one.
 func (v *value) drop(key digest) {
-	if i, ok := v.place(key); ok {
-		v.uncount(v.entries[i])
+	if i, ok := v.search(key); ok {
+		v.subtractSize(v.entries[i])
 		v.entries = slices.Delete(v.entries, i, i+1)
 	}
 }
 
-// forget drops the entries whose time is over.
-func (v *value) forget(now time.Time) {
+// dropExpired removes the entries whose retention has ended.
+func (v *value) dropExpired(now time.Time) {
 	v.entries = slices.DeleteFunc(v.entries, func(e *entry) bool {
 		expired := e.expired(now)
 		if expired {
-			v.uncount(e)
+			v.subtractSize(e)
 		}
 		return expired
 	})
 }
 
-// count adds an entry to the size.
-func (v *value) count(e *entry) {
-	v.size += e.bytes()
-	for _, name := range e.shared() {
-		if v.names[name] == 0 {
-			v.size += nameBytes(name)
+// addSize adds an entry to the size and to the counts of interned strings.
+func (v *value) addSize(e *entry) {
+	v.size += e.maxSize()
+	for _, name := range e.internedStrings() {
+		if v.interned[name] == 0 {
+			v.size += internedBytes(name)
 		}
-		v.names[name]++
+		v.interned[name]++
 	}
 }
 
-// uncount takes an entry out of the size.
-func (v *value) uncount(e *entry) {
-	v.size -= e.bytes()
-	for _, name := range e.shared() {
-		v.names[name]--
-		if v.names[name] == 0 {
-			delete(v.names, name)
-			v.size -= nameBytes(name)
+// subtractSize removes an entry from the size and from the counts of interned
+// strings.
+func (v *value) subtractSize(e *entry) {
+	v.size -= e.maxSize()
+	for _, name := range e.internedStrings() {
+		v.interned[name]--
+		if v.interned[name] == 0 {
+			delete(v.interned, name)
+			v.size -= internedBytes(name)
 		}
 	}
 }
 
-// sizeWith bounds the encoded size if an entry were put.
+// sizeWith returns an upper bound of the encoded size after a put of the entry.
 func (v *value) sizeWith(e *entry) int {
-	size := v.size + e.bytes()
+	size := v.size + e.maxSize()
 	if old := v.find(e.key); old != nil {
-		size -= old.bytes()
+		size -= old.maxSize()
 	}
-	for _, name := range e.shared() {
-		if v.names[name] == 0 {
-			size += nameBytes(name)
+	for _, name := range e.internedStrings() {
+		if v.interned[name] == 0 {
+			size += internedBytes(name)
 		}
 	}
 	return size
 }
 
-// clone gives a copy that may be changed.
+// clone returns a copy whose modification leaves v unchanged.
 func (v *value) clone() *value {
-	return &value{entries: slices.Clone(v.entries), names: maps.Clone(v.names), size: v.size}
+	return &value{entries: slices.Clone(v.entries), interned: maps.Clone(v.interned), size: v.size}
 }
--- a/decide/claim/winner_test.go
+++ b/decide/claim/winner_test.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// TestOneWinnerWithForwards lets VMs differ on who is preferred, and loses,
+// TestOneWinnerWithForwards lets VMs disagree on the preferred VM, and loses,
 // delays and repeats forwards and their answers.
 func TestOneWinnerWithForwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,36 +33,37 @@
 				do(rapid.IntRange(0, len(s.messages)-1).Draw(t, "message"))
 			}
 		}
-		arrive := func(t *rapid.T) { anyMessage(t, func(i int) { s.carry(i, false) }) }
+		arrive := func(t *rapid.T) { anyMessage(t, func(i int) { s.deliverMessage(i, false) }) }
 		checkOneWinner(t, s, map[string]func(*rapid.T){
 			"prefer":  func(t *rapid.T) { preferred[anyVM.Draw(t, "vm")] = anyVM.Draw(t, "preferred") },
 			"arrive":  arrive,
 			"arrive2": arrive,
-			"repeat":  func(t *rapid.T) { anyMessage(t, func(i int) { s.carry(i, true) }) },
-			"lose":    func(t *rapid.T) { anyMessage(t, s.drop) },
+			"repeat":  func(t *rapid.T) { anyMessage(t, func(i int) { s.deliverMessage(i, true) }) },
+			"lose":    func(t *rapid.T) { anyMessage(t, s.dropMessage) },
 			"old": func(t *rapid.T) {
 				anyMessage(t, func(i int) {
-					s.old = append(s.old, s.messages[i])
-					s.drop(i)
+					s.delayedMessages = append(s.delayedMessages, s.messages[i])
+					s.dropMessage(i)
 				})
 			},
 		})
 	})
 }
 
-// checkOneWinner runs random steps, the given ones among them.
+// checkOneWinner runs random steps, including those in more, and checks that
+// each key has at most one winner.
 func checkOneWinner(t *rapid.T, s *sim, more map[string]func(*rapid.T)) {
 	anyVM := rapid.SampledFrom(s.vms)
 	anyKey := rapid.SampledFrom(simKeys)
-	// Calls succeed in about half of the cases.
-	anyFate := rapid.SampledFrom([]fate{fateOK, fateOK, fateOK, fateAnswerLost, fateRequestLost, fateLate, fateFailed})
+	// A fault occurs in about half of the calls.
+	anyFault := rapid.SampledFrom([]networkFault{faultNone, faultNone, faultNone, faultAnswerLost, faultRequestLost, faultLate, faultFailed})
 	steps := map[string]func(*rapid.T){
 		"claim": func(t *rapid.T) { s.claim(anyVM.Draw(t, "vm"), anyKey.Draw(t, "key"), nil) },
 		"takeover": func(t *rapid.T) {
 			if len(s.priors) > 0 {
 				prior := rapid.SampledFrom(s.priors).Draw(t, "prior")
 				if prior.State == router.ClaimHeld && !s.isSettled(prior) {
-					s.kill(prior.Request)
+					s.proveNeverRun(prior.Request)
 					s.claim(anyVM.Draw(t, "vm"), prior.Key, &prior)
 				}
 			}
@@ -77,37 +78,37 @@
 				s.settle(rapid.SampledFrom(held).Draw(t, "held"))
 			}
 		},
-		"deliver":  func(t *rapid.T) { s.deliverAny(t, anyVM.Draw(t, "vm"), anyFate) },
-		"deliver2": func(t *rapid.T) { s.deliverAny(t, anyVM.Draw(t, "vm"), anyFate) },
+		"deliver":  func(t *rapid.T) { s.deliverRandomCall(t, anyVM.Draw(t, "vm"), anyFault) },
+		"deliver2": func(t *rapid.T) { s.deliverRandomCall(t, anyVM.Draw(t, "vm"), anyFault) },
 		"late": func(t *rapid.T) {
-			if len(s.late) > 0 {
-				i := rapid.IntRange(0, len(s.late)-1).Draw(t, "write")
-				s.write(s.late[i])
-				s.late = slices.Delete(s.late, i, i+1)
+			if len(s.delayedWrites) > 0 {
+				i := rapid.IntRange(0, len(s.delayedWrites)-1).Draw(t, "write")
+				s.write(s.delayedWrites[i])
+				s.delayedWrites = slices.Delete(s.delayedWrites, i, i+1)
 			}
 		},
 		"tick": func(t *rapid.T) { s.tick(time.Duration(rapid.IntRange(1, 60).Draw(t, "ms")) * time.Millisecond) },
 	}
 	maps.Copy(steps, more)
 	t.Repeat(steps)
-	s.settleDown()
+	s.quiesce()
 	s.checkEnd()
 	for _, h := range s.held() {
 		s.release(h)
 	}
-	s.settleDown()
+	s.quiesce()
 	s.checkEnd()
-	s.checkFree()
+	s.checkKeysCanBeWon()
 }
 
-// deliverAny carries out a random open call.
-func (s *sim) deliverAny(t *rapid.T, v *vm, anyFate *rapid.Generator[fate]) {
+// deliverRandomCall executes a random open call of the VM.
+func (s *sim) deliverRandomCall(t *rapid.T, v *vm, anyFault *rapid.Generator[networkFault]) {
 	if len(v.open) > 0 {
-		s.deliver(v, rapid.IntRange(0, len(v.open)-1).Draw(t, "call"), anyFate.Draw(t, "fate"))
+		s.deliverCall(v, rapid.IntRange(0, len(v.open)-1).Draw(t, "call"), anyFault.Draw(t, "fate"))
 	}
 }
 
-// isSettled reports whether a claim's request has settled it.
+// isSettled reports whether the claim's request has marked it as done.
 func (s *sim) isSettled(record router.ClaimRecord) bool {
 	for _, h := range s.holders[record.Key] {
 		if h.record.Request == record.Request && h.settled {
