--- a/decide/ledger/errors.go
+++ b/decide/ledger/errors.go
@@ -7,9 +7,9 @@
 	"mimosaarch.example/core/ids"
 )
 
-// StepsError tells that a token's steps are not each layer once, in order, by
-// the chain's engines. Stage is the position of the first wrong step and Got
-// that step; Got is zero when the count of steps is wrong.
+// StepsError reports that the steps of a token do not cover each layer exactly
+// once, in order, on the engines of the chain. Stage is the index of the first
+// wrong step and Got that step. Got is zero if the number of steps is wrong.
 type StepsError struct {
 	Index  int
 	Stage  int
@@ -23,7 +23,7 @@
 		e.Index, e.Stage, e.Layers, e.Got.Engine, e.Got.First, e.Got.Last)
 }
 
-// RepeatedError tells that a token came a second time.
+// RepeatedError reports that a token was received twice.
 type RepeatedError struct{ Index, Next int }
 
 // Error implements error.
@@ -31,8 +31,10 @@
 	return fmt.Sprintf("token %d came again, token %d is next", e.Index, e.Next)
 }
 
-// SkippedError tells that a token is missing: a later one came that the
-// buffer cannot hold, or the end marker came before it.
+// SkippedError reports that token Want is missing: either a token arrived that
+// is too far ahead for the reorder buffer, or the end marker arrived. Got is the
+// index of the token that arrived or, at the end marker, of the first buffered
+// one.
 type SkippedError struct{ Want, Got int }
 
 // Error implements error.
@@ -40,7 +42,8 @@
 	return fmt.Sprintf("token %d is missing before token %d", e.Want, e.Got)
 }
 
-// CountError tells that the end marker's count differs from the tokens that came out.
+// CountError reports that the end marker's token count, Got, differs from the
+// count of delivered tokens, Want.
 type CountError struct{ Want, Got int }
 
 // Error implements error.
@@ -48,7 +51,7 @@
 	return fmt.Sprintf("end marker counts %d tokens, %d came", e.Got, e.Want)
 }
 
-// StaleError tells that an end marker belongs to another attempt.
+// StaleError reports that an end marker belongs to another attempt.
 type StaleError struct{ Want, Got ids.Attempt }
 
 // Error implements error.
@@ -56,7 +59,7 @@
 	return fmt.Sprintf("end marker of attempt %d in attempt %d", e.Got, e.Want)
 }
 
-// EndedError tells that something came after the end marker.
+// EndedError reports that a token or end marker arrived after the end marker.
 type EndedError struct{ Tokens int }
 
 // Error implements error.
--- a/decide/ledger/ledger.go
+++ b/decide/ledger/ledger.go
@@ -1,7 +1,8 @@
-// Package ledger checks the tokens of one attempt before they reach the
-// caller: every token cites each layer of the model exactly once, in order,
-// and tokens come out in index order, each once. It is pure and holds a
-// bounded number of tokens.
+// Package ledger checks the token stream of one attempt before it reaches the
+// caller. Every token must list each layer of the model exactly once, in order,
+// and tokens are passed on in index order, each once. A bounded number of tokens
+// that arrive out of order is buffered. The package is pure: it does no I/O and
+// reads no clock.
 package ledger
 
 import (
@@ -10,96 +11,97 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// Ledger checks one attempt. It is not safe for concurrent use.
+// Ledger checks the tokens of one attempt. It is not safe for concurrent use.
 type Ledger struct {
 	layers  int
 	attempt ids.Attempt
-	// chain is the steps that every token must cite; empty until the first
-	// token of a rejoined stream shows them.
-	chain []engineapi.Step
-	head  string
-	next  int
-	held  held
-	ready []engineapi.Token
-	stale int
-	// ended is set by a violation or by the end marker; nothing is taken
-	// after it.
-	ended error
+	// chain holds the steps that every token must list. For a rejoined stream it
+	// is empty until the first token arrives.
+	chain  []engineapi.Step
+	head   string
+	next   int
+	buffer reorderBuffer
+	ready  []engineapi.Token
+	stale  int
+	// endErr is returned by all calls after a violation or the end marker.
+	endErr error
 }
 
-// New makes the ledger of an attempt that runs on chain, whose engines must
-// tile the layers: else every token is refused. next is the index of the
-// first token wanted; reorder is the most tokens held back until their turn.
-func New(chain topology.Chain, layers int, attempt ids.Attempt, next, reorder int) *Ledger {
-	l := newLedger(layers, attempt, next, reorder)
+// New returns the Ledger of an attempt that runs on chain. If the engines of the
+// chain do not cover each layer exactly once, in order, every token is rejected.
+// next is the index of the first expected token, and maxBuffered the number of
+// out-of-order tokens that are buffered.
+func New(chain topology.Chain, layers int, attempt ids.Attempt, next, maxBuffered int) *Ledger {
+	l := newLedger(layers, attempt, next, maxBuffered)
 	for _, e := range chain {
 		l.chain = append(l.chain, engineapi.Step{Engine: string(e.ID), First: e.First, Last: e.Last})
 	}
 	if !chain.Tiles(layers) {
-		l.ended = &StepsError{Index: next, Layers: layers}
+		l.endErr = &StepsError{Index: next, Layers: layers}
 	}
 	return l
 }
 
-// NewRejoin makes the ledger of a rejoined stream of which only the head is
-// known. The first token shows the chain: its steps must tile the layers,
-// the head first, and all later tokens must cite the same steps.
-func NewRejoin(head ids.Upstream, layers int, attempt ids.Attempt, next, reorder int) *Ledger {
-	l := newLedger(layers, attempt, next, reorder)
+// NewRejoin returns the Ledger of a rejoined stream of which only the first
+// engine, head, is known. The chain is taken from the first token: its steps
+// must cover each layer exactly once, in order, starting at head. All later
+// tokens must list the same steps.
+func NewRejoin(head ids.Upstream, layers int, attempt ids.Attempt, next, maxBuffered int) *Ledger {
+	l := newLedger(layers, attempt, next, maxBuffered)
 	l.head = string(head)
 	return l
 }
 
-func newLedger(layers int, attempt ids.Attempt, next, reorder int) *Ledger {
-	reorder = max(reorder, 0)
+func newLedger(layers int, attempt ids.Attempt, next, maxBuffered int) *Ledger {
+	maxBuffered = max(maxBuffered, 0)
 	return &Ledger{
 		layers:  layers,
 		attempt: attempt,
 		next:    next,
-		held:    newHeld(reorder),
-		ready:   make([]engineapi.Token, 0, reorder+1),
+		buffer:  newReorderBuffer(maxBuffered),
+		ready:   make([]engineapi.Token, 0, maxBuffered+1),
 	}
 }
 
-// Accept takes one token as it came. ready is the tokens whose turn it now
-// is, in order; the slice and the tokens' Steps hold until the next call.
-// A token of another attempt is dropped and counted by Stale. Errors:
-// *StepsError, *RepeatedError, *SkippedError, *EndedError; the attempt is then
-// over, ready is nil, and every later call gives the same error.
+// Accept checks a received token and returns the tokens that can now be passed
+// on, in index order. The slice and the Steps of its tokens are valid until the
+// next call. A token of another attempt is dropped and counted by Stale. Errors
+// are *StepsError, *RepeatedError, *SkippedError and *EndedError. After an error
+// the attempt is over, and all later calls return the same error.
 func (l *Ledger) Accept(t engineapi.Token) (ready []engineapi.Token, err error) {
-	if l.ended != nil {
-		return nil, l.ended
+	if l.endErr != nil {
+		return nil, l.endErr
 	}
 	if ids.Attempt(t.Attempt) != l.attempt {
 		l.stale++
 		return nil, nil
 	}
 	if err := l.check(t); err != nil {
-		l.ended = err
+		l.endErr = err
 		return nil, err
 	}
 	if t.Index != l.next {
-		l.held.put(t)
+		l.buffer.put(t)
 		return nil, nil
 	}
-	return l.release(t), nil
+	return l.releaseFrom(t), nil
 }
 
-// check finds what is wrong with a token of this attempt.
+// check checks a token of this attempt.
 func (l *Ledger) check(t engineapi.Token) error {
-	if t.Index < l.next || l.held.has(t.Index) {
+	if t.Index < l.next || l.buffer.has(t.Index) {
 		return &RepeatedError{Index: t.Index, Next: l.next}
 	}
-	if t.Index > l.next+l.held.capacity() {
+	if t.Index > l.next+l.buffer.capacity() {
 		return &SkippedError{Want: l.next, Got: t.Index}
 	}
 	if len(l.chain) == 0 {
-		return l.learn(t)
+		return l.learnChain(t)
 	}
 	return l.checkSteps(t)
 }
 
-// checkSteps compares a token's steps with the chain's.
+// checkSteps compares the steps of a token with the chain.
 func (l *Ledger) checkSteps(t engineapi.Token) error {
 	if len(t.Steps) != len(l.chain) {
 		return &StepsError{Index: t.Index, Layers: l.layers}
@@ -112,8 +114,8 @@
 	return nil
 }
 
-// learn takes the chain from a rejoined stream's first token.
-func (l *Ledger) learn(t engineapi.Token) error {
+// learnChain takes the chain from the first token of a rejoined stream.
+func (l *Ledger) learnChain(t engineapi.Token) error {
 	first := 0
 	for i, s := range t.Steps {
 		if s.First != first || s.Last < s.First || (i == 0 && s.Engine != l.head) {
@@ -128,40 +130,42 @@
 	return nil
 }
 
-// release gives out the token whose turn it is and the held ones after it.
-func (l *Ledger) release(t engineapi.Token) []engineapi.Token {
+// releaseFrom returns the next expected token and the buffered tokens that
+// follow it without a gap.
+func (l *Ledger) releaseFrom(t engineapi.Token) []engineapi.Token {
 	l.ready = append(l.ready[:0], t)
 	l.next++
-	for l.held.has(l.next) {
-		l.ready = append(l.ready, l.held.take(l.next))
+	for l.buffer.has(l.next) {
+		l.ready = append(l.ready, l.buffer.take(l.next))
 		l.next++
 	}
 	return l.ready
 }
 
-// Done takes the end marker. Errors: *StaleError when it belongs to another
-// attempt, which changes nothing else than the Stale count; *CountError,
-// *SkippedError or *EndedError when the answer is not whole, and the attempt is over.
+// Done checks the end marker. It returns a *StaleError if the marker belongs to
+// another attempt; apart from the Stale count, this changes nothing. It returns
+// a *CountError, *SkippedError or *EndedError if the stream is incomplete or has
+// ended already, and the attempt is then over.
 func (l *Ledger) Done(d engineapi.Done) error {
-	if l.ended != nil {
-		return l.ended
+	if l.endErr != nil {
+		return l.endErr
 	}
 	if ids.Attempt(d.Attempt) != l.attempt {
 		l.stale++
 		return &StaleError{Want: l.attempt, Got: ids.Attempt(d.Attempt)}
 	}
 	if err := l.checkDone(d); err != nil {
-		l.ended = err
+		l.endErr = err
 		return err
 	}
-	l.ended = &EndedError{Tokens: l.next}
+	l.endErr = &EndedError{Tokens: l.next}
 	return nil
 }
 
-// checkDone finds what is wrong with the end marker.
+// checkDone checks the end marker of this attempt.
 func (l *Ledger) checkDone(d engineapi.Done) error {
-	if l.held.count > 0 {
-		return &SkippedError{Want: l.next, Got: l.held.lowest(l.next)}
+	if l.buffer.count > 0 {
+		return &SkippedError{Want: l.next, Got: l.buffer.lowest(l.next)}
 	}
 	if d.Tokens != l.next {
 		return &CountError{Want: l.next, Got: d.Tokens}
@@ -169,11 +173,11 @@
 	return nil
 }
 
-// Next is the index of the next token to come out.
+// Next returns the index of the next token to be passed on.
 func (l *Ledger) Next() int { return l.next }
 
-// Buffered is the count of tokens held back until their turn.
-func (l *Ledger) Buffered() int { return l.held.count }
+// Buffered returns the number of tokens that wait for an earlier one.
+func (l *Ledger) Buffered() int { return l.buffer.count }
 
-// Stale is the count of tokens and end markers of other attempts dropped.
+// Stale returns the number of dropped tokens and end markers of other attempts.
 func (l *Ledger) Stale() int { return l.stale }
--- a/decide/ledger/ledger_test.go
+++ b/decide/ledger/ledger_test.go
@@ -36,21 +36,22 @@
 	return engineapi.Token{Attempt: testAttempt, Index: index, Text: "t", Steps: steps()}
 }
 
-// run feeds tokens until one is refused and checks what comes out: from
-// next on, each index once, with right steps.
-func run(t *rapid.T, l *Ledger, next int, in []engineapi.Token) (int, error) {
+// acceptAll passes tokens to the Ledger until one is rejected. It checks that
+// tokens come out in index order from next on, each once, with the right steps,
+// and returns the index after the last one.
+func acceptAll(t *rapid.T, l *Ledger, next int, in []engineapi.Token) (int, error) {
 	for _, tok := range in {
 		ready, err := l.Accept(tok)
 		if err != nil && len(ready) > 0 {
-			t.Fatalf("tokens %v came out with error %v", ready, err)
+			t.Fatalf("Accept returned tokens %v with error %v", ready, err)
 		}
 		for _, r := range ready {
 			if r.Index != next || r.Attempt != testAttempt {
-				t.Fatalf("token %d of attempt %d came out, want %d", r.Index, r.Attempt, next)
+				t.Fatalf("got token %d of attempt %d, want token %d", r.Index, r.Attempt, next)
 			}
 			for i, s := range steps() {
 				if r.Steps[i] != s {
-					t.Fatalf("token %d came out with step %v", r.Index, r.Steps[i])
+					t.Fatalf("token %d has wrong step %v", r.Index, r.Steps[i])
 				}
 			}
 			next++
@@ -58,19 +59,20 @@
 		if err != nil {
 			return next, err
 		}
-		if l.Buffered() > l.held.capacity() {
-			t.Fatalf("%d tokens held", l.Buffered())
+		if l.Buffered() > l.buffer.capacity() {
+			t.Fatalf("%d tokens buffered", l.Buffered())
 		}
 	}
 	return next, nil
 }
 
-// shuffled gives the tokens first to last-1, none later than reorder places.
-func shuffled(t *rapid.T, first, last, reorder int) []engineapi.Token {
+// reordered returns the tokens first to last-1 in a random order, in which no
+// token is overtaken by one more than reorder indexes ahead.
+func reordered(t *rapid.T, first, last, reorder int) []engineapi.Token {
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	var in, window []engineapi.Token
 	for i := first; i < last || len(window) > 0; {
-		// The window spans reorder+1 indexes, so its lowest is never overtaken by more.
+		// Indexes in the window differ from the lowest by at most reorder.
 		for i < last && (len(window) == 0 || i-lowest(window) <= reorder) {
 			window = append(window, token(i))
 			i++
@@ -96,9 +98,9 @@
 		count := rapid.IntRange(0, 60).Draw(t, "count")
 		reorder := rapid.IntRange(0, 8).Draw(t, "reorder")
 		l := New(testChain, testLayers, testAttempt, next, reorder)
-		end, err := run(t, l, next, shuffled(t, next, next+count, reorder))
+		end, err := acceptAll(t, l, next, reordered(t, next, next+count, reorder))
 		if err != nil || end != next+count {
-			t.Fatalf("came to %d of %d: %v", end, next+count, err)
+			t.Fatalf("accepted tokens up to %d of %d: %v", end, next+count, err)
 		}
 		if err := l.Done(engineapi.Done{Attempt: testAttempt, Tokens: end}); err != nil {
 			t.Fatal(err)
@@ -110,10 +112,11 @@
 	})
 }
 
-// mutations change one token of a stream; each must be caught with its type.
+// mutations each corrupt one token of a stream. The Ledger must report each with
+// the right type of error.
 var mutations = map[string]struct {
-	mutate func(in []engineapi.Token, at int) []engineapi.Token
-	caught func(error) bool
+	mutate    func(in []engineapi.Token, at int) []engineapi.Token
+	wantError func(error) bool
 }{
 	"repeat": {func(in []engineapi.Token, at int) []engineapi.Token {
 		return append(append(append([]engineapi.Token{}, in[:at+1]...), in[at]), in[at+1:]...)
@@ -146,25 +149,25 @@
 			rejoin := rapid.Bool().Draw(t, "rejoin")
 			least := 0
 			if rejoin && name != "repeat" && name != "skip" {
-				least = 1 // the first token shows a rejoined stream's chain
+				least = 1 // the first token of a rejoined stream defines the chain
 			}
 			count := rapid.IntRange(least+1, 40).Draw(t, "count")
 			reorder := rapid.IntRange(0, 6).Draw(t, "reorder")
-			in := shuffled(t, 0, count, reorder)
+			in := reordered(t, 0, count, reorder)
 			at := rapid.IntRange(least, count-1).Draw(t, "at")
 			l := New(testChain, testLayers, testAttempt, 0, reorder)
 			if rejoin {
 				l = NewRejoin("a", testLayers, testAttempt, 0, reorder)
 			}
-			_, err := run(t, l, 0, m.mutate(in, at))
+			_, err := acceptAll(t, l, 0, m.mutate(in, at))
 			if err == nil {
 				err = l.Done(engineapi.Done{Attempt: testAttempt, Tokens: count})
 			}
-			if !m.caught(err) {
+			if !m.wantError(err) {
 				t.Fatalf("error %v", err)
 			}
 			if _, again := l.Accept(token(0)); again != err {
-				t.Fatalf("the attempt goes on after %v: %v", err, again)
+				t.Fatalf("after %v, Accept returned: %v", err, again)
 			}
 		}))
 	}
@@ -181,7 +184,7 @@
 		}
 	}
 	if _, err := New(testChain[:2], testLayers, testAttempt, 0, 1).Accept(token(0)); !is[*StepsError](err) {
-		t.Errorf("chain that does not tile: %v", err)
+		t.Errorf("chain that does not cover all layers: %v", err)
 	}
 }
 
@@ -191,7 +194,7 @@
 		t.Fatal(err)
 	}
 	if err := l.Done(engineapi.Done{Attempt: testAttempt}); !is[*SkippedError](err) {
-		t.Fatalf("end marker that does not count a held token: %v", err)
+		t.Fatalf("end marker before a buffered token was passed on: %v", err)
 	}
 }
 
@@ -226,6 +229,6 @@
 		pair()
 	}
 	if allocs := testing.AllocsPerRun(500, pair); allocs != 0 {
-		t.Fatalf("%v allocations a pair of tokens", allocs)
+		t.Fatalf("%v allocations per pair of tokens", allocs)
 	}
 }
