--- a/decide/retry/backoff.go
+++ b/decide/retry/backoff.go
@@ -7,17 +7,17 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Bounds of Backoff.
+// Limits of Backoff.
 const (
-	// BackoffBase is the most a first retry waits.
+	// BackoffBase is the maximum wait before the first retry.
 	BackoffBase = 20 * time.Millisecond
-	// BackoffMax is the most any retry waits.
+	// BackoffMax is the maximum wait before any retry.
 	BackoffMax = time.Second
 )
 
-// Backoff gives the wait before the attempt that follows attempt: a time
-// drawn evenly from zero to a bound that doubles with each attempt, from
-// BackoffBase to BackoffMax. The first attempt is number 1.
+// Backoff returns the wait before the next attempt after the given one. It is
+// drawn uniformly between zero and a maximum that starts at BackoffBase for
+// attempt 1 and doubles with each attempt up to BackoffMax.
 func Backoff(attempt ids.Attempt, rng *rand.Rand) time.Duration {
 	bound := BackoffBase
 	for i := ids.Attempt(1); i < attempt && bound < BackoffMax; i++ {
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -8,97 +8,104 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// BudgetWindow is the time over which first attempts and retries are weighed
-// against each other; older ones fade exponentially.
+// BudgetWindow is the time over which retries are compared with first attempts.
+// It is the time constant of the exponential decay of both counts, and the
+// length of the window of LimitWindow.
 const BudgetWindow = 10 * time.Second
 
-// maxReasons bounds the reasons counted apart; further ones are counted
-// under the empty reason.
+// maxReasons is the maximum number of reasons with a counter of their own.
+// Further reasons share the counter of the empty reason.
 const maxReasons = 64
 
-// Stats counts the retries asked for under one reason.
+// Stats counts the retries that Budget.Allow was asked for with one reason.
 type Stats struct {
 	Allowed, Denied uint64
 }
 
-// Budget bounds the retries of one service, so that a failing service is not
-// buried by them: over BudgetWindow at most ratio retries for each first
-// attempt, plus a least rate that holds when there are few first attempts.
-// Not safe for concurrent use.
+// Budget is the retry budget of one service. It keeps retries from overloading a
+// failing service. Averaged over BudgetWindow, it allows at most ratio retries
+// per first attempt, plus a minimum rate for services with few requests. It is
+// not safe for concurrent use.
 type Budget struct {
-	ratio, least float64
-	firsts       float64
-	retries      float64
-	last         time.Time
-	stats        map[outcome.Reason]Stats
-	// bounded tells that the counts of the last window are bounded too.
-	bounded                     bool
-	windowRatio, windowSlack    float64
-	windowFirsts, windowRetries window
+	ratio, minRate float64
+	// firstAttempts and retries are exponentially decayed counts, as of last.
+	firstAttempts float64
+	retries       float64
+	last          time.Time
+	stats         map[outcome.Reason]Stats
+	// windowLimited reports whether LimitWindow applies.
+	windowLimited                      bool
+	windowRatio, windowSlack           float64
+	windowFirstAttempts, windowRetries window
 }
 
-// NewBudget makes a Budget under a policy.
+// NewBudget returns a Budget with the given policy.
 func NewBudget(policy fleet.RetryPolicy) *Budget {
 	b := &Budget{stats: make(map[outcome.Reason]Stats)}
 	b.SetPolicy(policy)
 	return b
 }
 
-// SetPolicy changes the ratio and the least rate; what was counted stays.
-// Negative values count as zero.
+// SetPolicy changes the ratio and the minimum rate, in retries per second, and
+// keeps the counts. Negative values count as zero.
 func (b *Budget) SetPolicy(policy fleet.RetryPolicy) {
 	b.ratio = max(policy.BudgetRatio, 0)
-	b.least = max(policy.BudgetMin, 0)
+	b.minRate = max(policy.BudgetMin, 0)
 }
 
-// LimitWindow bounds what is allowed in any BudgetWindow to ratio retries for each first
-// attempt in it and slack more. The fading allowance alone grants what it holds at once
-// and, used up all the while, the same again in the window after.
+// LimitWindow also limits the retries in any single BudgetWindow to ratio per
+// first attempt in it, plus slack. The decaying counts alone allow twice their
+// limit in one window: the whole allowance at once, and as much again while the
+// counts decay.
 func (b *Budget) LimitWindow(ratio, slack float64) {
-	b.bounded, b.windowRatio, b.windowSlack = true, max(ratio, 0), max(slack, 0)
+	b.windowLimited, b.windowRatio, b.windowSlack = true, max(ratio, 0), max(slack, 0)
 }
 
 // RecordFirst counts the first attempt of a request.
 func (b *Budget) RecordFirst(now time.Time) {
-	b.fade(now)
-	b.firsts++
-	b.windowFirsts.add(now)
+	b.decay(now)
+	b.firstAttempts++
+	b.windowFirstAttempts.add(now)
 }
 
-// Available reports whether Allow would grant a retry now. It takes nothing.
+// Available reports whether Allow would grant a retry now. It does not consume
+// the budget.
 func (b *Budget) Available(now time.Time) bool { return b.AvailableWithin(now, 1) }
 
-// AvailableWithin is Available within a part of the allowance, 0 to 1, so that
-// retries which matter less leave the rest to those that matter more.
-func (b *Budget) AvailableWithin(now time.Time, part float64) bool {
-	b.fade(now)
-	allowance := b.ratio*b.firsts + b.least*BudgetWindow.Seconds()
-	return b.retries+1 <= allowance*part && b.inWindow(now, part)
+// AvailableWithin reports whether a retry would be granted if only the given
+// fraction of the budget, 0 to 1, existed. Less important retries thus leave the
+// rest of the budget to others. It does not consume the budget.
+func (b *Budget) AvailableWithin(now time.Time, fraction float64) bool {
+	b.decay(now)
+	allowance := b.ratio*b.firstAttempts + b.minRate*BudgetWindow.Seconds()
+	return b.retries+1 <= allowance*fraction && b.windowAllows(now, fraction)
 }
 
-// inWindow reports whether one more retry keeps to a part of the bound of a window.
-func (b *Budget) inWindow(now time.Time, part float64) bool {
-	if !b.bounded {
+// windowAllows reports whether one more retry stays within the given fraction of
+// the limit set by LimitWindow.
+func (b *Budget) windowAllows(now time.Time, fraction float64) bool {
+	if !b.windowLimited {
 		return true
 	}
-	b.windowFirsts.advance(now)
+	b.windowFirstAttempts.advance(now)
 	b.windowRetries.advance(now)
-	most := b.windowRatio*float64(b.windowFirsts.sum) + b.windowSlack
-	return float64(b.windowRetries.sum)+1 <= most*part
+	limit := b.windowRatio*float64(b.windowFirstAttempts.sum) + b.windowSlack
+	return float64(b.windowRetries.sum)+1 <= limit*fraction
 }
 
-// Allow takes one retry from the budget and counts the answer under reason.
+// Allow consumes one retry if the budget permits it and reports whether it does.
+// It counts the decision under reason.
 func (b *Budget) Allow(now time.Time, reason outcome.Reason) bool {
 	allowed := b.Available(now)
 	if allowed {
 		b.retries++
 		b.windowRetries.add(now)
 	}
-	b.count(reason, allowed)
+	b.countDecision(reason, allowed)
 	return allowed
 }
 
-// Stats gives a copy of the counts of each reason seen.
+// Stats returns a copy of the counters by reason.
 func (b *Budget) Stats() map[outcome.Reason]Stats {
 	out := make(map[outcome.Reason]Stats, len(b.stats))
 	for reason, s := range b.stats {
@@ -107,20 +114,20 @@
 	return out
 }
 
-// fade weighs down what was counted before now.
-func (b *Budget) fade(now time.Time) {
+// decay reduces the counts by the exponential decay since the last call.
+func (b *Budget) decay(now time.Time) {
 	elapsed := now.Sub(b.last)
 	if elapsed <= 0 {
 		return
 	}
-	keep := math.Exp(-elapsed.Seconds() / BudgetWindow.Seconds())
-	b.firsts *= keep
-	b.retries *= keep
+	factor := math.Exp(-elapsed.Seconds() / BudgetWindow.Seconds())
+	b.firstAttempts *= factor
+	b.retries *= factor
 	b.last = now
 }
 
-// count notes one answer of Allow.
-func (b *Budget) count(reason outcome.Reason, allowed bool) {
+// countDecision counts one result of Allow.
+func (b *Budget) countDecision(reason outcome.Reason, allowed bool) {
 	if _, seen := b.stats[reason]; !seen && len(b.stats) >= maxReasons {
 		reason = ""
 	}
--- a/decide/retry/decide.go
+++ b/decide/retry/decide.go
@@ -1,9 +1,8 @@
-// Package retry decides what follows a failed attempt. Decide is the rule that
-// keeps a non-idempotent request from running twice; Budget bounds the retries
-// of a service; Backoff spaces them.
+// Package retry decides whether a failed attempt is retried. Decide guarantees
+// that a request that is not idempotent runs at most once, Budget limits the
+// retries of a service, and Backoff spaces them.
 //
-// Nothing here does I/O or reads a clock. Budget is used by one goroutine;
-// Decide and Backoff hold no state.
+// The package does no I/O and reads no clock. Decide and Backoff are stateless.
 package retry
 
 import (
@@ -12,23 +11,24 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// Action is what to do after an attempt has ended.
+// Action is what to do after an attempt.
 type Action int
 
 const (
-	// GiveUp ends the request; Decision.Outcome and Reason go to the caller.
+	// GiveUp ends the request. Decision.Outcome and Decision.Reason are sent to
+	// the caller.
 	GiveUp Action = iota
-	// Retry starts a new attempt, after Backoff, on an upstream of the
-	// router's choice. It draws on the Budget.
+	// Retry starts a new attempt after Backoff, on an upstream chosen by the
+	// router. It consumes the Budget.
 	Retry
-	// Rejoin asks the upstream that runs the request for the rest of its
-	// stream. It starts nothing and draws on no budget.
+	// Rejoin asks the upstream that runs the request for the rest of its stream.
+	// It starts no new run and does not consume the Budget.
 	Rejoin
-	// Done ends a request whose whole answer was delivered.
+	// Done ends a request whose answer was delivered completely.
 	Done
 )
 
-// actionNames are indexed by Action.
+// actionNames are the names of actions, indexed by Action.
 var actionNames = [...]string{"give_up", "retry", "rejoin", "done"}
 
 // String implements fmt.Stringer.
@@ -39,80 +39,79 @@
 	return actionNames[a]
 }
 
-// Input is all that Decide looks at.
+// Input describes the state of a request after an attempt.
 type Input struct {
-	// Phase and Reason tell how the last attempt ended. Reason is empty only
-	// when the whole answer was delivered.
+	// Phase and Reason describe how the last attempt ended. Reason is empty only
+	// if the answer was delivered completely.
 	Phase  outcome.Phase
 	Reason outcome.Reason
-	// EarlierMayHaveRun tells that an attempt before the last ended in a
-	// phase that does not prove that it did not run. Attempts of another VM
-	// under the same idempotency key count.
+	// EarlierMayHaveRun reports that an attempt before the last one may have
+	// run. Attempts of other VMs under the same idempotency key count as well.
 	EarlierMayHaveRun bool
-	// Rejoining tells that the last attempt only asked for a running stream.
-	// Its own phase then proves nothing about the request.
+	// Rejoining reports that the last attempt only tried to rejoin a running
+	// stream. Its Phase then says nothing about whether the request has run.
 	Rejoining bool
 
-	// Idempotent tells that the request may run more than once.
+	// Idempotent reports that the request may run more than once.
 	Idempotent bool
-	// Keyed tells that a claim is held for the request.
+	// Keyed reports that the request holds a claim on its idempotency key.
 	Keyed bool
 
-	// Attempts counts the starts tried; MaxAttempts bounds them. Rejoins start
-	// nothing: the caller bounds them by StreamLost.
+	// Attempts is the number of attempts started so far, and MaxAttempts the
+	// limit. Rejoins do not count; the caller limits them by setting StreamLost.
 	Attempts, MaxAttempts int
-	// Remaining is the time left until the deadline.
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// BudgetAllows is the answer of Budget.Available.
+	// BudgetAllows is the result of Budget.Available.
 	BudgetAllows bool
 
-	// Delivered counts the tokens the caller already has.
+	// Delivered is the number of tokens that the caller has received.
 	Delivered int
-	// Continuable tells that a new attempt can go on after the delivered
-	// tokens: true for model requests, false for a plain answer that has
-	// begun to reach its caller.
+	// Continuable reports that a new attempt can continue after the delivered
+	// tokens. This is true for model requests, and false for plain answers of
+	// which the caller has received a part.
 	Continuable bool
-	// Resumable tells that the upstream keeps the streams it runs and can be
-	// asked for the rest of this one.
+	// Resumable reports that the upstream keeps running streams and can send the
+	// rest of this one.
 	Resumable bool
-	// StreamLost tells that the stream is known to be gone: the upstream
-	// answered that it does not have it, has a new epoch, or is ejected.
+	// StreamLost reports that the stream no longer exists: the upstream answered
+	// that it does not have it, has restarted, or is ejected.
 	StreamLost bool
 
-	// CallerGone tells that nobody waits for the answer.
+	// CallerGone reports that the caller has disconnected.
 	CallerGone bool
-	// Quarantined tells that the request's fingerprint is in quarantine.
+	// Quarantined reports that the request's fingerprint is quarantined.
 	Quarantined bool
 }
 
-// Decision is what Decide found.
+// Decision is the result of Decide.
 type Decision struct {
 	Action Action
-	// Outcome is set for GiveUp and Done.
+	// Outcome is set if Action is GiveUp or Done.
 	Outcome outcome.Outcome
-	// Reason is why the request ends, or why it is retried or rejoined.
-	// Empty for Done.
+	// Reason is why the request ends, is retried or is rejoined. It is empty if
+	// Action is Done.
 	Reason outcome.Reason
-	// ReleaseClaim asks for the claim to be given back before the caller is
-	// told: the request did not run, and its repeat must not be turned away.
+	// ReleaseClaim asks the caller of Decide to release the request's claim
+	// before it answers: the request has not run, and a repeated request must
+	// not be refused.
 	ReleaseClaim bool
 }
 
-// Decide tells what follows an attempt. It holds at most once as follows: a
-// request that is not idempotent gets Retry only while every attempt so far
-// proved that it did not run; after that it may only Rejoin its own stream,
-// which starts nothing. NotRun is said only when every attempt proved it.
+// Decide returns what to do after an attempt. A request that is not idempotent
+// is retried only if every attempt so far is known not to have run. Otherwise it
+// may only rejoin its own stream, which starts no new run. The outcome is NotRun
+// only if every attempt is known not to have run.
 //
-// A stream is worth rejoining when its connection failed but the stream need
-// not have. An idempotent request prefers a rejoin after a lost connection,
-// since it repeats no work, and a new attempt after a stall, since the
-// upstream itself may hang. A request that cannot be retried falls back on a
-// rejoin.
+// A rejoin can succeed if the connection failed but the stream may still run.
+// After a lost connection, an idempotent request prefers a rejoin because it
+// repeats no work. After a stall, it prefers a new attempt because the upstream
+// itself may hang. A request that cannot be retried falls back on a rejoin.
 func Decide(in Input) Decision {
 	if in.Phase == outcome.Finished && in.Reason == "" {
 		return Decision{Action: Done, Outcome: outcome.Complete}
 	}
-	if reason, ends := endsRequest(in); ends {
+	if reason, final := finalReason(in); final {
 		return giveUp(in, reason)
 	}
 	if prefersRejoin(in) {
@@ -128,8 +127,8 @@
 	return giveUp(in, refusal)
 }
 
-// MayHaveRun reports whether any attempt of the request may have run. It is
-// what a later Input.EarlierMayHaveRun has to carry on.
+// MayHaveRun reports whether any attempt of the request may have run.
+// Input.EarlierMayHaveRun must be set to this value for the next attempt.
 func (in Input) MayHaveRun() bool {
 	if in.EarlierMayHaveRun || in.Rejoining || in.Delivered > 0 {
 		return true
@@ -137,14 +136,15 @@
 	return !in.Phase.ProvesNotRun()
 }
 
-// endsRequest gives the reason for which neither a retry nor a rejoin is of use.
-func endsRequest(in Input) (outcome.Reason, bool) {
+// finalReason returns the reason for which the request ends now, and true, if
+// neither a retry nor a rejoin is possible.
+func finalReason(in Input) (outcome.Reason, bool) {
 	switch {
 	case in.CallerGone:
 		return outcome.CallerGone, true
 	case in.Remaining <= 0:
 		return outcome.DeadlineExpired, true
-	case !repeatable(in.Reason):
+	case !retryable(in.Reason):
 		return in.Reason, true
 	case in.Attempts >= in.MaxAttempts:
 		return outcome.AttemptsExhausted, true
@@ -152,9 +152,9 @@
 	return "", false
 }
 
-// repeatable reports whether another attempt may end otherwise than one that
-// ended for this reason.
-func repeatable(reason outcome.Reason) bool {
+// retryable reports whether another attempt may succeed after one that ended for
+// this reason.
+func retryable(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.ConnectFailed, outcome.UpstreamRefused, outcome.UpstreamBusy,
 		outcome.UpstreamLost, outcome.UpstreamStalled, outcome.UpstreamInvalid,
@@ -164,7 +164,8 @@
 	return false
 }
 
-// mayRetry reports whether a new attempt may start, or why not.
+// mayRetry reports whether a new attempt may start. If not, it returns the
+// reason.
 func mayRetry(in Input) (outcome.Reason, bool) {
 	switch {
 	case !in.Idempotent && in.MayHaveRun():
@@ -180,7 +181,7 @@
 }
 
 // mayRejoin reports whether a stream of the request may still run and can be
-// asked for.
+// rejoined.
 func mayRejoin(in Input) bool {
 	if !in.Resumable || in.StreamLost || !in.MayHaveRun() {
 		return false
@@ -194,13 +195,14 @@
 	return false
 }
 
-// prefersRejoin reports whether an idempotent request does better to rejoin
-// than to start again.
+// prefersRejoin reports whether a rejoin is preferable to a new attempt for an
+// idempotent request.
 func prefersRejoin(in Input) bool {
 	return in.Phase == outcome.Started && in.Reason == outcome.UpstreamLost && mayRejoin(in)
 }
 
-// giveUp ends the request with the strongest outcome that is proven.
+// giveUp ends the request. The outcome is NotRun if no attempt can have run, and
+// Unknown otherwise.
 func giveUp(in Input, reason outcome.Reason) Decision {
 	if in.MayHaveRun() {
 		return Decision{Action: GiveUp, Outcome: outcome.Unknown, Reason: reason}
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -34,7 +34,7 @@
 	flags = 10
 )
 
-// input makes the Input of one row; bits sets its yes-or-no fields.
+// input returns an Input whose boolean fields are set from bits.
 func input(phase outcome.Phase, reason outcome.Reason, bits int) Input {
 	bit := func(i int) bool { return bits>>i&1 == 1 }
 	in := Input{
@@ -48,7 +48,8 @@
 	return in
 }
 
-// check states the rules of at most once and of truthful outcomes afresh.
+// check verifies the rules for at-most-once execution and correct outcomes
+// independently of the implementation.
 func check(t interface {
 	Helper()
 	Errorf(string, ...any)
@@ -170,8 +171,9 @@
 	}
 }
 
-// A request's whole life against upstreams that fail as they like: it never
-// runs twice if it must not, and NotRun is never said of one that ran.
+// TestAtMostOnceOverWholeLife runs requests through all their attempts against
+// upstreams that fail at random. A request that is not idempotent must not run
+// twice, and NotRun must not be the outcome of a request that ran.
 func TestAtMostOnceOverWholeLife(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		idempotent := rapid.Bool().Draw(rt, "idempotent")
--- a/decide/retry/window.go
+++ b/decide/retry/window.go
@@ -3,34 +3,37 @@
 import "time"
 
 const (
-	// bucketWidth is the step in which events are counted for a window.
+	// bucketWidth is the time resolution of a window.
 	bucketWidth = 250 * time.Millisecond
-	// buckets cover a BudgetWindow and the one under way.
-	buckets = int(BudgetWindow/bucketWidth) + 1
+	// bucketCount is the number of buckets that cover a BudgetWindow and the
+	// current bucket.
+	bucketCount = int(BudgetWindow/bucketWidth) + 1
 )
 
-// window counts the events of the last BudgetWindow and up to a bucketWidth more.
+// window counts the events of the last BudgetWindow, and of up to one
+// bucketWidth before it.
 type window struct {
-	counts [buckets]int
-	// newest numbers the bucket under way; sum is that of all counts.
-	newest int64
-	sum    int
+	counts [bucketCount]int
+	// newestBucket is the number of the current bucket, counted from the Unix
+	// epoch. sum is the sum of all counts.
+	newestBucket int64
+	sum          int
 }
 
-// advance forgets what is older than the window at now.
+// advance clears the buckets that have left the window at now.
 func (w *window) advance(now time.Time) {
-	at := now.UnixNano() / int64(bucketWidth)
-	for passed := min(at-w.newest, int64(buckets)); passed > 0; passed-- {
-		i := (at - passed + 1) % int64(buckets)
+	current := now.UnixNano() / int64(bucketWidth)
+	for elapsed := min(current-w.newestBucket, int64(bucketCount)); elapsed > 0; elapsed-- {
+		i := (current - elapsed + 1) % int64(bucketCount)
 		w.sum -= w.counts[i]
 		w.counts[i] = 0
 	}
-	w.newest = max(w.newest, at)
+	w.newestBucket = max(w.newestBucket, current)
 }
 
-// add counts an event at now.
+// add counts one event at now.
 func (w *window) add(now time.Time) {
 	w.advance(now)
-	w.counts[w.newest%int64(buckets)]++
+	w.counts[w.newestBucket%int64(bucketCount)]++
 	w.sum++
 }
