--- a/decide/retryafter/retryafter.go
+++ b/decide/retryafter/retryafter.go
@@ -1,13 +1,14 @@
-// Package retryafter decides when callers who were refused should come back, where no
-// chain of engines holds a model. It answers times in which layers are missing for
-// seconds: an engine has to load them, and how long that takes is seen, not known.
+// Package retryafter estimates when refused callers should retry while no chain
+// of engines serves a model. It handles outages of seconds in which layers are
+// missing because an engine has to load them. The load time is not known in
+// advance and is estimated from earlier outages.
 //
-// A caller returns once or twice. One who comes back while layers are still missing is
-// refused for good; one who comes back later than need be only waits longer. A time in
-// which layers are missing is therefore expected to last as long as the last ones did,
-// and one that has lasted longer is expected to last as long again.
+// A caller retries once or twice. If it retries while layers are still missing,
+// its request fails for good; if it retries too late, it only waits longer. An
+// outage is therefore expected to last as long as recent ones on average, and
+// one that has already lasted longer is expected to last as long again.
 //
-// A Book is used by one goroutine at a time and reads no clock.
+// An Estimator is not safe for concurrent use and reads no clock.
 package retryafter
 
 import (
@@ -17,61 +18,66 @@
 )
 
 const (
-	// least is the shortest advice: an engine needs it to load a part of a model.
-	least = 800 * time.Millisecond
-	// weight is the weight of the latest time without a chain in the mean of them.
-	weight = 0.5
-	// heededPart is the part of its time left that a caller waits at most.
-	heededPart = 1.0 / 3
+	// minAdvice is the shortest advice, because an engine needs this long to
+	// load a part of a model.
+	minAdvice = 800 * time.Millisecond
+	// latestWeight is the weight of the latest outage in the moving average.
+	latestWeight = 0.5
+	// maxFraction is the maximum fraction of a caller's remaining time that it
+	// is told to wait.
+	maxFraction = 1.0 / 3
 )
 
-// Estimator knows, for each service, how long no chain was found. Make it with New.
+// Estimator tracks the outages of each service. Create it with New.
 type Estimator struct {
 	services map[ids.Service]*state
 }
 
-// state is what is known of one service.
+// state is the outage history of one service.
 type state struct {
-	// since is when the first choice found no chain, zero while chains are found.
-	since time.Time
-	// lasted is the mean of how long that lasted, 0 before the first time.
-	lasted time.Duration
+	// outageStart is when the current outage began. It is zero while chains are
+	// found.
+	outageStart time.Time
+	// meanOutage is the moving average of outage durations. It is zero before
+	// the end of the first outage.
+	meanOutage time.Duration
 }
 
-// New makes an empty Book.
+// New returns an Estimator without history.
 func New() *Estimator { return &Estimator{services: make(map[ids.Service]*state)} }
 
-// ChainFound tells that a chain was found.
-func (b *Estimator) ChainFound(now time.Time, service ids.Service) {
-	s := b.services[service]
-	if s == nil || s.since.IsZero() {
+// ChainFound records that a chain was found, which ends an outage of the
+// service.
+func (e *Estimator) ChainFound(now time.Time, service ids.Service) {
+	s := e.services[service]
+	if s == nil || s.outageStart.IsZero() {
 		return
 	}
-	passed := now.Sub(s.since)
-	s.since = time.Time{}
-	if s.lasted == 0 {
-		s.lasted = passed
+	outage := now.Sub(s.outageStart)
+	s.outageStart = time.Time{}
+	if s.meanOutage == 0 {
+		s.meanOutage = outage
 		return
 	}
-	s.lasted += time.Duration(weight * float64(passed-s.lasted))
+	s.meanOutage += time.Duration(latestWeight * float64(outage-s.meanOutage))
 }
 
-// ChainMissing tells that no chain was found, and gives the time after which a caller with so
-// much time left should come back.
-func (b *Estimator) ChainMissing(now time.Time, service ids.Service, left time.Duration) time.Duration {
-	s := b.services[service]
+// ChainMissing records that no chain was found. It returns how long a caller
+// with the given time left should wait before it retries.
+func (e *Estimator) ChainMissing(now time.Time, service ids.Service, timeLeft time.Duration) time.Duration {
+	s := e.services[service]
 	if s == nil {
 		s = &state{}
-		b.services[service] = s
+		e.services[service] = s
 	}
-	if s.since.IsZero() {
-		s.since = now
+	if s.outageStart.IsZero() {
+		s.outageStart = now
 	}
-	passed := now.Sub(s.since)
-	rest := s.lasted - passed
-	if rest <= 0 {
-		rest = passed
+	outage := now.Sub(s.outageStart)
+	remaining := s.meanOutage - outage
+	if remaining <= 0 {
+		remaining = outage
 	}
-	heeded := time.Duration(heededPart * float64(left))
-	return max(min(max(rest, least), heeded), 0)
+	limit := time.Duration(maxFraction * float64(timeLeft))
+	return max(min(max(remaining, minAdvice), limit), 0)
 }
--- a/decide/retryafter/retryafter_test.go
+++ b/decide/retryafter/retryafter_test.go
@@ -8,19 +8,21 @@
 const (
 	service  = "s"
 	deadline = 20 * time.Second
-	// between is the time between two callers.
-	between = 20 * time.Millisecond
+	// interval is the time between two callers.
+	interval = 20 * time.Millisecond
 )
 
 var start = time.Unix(1000, 0)
 
-// play has callers arrive while no chain is there for some time, once after the other,
-// each with one repeat, and counts those who are refused twice. advise gives the advice.
-func play(outages []time.Duration, advise func(now time.Time) time.Duration, found func(now time.Time)) (callers, refusedTwice int) {
+// simulate runs a sequence of outages during which callers arrive one after
+// another and each retries once. It counts the callers and those that are
+// refused twice. advise returns how long a caller waits, and found is called at
+// the end of each outage.
+func simulate(outages []time.Duration, advise func(now time.Time) time.Duration, found func(now time.Time)) (callers, refusedTwice int) {
 	now := start
-	for _, lasts := range outages {
-		end := now.Add(lasts)
-		for ; now.Before(end); now = now.Add(between) {
+	for _, outage := range outages {
+		end := now.Add(outage)
+		for ; now.Before(end); now = now.Add(interval) {
 			callers++
 			if now.Add(advise(now)).Before(end) {
 				refusedTwice++
@@ -32,15 +34,15 @@
 	return callers, refusedTwice
 }
 
-// Callers were told to come back after 0.8 s while layers were missing for four seconds
-// and more, came back, and were refused for good: 129 of 602 requests that got no answer
-// in time on a day with small cards. The logs showed both refusals of each, and layers
-// that nobody held from the first to the last.
+// If callers are always told to retry after 0.8 s, and layers are missing for
+// four seconds or more, their retries are refused for good. Of 602 requests that
+// got no answer in time, 129 failed this way.
 func TestCallersOfLongOutagesAreServedWhenTheyComeBack(t *testing.T) {
 	for name, c := range map[string]struct {
 		outages []time.Duration
-		// most is the part of callers who may be refused twice: of one time that
-		// nobody could foresee those of its first half, none of later ones like it.
+		// most is the maximum fraction of callers that may be refused twice:
+		// those of the first half of an outage that could not be predicted, and
+		// none of later outages like it.
 		most float64
 	}{
 		"one":       {[]time.Duration{6 * time.Second}, 0.5},
@@ -48,40 +50,40 @@
 		"as short":  {[]time.Duration{500 * time.Millisecond, 700 * time.Millisecond}, 0},
 		"ever more": {[]time.Duration{time.Second, 2 * time.Second, 4 * time.Second}, 0.5},
 	} {
-		b := New()
-		callers, refused := play(c.outages, func(now time.Time) time.Duration {
-			return b.ChainMissing(now, service, deadline)
-		}, func(now time.Time) { b.ChainFound(now, service) })
-		if part := float64(refused) / float64(callers); part > c.most+float64(between)/float64(time.Second) {
+		e := New()
+		callers, refused := simulate(c.outages, func(now time.Time) time.Duration {
+			return e.ChainMissing(now, service, deadline)
+		}, func(now time.Time) { e.ChainFound(now, service) })
+		if fraction := float64(refused) / float64(callers); fraction > c.most+float64(interval)/float64(time.Second) {
 			t.Errorf("%s: %d of %d callers were refused twice, %.2f of them may be", name, refused, callers, c.most)
 		}
 	}
 }
 
-// Advice that a caller cannot heed within its time is not given.
+// The advice must not exceed a third of the caller's remaining time.
 func TestAdviceFitsTheTimeLeft(t *testing.T) {
-	b := New()
-	b.ChainMissing(start, service, deadline)
+	e := New()
+	e.ChainMissing(start, service, deadline)
 	now := start.Add(15 * time.Second)
 	for _, left := range []time.Duration{0, -time.Second, 300 * time.Millisecond, 6 * time.Second, time.Hour} {
-		got := b.ChainMissing(now, service, left)
+		got := e.ChainMissing(now, service, left)
 		if got < 0 || got > max(left/3, 0) {
-			t.Errorf("with %v left: %v", left, got)
+			t.Errorf("with %v left: advised to wait %v", left, got)
 		}
 	}
 }
 
-// A short time without a chain after long ones brings the advice down again.
+// Short outages after a long one must shorten the advice again.
 func TestAdviceFollowsTheLatestOutages(t *testing.T) {
-	b := New()
+	e := New()
 	now := start
-	for _, lasts := range []time.Duration{8 * time.Second, time.Second, time.Second, time.Second, time.Second} {
-		b.ChainMissing(now, service, deadline)
-		now = now.Add(lasts)
-		b.ChainFound(now, service)
+	for _, outage := range []time.Duration{8 * time.Second, time.Second, time.Second, time.Second, time.Second} {
+		e.ChainMissing(now, service, deadline)
+		now = now.Add(outage)
+		e.ChainFound(now, service)
 		now = now.Add(time.Minute)
 	}
-	if got := b.ChainMissing(now, service, deadline); got > 2*time.Second {
-		t.Errorf("advice of %v after four times of one second", got)
+	if got := e.ChainMissing(now, service, deadline); got > 2*time.Second {
+		t.Errorf("advice of %v after four outages of one second", got)
 	}
 }
