--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -275,7 +275,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs++
-	s.budget.First(time.Now())
+	s.budget.RecordFirst(time.Now())
 	length := shortStream + time.Duration(s.rand.Float64()*float64(longStream-shortStream))
 	r := &run{until: time.Now().Add(length)}
 	if !s.try(r, false) && !(s.budget.Allow(time.Now(), outcome.UpstreamBusy) && s.try(r, false)) {
@@ -368,5 +368,5 @@
 
 // Lease of the play: its node may always give orders.
 func (s *site) Status() lease.Status { return lease.Status{Held: true, Left: time.Hour, Fence: 9} }
-func (s *site) Lapsed() lease.Status { return lease.Status{} }
+func (s *site) LastTerm() lease.Status { return lease.Status{} }
 func (s *site) StepDown()            {}
