--- a/decide/directory/aside.go
+++ b/decide/directory/aside.go
@@ -7,10 +7,10 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Configured tells which services there are. Entries of any other are set aside
+// SetServices tells which services there are. Entries of any other are set aside
 // until theirs is configured: their writer may be mistaken, also about the
 // address.
-func (d *Directory) Configured(services []ids.Service) []Change {
+func (d *Directory) SetServices(services []ids.Service) []Change {
 	d.services = make(map[ids.Service]bool, len(services))
 	for _, s := range services {
 		d.services[s] = true
--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -47,23 +47,23 @@
 	return "upstream " + e.Known.String() + " has started again as " + e.Now.String()
 }
 
-// ReturnGrace is how long after an outage of the registry an entry that is
+// RemovalGrace is how long after an outage of the registry an entry that is
 // missing is still believed: living upstreams are entered again within about
 // two seconds of its return, and one that left in truth must get nothing new
 // two seconds after its absence was seen. This stays below both.
-const ReturnGrace = 1500 * time.Millisecond
+const RemovalGrace = 1500 * time.Millisecond
 
 // ChangeKind is what happened to an upstream.
 type ChangeKind string
 
 // Kinds of changes.
 const (
-	Seen    ChangeKind = "seen"
+	Added    ChangeKind = "seen"
 	Changed ChangeKind = "changed"
-	Left    ChangeKind = "left"
-	// Doubted: its entry is missing after an outage, and stands for a while.
-	Doubted ChangeKind = "doubted"
-	Gone    ChangeKind = "gone"
+	LeavingStarted    ChangeKind = "left"
+	// Missing: its entry is missing after an outage, and stands for a while.
+	Missing ChangeKind = "doubted"
+	Removed    ChangeKind = "gone"
 )
 
 // Change is one belief that changed, for the log.
@@ -114,12 +114,12 @@
 // those whose heartbeats, more than a second apart, it has missed three times.
 const lapseAfter = 2 * time.Second
 
-// Returned tells that the registry is heard of again, after it was not for some time.
+// RegistryRecovered tells that the registry is heard of again, after it was not for some time.
 // What a shorter time hid is true: to doubt it as well would have an upstream that left
 // get new work for longer than the time and the grace each allow.
-func (d *Directory) Returned(now time.Time, away time.Duration) {
+func (d *Directory) RegistryRecovered(now time.Time, away time.Duration) {
 	if away >= lapseAfter {
-		d.graceUntil = now.Add(ReturnGrace)
+		d.graceUntil = now.Add(RemovalGrace)
 	}
 }
 
@@ -211,10 +211,10 @@
 	return d.remove(nil, now, u)
 }
 
-// Void takes an entry that names no upstream at a revision, for another writer
+// Invalidate takes an entry that names no upstream at a revision, for another writer
 // has spoilt it. What it named gets nothing new from now on, whatever became of
 // it: unlike a missing entry, this one is no effect of an outage.
-func (d *Directory) Void(id ids.Upstream, revision int64) []Change {
+func (d *Directory) Invalidate(id ids.Upstream, revision int64) []Change {
 	d.revision = max(d.revision, revision)
 	d.forgetAside(d.aside[id])
 	u := d.byID[id]
@@ -253,7 +253,7 @@
 func (d *Directory) put(changes []Change, u *Upstream) []Change {
 	id := u.ID.Upstream
 	if d.services != nil && !d.services[u.Service] {
-		changes = append(changes, d.Void(id, u.Revision)...)
+		changes = append(changes, d.Invalidate(id, u.Revision)...)
 		d.setAside(u)
 		return changes
 	}
@@ -286,7 +286,7 @@
 	}
 	d.note(u.ID, true)
 	if u.Leaving && !old.Leaving {
-		return append(changes, Change{Left, u})
+		return append(changes, Change{LeavingStarted, u})
 	}
 	return append(changes, Change{Changed, u})
 }
@@ -303,11 +303,11 @@
 			return changes
 		}
 		d.note(there.ID, true)
-		changes = append(changes, Change{Gone, there})
+		changes = append(changes, Change{Removed, there})
 	}
 	d.at[u.Address] = append(others, u.ID.Upstream)
 	d.note(u.ID, true)
-	return append(changes, Change{Seen, u})
+	return append(changes, Change{Added, u})
 }
 
 // present reports whether an entry is the one in force at its address.
@@ -320,8 +320,8 @@
 func (d *Directory) remove(changes []Change, now time.Time, u *Upstream) []Change {
 	if now.Before(d.graceUntil) && !u.Leaving && d.present(u) {
 		if _, waiting := d.missing[u.ID.Upstream]; !waiting {
-			d.missing[u.ID.Upstream] = now.Add(ReturnGrace)
-			changes = append(changes, Change{Doubted, u})
+			d.missing[u.ID.Upstream] = now.Add(RemovalGrace)
+			changes = append(changes, Change{Missing, u})
 		}
 		return changes
 	}
@@ -343,13 +343,13 @@
 		return changes
 	}
 	d.note(u.ID, true)
-	changes = append(changes, Change{Gone, u})
+	changes = append(changes, Change{Removed, u})
 	if len(rest) == 0 {
 		return changes
 	}
 	back := d.byID[rest[len(rest)-1]]
 	d.note(back.ID, true)
-	return append(changes, Change{Seen, back})
+	return append(changes, Change{Added, back})
 }
 
 // noted is a change of an entry; inForce tells that it was that of an upstream
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -86,7 +86,7 @@
 func TestEntriesMissingAfterAnOutageStandForAWhile(t *testing.T) {
 	d := New()
 	d.Replace(start, []Upstream{upstream("a", 1), upstream("b", 2), upstream("c", 3)}, 5)
-	d.Returned(at(10_000), time.Minute)
+	d.RegistryRecovered(at(10_000), time.Minute)
 	d.Replace(at(10_010), []Upstream{upstream("a", 1)}, 6)
 	if diff := cmp.Diff([]string{"a", "b", "c"}, names(d)); diff != "" {
 		t.Error("just after the outage:", diff)
@@ -108,7 +108,7 @@
 	u := upstream("a", 1)
 	u.Leaving = true
 	d.Replace(start, []Upstream{u}, 5)
-	d.Returned(at(1000), time.Minute)
+	d.RegistryRecovered(at(1000), time.Minute)
 	if got := kinds(d.Replace(at(1000), nil, 6)); !cmp.Equal(got, []string{"gone a"}) {
 		t.Errorf("changes %v", got)
 	}
@@ -317,7 +317,7 @@
 	}{{lapseAfter - time.Millisecond, 0}, {lapseAfter, 1}} {
 		d := New()
 		d.Put(Upstream{ID: ids.Life{Upstream: "u"}, Address: "a", Revision: 1})
-		d.Returned(at(1000), one.away)
+		d.RegistryRecovered(at(1000), one.away)
 		d.Remove(at(1100), "u", 2)
 		if left := len(d.View().All()); left != one.left {
 			t.Errorf("after %v: %d left, want %d", one.away, left, one.left)
--- a/decide/directory/life_test.go
+++ b/decide/directory/life_test.go
@@ -117,15 +117,15 @@
 	d := New()
 	d.Put(upstream("a", 1))
 	d.Put(upstream("b", 2))
-	d.Returned(start, time.Minute)
-	if diff := cmp.Diff([]string{"gone a"}, kinds(d.Void("a", 3))); diff != "" {
+	d.RegistryRecovered(start, time.Minute)
+	if diff := cmp.Diff([]string{"gone a"}, kinds(d.Invalidate("a", 3))); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]string{"b"}, names(d)); diff != "" {
 		t.Error(diff)
 	}
 	d.Put(upstream("a", 4))
-	if changes := d.Void("a", 3); len(changes) > 0 {
+	if changes := d.Invalidate("a", 3); len(changes) > 0 {
 		t.Errorf("an older fault took effect: %v", kinds(changes))
 	}
 	if diff := cmp.Diff([]string{"a", "b"}, names(d)); diff != "" {
@@ -141,11 +141,11 @@
 	early := New()
 	early.Put(upstream("a", 1))
 	early.Put(odd)
-	changes := early.Configured([]ids.Service{"s"})
+	changes := early.SetServices([]ids.Service{"s"})
 	if diff := cmp.Diff([]string{"gone odd", "seen a"}, kinds(changes)); diff != "" {
 		t.Error(diff)
 	}
-	d.Configured([]ids.Service{"s"})
+	d.SetServices([]ids.Service{"s"})
 	if changes := d.Put(odd); len(changes) > 0 {
 		t.Errorf("%v", kinds(changes))
 	}
@@ -155,7 +155,7 @@
 	if len(d.View().All()) != 2 {
 		t.Error("peers that know the service are not told")
 	}
-	d.Configured([]ids.Service{"s", "elsewhere"})
+	d.SetServices([]ids.Service{"s", "elsewhere"})
 	if diff := cmp.Diff([]string(nil), names(d)); diff != "" {
 		t.Error(diff)
 	}
@@ -166,12 +166,12 @@
 
 func TestEntrySetAsideGoesWithItsEntry(t *testing.T) {
 	d := New()
-	d.Configured([]ids.Service{"s"})
+	d.SetServices([]ids.Service{"s"})
 	odd := upstream("odd", 2)
 	odd.Service = "elsewhere"
 	d.Put(odd)
 	d.Remove(start, "odd", 3)
-	if changes := d.Configured([]ids.Service{"s", "elsewhere"}); len(changes) > 0 {
+	if changes := d.SetServices([]ids.Service{"s", "elsewhere"}); len(changes) > 0 {
 		t.Errorf("%v", kinds(changes))
 	}
 }
--- a/node/entry/growth_test.go
+++ b/node/entry/growth_test.go
@@ -97,7 +97,7 @@
 		t.Fatal("a missing upstream is not believed for a while")
 	}
 	from.change(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
-		return d.Expire(now.Add(2 * directory.ReturnGrace))
+		return d.Expire(now.Add(2 * directory.RemovalGrace))
 	})
 	take(to, from)
 	if to.view.Load().Get(life("u-0002")) != nil {
@@ -123,7 +123,7 @@
 	from.Changed(listwatch.Changes[directory.Upstream]{Events: []listwatch.Event[directory.Upstream]{{Put: &back}}, Revision: 10})
 	take(to, from)
 	to.change(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
-		return d.Expire(now.Add(2 * directory.ReturnGrace))
+		return d.Expire(now.Add(2 * directory.RemovalGrace))
 	})
 	if view := to.view.Load(); view.Get(life("u-0001")) == nil || view.Get(life("u-0000")) != nil {
 		t.Error("after the grace the one that came back is there, and only the other is not")
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -241,7 +241,7 @@
 		var all []directory.Change
 		for _, bad := range list.Malformed {
 			u.malformed(bad)
-			all = append(all, d.Void(ids.Upstream(bad.Name), bad.Revision)...)
+			all = append(all, d.Invalidate(ids.Upstream(bad.Name), bad.Revision)...)
 		}
 		return append(all, d.Replace(now, list.Items, list.Revision)...)
 	})
@@ -258,7 +258,7 @@
 				all = append(all, d.Put(*e.Put)...)
 			case e.Removed.Malformed != nil:
 				u.malformed(e.Removed)
-				all = append(all, d.Void(id, e.Removed.Revision)...)
+				all = append(all, d.Invalidate(id, e.Removed.Revision)...)
 			default:
 				all = append(all, d.Remove(now, id, e.Removed.Revision)...)
 			}
@@ -280,7 +280,7 @@
 		if u.lost.Load() && !u.graced {
 			// Upstreams that were cut off from the store together with this
 			// node are missing from what others know.
-			d.Returned(now, u.heardBefore.age(now))
+			d.RegistryRecovered(now, u.heardBefore.age(now))
 			u.graced = true
 			u.reached()
 		}
@@ -335,7 +335,7 @@
 
 // configured takes the services of the configuration in force.
 func (u *upstreams) configured(services []ids.Service) {
-	u.change(origin{from: "configuration"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.Configured(services) })
+	u.change(origin{from: "configuration"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.SetServices(services) })
 }
 
 // values copies upstreams out of a view.
@@ -367,7 +367,7 @@
 			u.reached()
 		}
 		u.graced = false
-		d.Returned(now, u.heardBefore.age(now))
+		d.RegistryRecovered(now, u.heardBefore.age(now))
 		return nil
 	})
 }
@@ -397,7 +397,7 @@
 		from.log(u.log.Info().Str("event", "upstream_"+string(c.Kind))).Str("upstream", c.Upstream.ID.String()).
 			Str("service", string(c.Upstream.Service)).Str("address", c.Upstream.Address).Str("zone", string(c.Upstream.Zone)).
 			Str("layers", c.Upstream.Layers.String()).Int64("revision", u.directory.Revision()).Send()
-		if c.Kind == directory.Gone {
+		if c.Kind == directory.Removed {
 			u.gone(c.Upstream)
 		}
 	}
