--- a/decide/health/events.go
+++ b/decide/health/events.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Reported tells that the upstream's own report arrived from itself.
-func (t *Tracker) Reported(now time.Time, id ids.Upstream) {
+// ReportReceived tells that the upstream's own report arrived from itself.
+func (t *Tracker) ReportReceived(now time.Time, id ids.Upstream) {
 	if m, ok := t.members[id]; ok {
 		m.reported = now
 		m.misses = 0
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -153,14 +153,14 @@
 	tr.Stall(at(10010), "e0")
 	wantState(t, tr, at(10010), "e0", Ejected)
 
-	tr.Reported(at(0), "e1")
+	tr.ReportReceived(at(0), "e1")
 	tr.Stall(at(2000), "e1") // and its reports have stopped
 	wantState(t, tr, at(2000), "e1", Ejected)
 }
 
 func TestFrozenUpstreamIsFoundByItsSilence(t *testing.T) {
 	tr := tracker(10)
-	tr.Reported(t0, "e0")
+	tr.ReportReceived(t0, "e0")
 	for i := 1; i <= 3; i++ {
 		wantState(t, tr, at(i*500), "e0", Up)
 		tr.ReportMissed(at(i*500), "e0")
@@ -222,7 +222,7 @@
 	tr := tracker(10)
 	for i := range 10 {
 		for vm := range 8 {
-			tr.PeerSaw(t0, ids.VM(fmt.Sprint(vm)), upstream(i), Ejected)
+			tr.PeerState(t0, ids.VM(fmt.Sprint(vm)), upstream(i), Ejected)
 		}
 		if got := tr.Weight(t0, upstream(i)); got != hintWeight {
 			t.Fatalf("weight %.2f on peers' word alone, want %.2f", got, hintWeight)
@@ -243,7 +243,7 @@
 	tr.Epoch(t0, "e0", "one")
 	tr.SetLeaving("e0", true)
 	tr.Success(t0, "e0")
-	tr.PeerSaw(t0, "vm", "e0", Up)
+	tr.PeerState(t0, "vm", "e0", Up)
 	tr.Epoch(at(1), "e0", "two")
 	tr.SetMembers(at(1), "drafts", []ids.Upstream{"e0", "e1", "e2"})
 	wantState(t, tr, at(1), "e0", Leaving)
@@ -272,7 +272,7 @@
 	tr := tracker(4)
 	step := func(from, ms int, latency time.Duration, to ids.Upstream) {
 		for i := range 20 {
-			tr.LinkSlow(at(from+i*ms), "e0", to, latency)
+			tr.LinkLatency(at(from+i*ms), "e0", to, latency)
 		}
 	}
 	step(0, 10, time.Millisecond, "e1")
--- a/decide/health/hints.go
+++ b/decide/health/hints.go
@@ -9,10 +9,10 @@
 // hintFor is the time for which a peer's view counts.
 const hintFor = 3 * time.Second
 
-// PeerSaw takes in a peer's view of an upstream. Ejected counts as evidence
+// PeerState takes in a peer's view of an upstream. Ejected counts as evidence
 // for hintFor, until the upstream proves itself here or the peer says
 // otherwise.
-func (t *Tracker) PeerSaw(now time.Time, vm ids.VM, id ids.Upstream, state State) {
+func (t *Tracker) PeerState(now time.Time, vm ids.VM, id ids.Upstream, state State) {
 	m, ok := t.members[id]
 	if !ok {
 		return
--- a/decide/health/links.go
+++ b/decide/health/links.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// LinkSlow takes in an observed one-way latency; give it every observation.
+// LinkLatency takes in an observed one-way latency; give it every observation.
 // What is slow is judged against the link's own past, since links differ a
 // hundredfold. A latency that is not above zero is ignored.
-func (t *Tracker) LinkSlow(now time.Time, from, to ids.Upstream, latency time.Duration) {
+func (t *Tracker) LinkLatency(now time.Time, from, to ids.Upstream, latency time.Duration) {
 	if latency <= 0 {
 		return
 	}
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -114,7 +114,7 @@
 	r.limiter.PeerUsage(r.now, ev.VM, ev.Digest.Usage)
 	r.peerBlame(ev.VM, ev.Digest.Quarantine)
 	for _, o := range ev.Digest.Health {
-		r.health.PeerSaw(r.now, ev.VM, o.Upstream, o.State)
+		r.health.PeerState(r.now, ev.VM, o.Upstream, o.State)
 	}
 	r.peerLeaving(ev.VM, ev.Digest.Leaving)
 	for _, l := range ev.Digest.Loads {
--- a/decide/router/upstream.go
+++ b/decide/router/upstream.go
@@ -57,13 +57,13 @@
 	}
 	u.load = &l
 	u.cleared(l)
-	r.health.Reported(r.now, id)
+	r.health.ReportReceived(r.now, id)
 	r.epochSeen(u, report.Epoch)
 	if u.describe(report) {
 		r.dirty[u.engine.Service] = true
 	}
 	for _, l := range u.links {
-		r.health.LinkSlow(r.now, l.From, l.To, l.Latency)
+		r.health.LinkLatency(r.now, l.From, l.To, l.Latency)
 	}
 }
 
