--- a/adapter/forward/client.go
+++ b/adapter/forward/client.go
@@ -35,14 +35,14 @@
 	lingerFor = 500 * time.Millisecond
 )
 
-// GoneError tells that the caller closed its connection.
-type GoneError struct{ Cause error }
+// CallerGoneError tells that the caller closed its connection.
+type CallerGoneError struct{ Cause error }
 
 // Error implements error.
-func (e *GoneError) Error() string { return fmt.Sprintf("caller is gone: %v", e.Cause) }
+func (e *CallerGoneError) Error() string { return fmt.Sprintf("caller is gone: %v", e.Cause) }
 
 // Unwrap gives the cause.
-func (e *GoneError) Unwrap() error { return e.Cause }
+func (e *CallerGoneError) Unwrap() error { return e.Cause }
 
 // client is one caller's connection. Its own goroutine uses it; kick may be
 // called by any.
@@ -238,10 +238,10 @@
 // write sends bytes to the caller.
 func (c *client) write(p []byte) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		return &GoneError{err}
+		return &CallerGoneError{err}
 	}
 	if _, err := c.conn.Write(p); err != nil {
-		return &GoneError{err}
+		return &CallerGoneError{err}
 	}
 	return nil
 }
@@ -257,7 +257,7 @@
 	go func() {
 		defer close(done)
 		if _, err := c.r.Peek(1); err != nil && !stopped.Load() {
-			cancel(&GoneError{err})
+			cancel(&CallerGoneError{err})
 		}
 	}()
 	return func() {
--- a/adapter/forward/culprits_test.go
+++ b/adapter/forward/culprits_test.go
@@ -89,7 +89,7 @@
 	all := fragile(t, "plain", poison, 2)
 	r := newRig(t, all...)
 	print := quarantine.FingerprintOf([]byte("plain"), []byte("acme"), []byte("GET"), []byte(poison), nil)
-	r.Told(quarantine.Verdict{Fingerprint: print, For: time.Minute})
+	r.AddVerdict(quarantine.Verdict{Fingerprint: print, For: time.Minute})
 	if resp, _ := r.ask(t, "GET", poison, "r1", ""); resp.StatusCode() != 503 || runs(all, poison) != 0 {
 		t.Errorf("answer %d after %d runs", resp.StatusCode(), runs(all, poison))
 	}
@@ -189,7 +189,7 @@
 	r := newRig(t)
 	e := &evidence{culprits: r.culprits}
 	gone := func(id string, leaving bool) {
-		r.Gone(&directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Leaving: leaving})
+		r.UpstreamRemoved(&directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Leaving: leaving})
 	}
 	e.lose("a", "u1")
 	e.lose("a", "u2")
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -124,14 +124,14 @@
 // awaitKnown waits until the node knows what it forwards.
 func (x *exchange) awaitKnown(ctx context.Context) {
 	select {
-	case <-x.server.opts.Known:
+	case <-x.server.opts.Ready:
 		return
 	default:
 	}
 	timer := time.NewTimer(knownWait)
 	defer timer.Stop()
 	select {
-	case <-x.server.opts.Known:
+	case <-x.server.opts.Ready:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -191,7 +191,7 @@
 		x.count("upstream.culprits")
 		x.log("quarantined").Str("fingerprint", string(news.Fingerprint)).Str("service", string(x.service)).
 			Dur("for_ms", news.For).Send()
-		x.server.opts.Verdict(*news)
+		x.server.opts.OnVerdict(*news)
 	}
 	return refused
 }
@@ -285,7 +285,7 @@
 	if cause == nil {
 		return false
 	}
-	var gone *GoneError
+	var gone *CallerGoneError
 	var late *TimeoutError
 	switch {
 	case errors.As(cause, &gone):
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -159,7 +159,7 @@
 		return layered.Report{}, &upconn.DialError{Refused: true, Cause: syscall.ECONNREFUSED}
 	}
 	if c.dead[u.ID] {
-		return layered.Report{}, &GoneError{Cause: context.DeadlineExceeded}
+		return layered.Report{}, &CallerGoneError{Cause: context.DeadlineExceeded}
 	}
 	return layered.Report{Born: c.born[u.ID.Upstream], Pace: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
 }
@@ -270,7 +270,7 @@
 		r.dir.Put(f.Upstream)
 	}
 	r.Server = New(Options{
-		Headers: names, Zone: "z", Engines: r.calls, Now: boottime.Now, Log: zerolog.Nop(), Metrics: r.counts, Seed: 1, Verdict: r.note, Known: r.known,
+		Headers: names, Zone: "z", Engines: r.calls, Now: boottime.Now, Log: zerolog.Nop(), Metrics: r.counts, Seed: 1, OnVerdict: r.note, Ready: r.known,
 		Budget: Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		Table:  r.table.Load,
 		View: func() *directory.View {
@@ -278,7 +278,7 @@
 			defer r.mu.Unlock()
 			return r.dir.View()
 		},
-		Restarted: func(life ids.Life) {
+		OnRestart: func(life ids.Life) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.dir.Restarted(life)
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -82,9 +82,9 @@
 	Headers Headers
 	// Zone is the node's own.
 	Zone ids.Zone
-	// Known is closed once the first configuration and directory are there.
+	// Ready is closed once the first configuration and directory are there.
 	// Requests that come earlier wait for it a short time.
-	Known <-chan struct{}
+	Ready <-chan struct{}
 	// Table gives the configuration in force, nil before the first.
 	Table func() *routing.Table
 	// View gives the directory of upstreams.
@@ -99,12 +99,12 @@
 	Log zerolog.Logger
 	// Metrics counts.
 	Metrics Metrics
-	// Verdict is told of requests that were found to crash upstreams, so that
+	// OnVerdict is told of requests that were found to crash upstreams, so that
 	// other nodes hear of them; it must not wait. Any goroutine calls it.
-	Verdict func(quarantine.Verdict)
-	// Restarted is told of a process that says it began later than the life
+	OnVerdict func(quarantine.Verdict)
+	// OnRestart is told of a process that says it began later than the life
 	// that the directory knows. Any goroutine calls it.
-	Restarted func(ids.Life)
+	OnRestart func(ids.Life)
 	// Seed starts the random draws among equals.
 	Seed uint64
 }
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -155,7 +155,7 @@
 	report, err := p.opts.Engines.Probe(limit, u)
 	if now := report.Life(u.ID); err == nil && now != u.ID {
 		err = &directory.RestartedError{Known: u.ID, Now: now}
-		p.opts.Restarted(now)
+		p.opts.OnRestart(now)
 	}
 	if err != nil && p.opts.Now().Sub(out.at) > probeTimeout+probeSlack {
 		// The node itself stood still; that says nothing about the engine.
--- a/adapter/forward/server.go
+++ b/adapter/forward/server.go
@@ -88,8 +88,8 @@
 	}()
 }
 
-// Stopping makes every answer from now on the last of its connection.
-func (s *Server) Stopping() { s.stopping.Store(true) }
+// DisableKeepAlives makes every answer from now on the last of its connection.
+func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
 
 // Drain closes idle connections and waits until the others are answered, or
 // until ctx ends. It reports whether all were.
@@ -131,8 +131,8 @@
 // SetNodes tells how many nodes share upstreams and the retry budget.
 func (s *Server) SetNodes(n int) { s.picks.setNodes(n) }
 
-// Gone tells that an upstream has left the directory.
-func (s *Server) Gone(u *directory.Upstream) {
+// UpstreamRemoved tells that an upstream has left the directory.
+func (s *Server) UpstreamRemoved(u *directory.Upstream) {
 	s.pool.Forget(u.ID)
 	s.picks.forget(u.ID)
 	if !u.Leaving {
@@ -140,16 +140,16 @@
 	}
 }
 
-// Reached tells that the node, which was cut off from the store, hears of it
+// StoreReconnected tells that the node, which was cut off from the store, hears of it
 // again: zones that were out of reach are tried at once.
-func (s *Server) Reached() { s.picks.reached() }
+func (s *Server) StoreReconnected() { s.picks.reached() }
 
 // SilentFor tells how long an upstream has not answered this node though others
 // of its zone do, 0 where it does or that is not known.
 func (s *Server) SilentFor(u *directory.Upstream) time.Duration { return s.picks.silentFor(u) }
 
-// Told takes a peer's verdict on requests that crash upstreams.
-func (s *Server) Told(v quarantine.Verdict) { s.culprits.told(v) }
+// AddVerdict takes a peer's verdict on requests that crash upstreams.
+func (s *Server) AddVerdict(v quarantine.Verdict) { s.culprits.told(v) }
 
 // confirm connects to an upstream that broke a connection off: one that has
 // crashed refuses.
--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -58,12 +58,12 @@
 
 // Kinds of changes.
 const (
-	Added    ChangeKind = "seen"
-	Changed ChangeKind = "changed"
-	LeavingStarted    ChangeKind = "left"
+	Added          ChangeKind = "seen"
+	Changed        ChangeKind = "changed"
+	LeavingStarted ChangeKind = "left"
 	// Missing: its entry is missing after an outage, and stands for a while.
 	Missing ChangeKind = "doubted"
-	Removed    ChangeKind = "gone"
+	Removed ChangeKind = "gone"
 )
 
 // Change is one belief that changed, for the log.
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -129,7 +129,7 @@
 	n.server = forward.New(forward.Options{
 		Headers:   ports.Headers,
 		Zone:      settings.Zone,
-		Known:     n.known,
+		Ready:     n.known,
 		Table:     n.configs.table.Load,
 		View:      n.upstreams.view.Load,
 		Engines:   ports.Engines,
@@ -137,14 +137,14 @@
 		Now:       boottime.Now,
 		Log:       log,
 		Metrics:   n.metrics,
-		Verdict:   n.judged,
-		Restarted: n.upstreams.restarted,
+		OnVerdict: n.judged,
+		OnRestart: n.upstreams.restarted,
 		Seed:      settings.Seed,
 	})
 	n.configs.inForce = n.upstreams.configured
 	n.configs.malformed = func(bad listwatch.Removal) { n.malformed("configuration", bad) }
 	n.upstreams.malformed = func(bad listwatch.Removal) { n.malformed("upstream", bad) }
-	n.upstreams.gone, n.upstreams.reached = n.server.Gone, n.server.Reached
+	n.upstreams.gone, n.upstreams.reached = n.server.UpstreamRemoved, n.server.StoreReconnected
 	n.keeper = leader.New(leader.Options{
 		Lease: lease.Options{
 			Holder:     holder(settings),
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -26,7 +26,7 @@
 func (n *Node) stop(ctx context.Context, l *listeners) {
 	began := time.Now()
 	n.stopping.Store(true)
-	n.server.Stopping()
+	n.server.DisableKeepAlives()
 	n.keeper.Leave()
 	n.log.Info().Str("event", "stopping").Int64("active", n.server.Active()).Send()
 	limit, done := context.WithDeadline(ctx, began.Add(n.settings.Grace-killSlack))
--- a/node/entry/verdicts.go
+++ b/node/entry/verdicts.go
@@ -23,7 +23,7 @@
 // Judged implements relay.Source.
 func (n *Node) Judged(v quarantine.Verdict) {
 	n.log.Info().Str("event", "quarantine_heard").Str("fingerprint", string(v.Fingerprint)).Dur("for_ms", v.For).Send()
-	n.server.Told(v)
+	n.server.AddVerdict(v)
 }
 
 // tellVerdicts tells the other nodes of verdicts until ctx ends. One that does
