--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -124,14 +124,14 @@
 // awaitKnown waits until the node knows what it forwards.
 func (x *exchange) awaitKnown(ctx context.Context) {
 	select {
-	case <-x.server.opts.Known:
+	case <-x.server.opts.Ready:
 		return
 	default:
 	}
 	timer := time.NewTimer(knownWait)
 	defer timer.Stop()
 	select {
-	case <-x.server.opts.Known:
+	case <-x.server.opts.Ready:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -167,7 +167,7 @@
 		return &refusal{fasthttp.StatusUnauthorized, outcome.Unauthorized, "unknown key", 0}
 	}
 	_, draw := x.server.draw()
-	x.service = x.route.Pick(draw)
+	x.service = x.route.PickService(draw)
 	x.print = x.fingerprint()
 	x.setLimit()
 	return nil
@@ -191,7 +191,7 @@
 		x.count("upstream.culprits")
 		x.log("quarantined").Str("fingerprint", string(news.Fingerprint)).Str("service", string(x.service)).
 			Dur("for_ms", news.For).Send()
-		x.server.opts.Verdict(*news)
+		x.server.opts.OnVerdict(*news)
 	}
 	return refused
 }
@@ -285,7 +285,7 @@
 	if cause == nil {
 		return false
 	}
-	var gone *GoneError
+	var gone *CallerGoneError
 	var late *TimeoutError
 	switch {
 	case errors.As(cause, &gone):
@@ -308,7 +308,7 @@
 // done logs the whole answer of an upstream.
 func (x *exchange) done(status int, u *directory.Upstream) {
 	took := x.server.opts.Now().Sub(x.arrived)
-	if x.route.Kind != routing.Streaming && x.route.Objective > 0 && took > x.route.Objective {
+	if x.route.Kind != routing.Streaming && x.route.LatencyObjective > 0 && took > x.route.LatencyObjective {
 		x.lateFor(latePlain)
 	}
 	x.count("outcome.answered")
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -59,9 +59,9 @@
 // Lease tells whether this node may give orders.
 type Lease interface {
 	Status() lease.Status
-	// Lapsed tells of a term whose lease has run out and that nobody is known
+	// LastTerm tells of a term whose lease has run out and that nobody is known
 	// to have followed.
-	Lapsed() lease.Status
+	LastTerm() lease.Status
 	StepDown()
 }
 
@@ -321,7 +321,7 @@
 		p.opts.Restarted(now)
 		return Unfit, &directory.RestartedError{Known: u.ID, Now: now}
 	}
-	if report.Busy {
+	if report.ExecutingOrder {
 		return Unfit, nil
 	}
 	limit, done = context.WithTimeout(ctx, callTimeout)
@@ -330,7 +330,7 @@
 	if !ok {
 		return Unfit, &LeaseError{}
 	}
-	return p.opts.Engines.Place(limit, u, Order{Layers: layers, Fence: fence, After: report.Orders})
+	return p.opts.Engines.Place(limit, u, Order{Layers: layers, Fence: fence, After: report.OrdersStarted})
 }
 
 // term gives the number of the own term, if orders may be given in it now.
@@ -342,6 +342,6 @@
 	if !p.opts.Fenced {
 		return 0, false
 	}
-	lapsed := p.opts.Lease.Lapsed()
+	lapsed := p.opts.Lease.LastTerm()
 	return lapsed.Fence, lapsed.Held
 }
--- a/decide/router/attempt.go
+++ b/decide/router/attempt.go
@@ -75,7 +75,7 @@
 	if !rejoining {
 		req.svc.observeServiceTime(r.now.Sub(req.sentAt))
 	}
-	req.svc.quarantine.Succeeded(r.now, req.fingerprint())
+	req.svc.quarantine.RecordSuccess(r.now, req.fingerprint())
 	if req.claim != nil {
 		done := *req.claim
 		done.State = ClaimDone
--- a/decide/router/claim.go
+++ b/decide/router/claim.go
@@ -19,7 +19,7 @@
 		VM:          r.opts.VM,
 		Upstream:    req.head(),
 		Attempt:     req.attempt,
-		Epoch:       r.book.Estimate(r.now, req.head()).Epoch,
+		Epoch:       r.loads.Estimate(r.now, req.head()).Epoch,
 		State:       ClaimHeld,
 	}
 	req.pendingClaim = &record
--- a/decide/router/crash.go
+++ b/decide/router/crash.go
@@ -156,6 +156,6 @@
 // reportCrash reports the crash of an upstream to its service's quarantine.
 func (r *Router) reportCrash(u *upstream, epoch string, running []quarantine.Fingerprint) {
 	if svc := r.services[u.engine.Service]; svc != nil {
-		svc.quarantine.Died(r.now, u.engine.ID, epoch, running)
+		svc.quarantine.RecordDeath(r.now, u.engine.ID, epoch, running)
 	}
 }
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -60,16 +60,16 @@
 // true. A nil exclude excludes none.
 func (r *Router) pickExcluding(req *request, exclude func(ids.Upstream) bool) (topology.Chain, bool) {
 	want := balancer.Request{
-		Service: req.arrival.Service,
-		Prefix:  req.arrival.PrefixHash,
-		Tokens:  int(req.cost()),
-		Zone:    r.opts.Zone,
-		Exclude: exclude,
+		Service:    req.arrival.Service,
+		PrefixHash: req.arrival.PrefixHash,
+		Tokens:     int(req.cost()),
+		Zone:       r.opts.Zone,
+		Exclude:    exclude,
 	}
 	if req.svc.isModel() {
 		return req.svc.chainPicker.Pick(r.now, want, r)
 	}
-	one, ok := req.svc.plainPicker.PickPlain(r.now, want, req.svc.upstreams, r)
+	one, ok := req.svc.plainPicker.Pick(r.now, want, req.svc.upstreams, r)
 	if !ok {
 		return nil, false
 	}
@@ -112,7 +112,7 @@
 	req.sentAt = r.now
 	req.startedAt = time.Time{}
 	if req.attempt == 1 {
-		req.svc.budget.First(r.now)
+		req.svc.budget.RecordFirst(r.now)
 	}
 	r.startTrials(req)
 	r.note(req, StepSent, "", "")
--- a/decide/router/graph.go
+++ b/decide/router/graph.go
@@ -132,7 +132,7 @@
 
 // Estimate implements balancer.View.
 func (r *Router) Estimate(now time.Time, id ids.Upstream) load.Estimate {
-	return r.book.Estimate(now, id)
+	return r.loads.Estimate(now, id)
 }
 
 // Weight implements balancer.View.
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -113,13 +113,13 @@
 // digestReceived applies a peer's digest.
 func (r *Router) digestReceived(ev DigestReceived) {
 	delete(r.gonePeers, ev.VM)
-	// An error means that the digest names more upstreams than the book keeps. The
+	// An error means that the digest names more upstreams than are tracked. The
 	// load estimates are then less precise.
-	_ = r.book.Peer(r.now, ev.VM, ev.Digest.InFlight)
+	_ = r.loads.ApplyPeerDigest(r.now, ev.VM, ev.Digest.InFlight)
 	r.limiter.PeerUsage(r.now, ev.VM, ev.Digest.Usage)
 	r.applyPeerQuarantine(ev.VM, ev.Digest.Quarantine)
 	for _, o := range ev.Digest.Health {
-		r.health.PeerSaw(r.now, ev.VM, o.Upstream, o.State)
+		r.health.PeerState(r.now, ev.VM, o.Upstream, o.State)
 	}
 	r.applyPeerLeaving(ev.VM, ev.Digest.Leaving)
 	for _, l := range ev.Digest.Loads {
@@ -138,7 +138,7 @@
 	}
 	for _, name := range sortedKeys(byService) {
 		if svc := r.services[name]; svc != nil {
-			svc.quarantine.PeerBlame(r.now, vm, byService[name])
+			svc.quarantine.MergeDigest(r.now, vm, byService[name])
 		}
 	}
 }
@@ -167,7 +167,7 @@
 // of the accounts' rate limits, because it may still be working behind a network
 // partition.
 func (r *Router) peerGone(ev PeerGone) {
-	r.book.PeerGone(r.now, ev.VM)
+	r.loads.RemovePeer(r.now, ev.VM)
 	r.applyPeerLeaving(ev.VM, nil)
 	if ev.Why != member.Restarted {
 		r.gonePeers[ev.VM] = true
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -36,7 +36,7 @@
 	// upstreams holds the state of each upstream, from the VM list and load
 	// reports.
 	upstreams map[ids.Upstream]*upstream
-	book      *load.Book
+	loads     *load.Estimator
 	health    *health.Tracker
 	limiter   *limit.Limiter
 	// entryVMs holds the live entry VMs in the platform's newest list.
@@ -67,7 +67,7 @@
 		entryVMs:  make(map[ids.VM]bool),
 		gonePeers: make(map[ids.VM]bool),
 		dirty:     make(map[ids.Service]bool),
-		book:      load.New(load.Settings{}),
+		loads:     load.New(load.Settings{}),
 		health:    health.New(health.Options{}),
 		limiter:   limit.New(limit.Options{}),
 	}
--- a/decide/router/service.go
+++ b/decide/router/service.go
@@ -19,11 +19,11 @@
 	profile    fleet.Profile
 	queue      *queue.Queue
 	budget     *retry.Budget
-	quarantine *quarantine.Blamer
+	quarantine *quarantine.Detector
 	// chainPicker chooses the chains of a model service, plainPicker the upstream
 	// of a plain one.
 	chainPicker balancer.Picker
-	plainPicker *balancer.Plain
+	plainPicker *balancer.PlainPicker
 	// graph connects the usable engines of a model service; nil if there are
 	// none.
 	graph *topology.Graph
@@ -55,7 +55,7 @@
 		queue:       queue.New(queueOptions(profile), rng),
 		budget:      retry.NewBudget(profile.Retry),
 		quarantine:  quarantine.New(quarantineOptions(profile)),
-		plainPicker: balancer.NewPlain(rng.Uint64()),
+		plainPicker: balancer.NewPlainPicker(rng.Uint64()),
 	}
 	s.setStrategy(rng)
 	return s
@@ -77,8 +77,8 @@
 // quarantineOptions returns the quarantine options of a profile.
 func quarantineOptions(p fleet.Profile) quarantine.Options {
 	return quarantine.Options{
-		After: p.Health.QuarantineAfter,
-		For:   p.Health.QuarantineFor.D(),
+		Threshold: p.Health.QuarantineAfter,
+		Duration:  p.Health.QuarantineFor.D(),
 	}
 }
 
--- a/decide/router/status.go
+++ b/decide/router/status.go
@@ -85,7 +85,7 @@
 		Zone:     u.engine.Zone,
 		Service:  u.engine.Service,
 		State:    state,
-		InFlight: r.book.Estimate(r.now, id).InFlight,
+		InFlight: r.loads.Estimate(r.now, id).InFlight,
 		Slots:    u.engine.Slots,
 		Rate:     u.engine.Rate,
 		Weight:   r.health.Weight(r.now, id),
--- a/decide/router/upstream.go
+++ b/decide/router/upstream.go
@@ -53,18 +53,18 @@
 		return
 	}
 	u.polled = true
-	if err := r.book.Report(r.now, report, l.at); err != nil {
+	if err := r.loads.ApplyReport(r.now, report, l.at); err != nil {
 		return
 	}
 	u.load = &l
 	u.clearPossibleCrash(l)
-	r.health.Reported(r.now, id)
+	r.health.ReportReceived(r.now, id)
 	r.observeEpoch(u, report.Epoch)
 	if u.applyReport(report) {
 		r.dirty[u.engine.Service] = true
 	}
 	for _, l := range u.links {
-		r.health.LinkSlow(r.now, l.From, l.To, l.Latency)
+		r.health.LinkLatency(r.now, l.From, l.To, l.Latency)
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 	u.polled = true
 	r.health.ReportMissed(r.now, ev.Upstream)
-	r.book.Failed(r.now, ev.Upstream)
+	r.loads.PollFailed(r.now, ev.Upstream)
 	r.confirmCrash(u)
 }
 
@@ -111,8 +111,8 @@
 		return
 	}
 	u.running[req.arrival.ID] = req
-	// An error means that the book is full. The load estimate is then less precise.
-	_ = r.book.Sent(r.now, id)
+	// An error means that too many upstreams are tracked. The load estimate is then less precise.
+	_ = r.loads.RequestStarted(r.now, id)
 }
 
 // untrack removes a request from the load of an upstream.
@@ -125,5 +125,5 @@
 		return
 	}
 	delete(u.running, req.arrival.ID)
-	r.book.Ended(r.now, id)
+	r.loads.RequestEnded(r.now, id)
 }
--- a/decide/router/vms.go
+++ b/decide/router/vms.go
@@ -25,7 +25,7 @@
 	for id, u := range r.upstreams {
 		if !u.listed && len(u.running) == 0 {
 			delete(r.upstreams, id)
-			r.book.Forget(id)
+			r.loads.Forget(id)
 		}
 	}
 	r.limiter.SetFleet(r.now, max(1, len(r.entryVMs)))
