--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -268,7 +268,7 @@
 func (p *picker) paced(u *directory.Upstream, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.SetPace(p.opts.Now(), u.ID, pace)
+	p.conditions.SetSlowdown(p.opts.Now(), u.ID, pace)
 }
 
 // notReached tells that no connection to an upstream could be made: its process
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -95,7 +95,7 @@
 		switch {
 		case probes[i].dead:
 			dead = append(dead, h.Engine)
-		case probes[i].pace >= condition.SlowPace:
+		case probes[i].pace >= condition.StalledSlowdown:
 			slow = append(slow, h.Engine)
 		}
 	}
@@ -171,7 +171,7 @@
 	out.stalled = report.Stalled
 	p.picks.answered(u)
 	p.picks.paced(u, report.Slowdown)
-	if report.Slowdown >= condition.SlowPace {
+	if report.Slowdown >= condition.StalledSlowdown {
 		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Slowdown).Send()
 	}
 }
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -396,7 +396,7 @@
 		t.Fatalf("asked %d engines", len(probe.latest))
 	}
 	<-probe.latest[life("slow")].done
-	if pace := picks.conditions.Pace(now, life("slow")); pace != 1 {
+	if pace := picks.conditions.Slowdown(now, life("slow")); pace != 1 {
 		t.Errorf("one that has recovered counts as slow by %v", pace)
 	}
 }
--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -182,11 +182,11 @@
 	conditions := condition.New()
 	b := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.SetPace(start, life("a"), 5)
+	conditions.SetSlowdown(start, life("a"), 5)
 	if got := choose(t, b, v, request); got != "b=0-80" {
 		t.Errorf("with a slow: %s", got)
 	}
-	conditions.SetPace(start, life("a"), 1)
+	conditions.SetSlowdown(start, life("a"), 1)
 	conditions.RefusedFull(start, life("a"))
 	if got := choose(t, b, v, request); got != "b=0-80" {
 		t.Errorf("with a full: %s", got)
@@ -243,7 +243,7 @@
 	conditions := condition.New()
 	b := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.SetPace(start, life("b"), 4)
+	conditions.SetSlowdown(start, life("b"), 4)
 	streams := 0
 	for c, _ := b.Pick(start, model(), v, request); c.Has(life("a")); c, _ = b.Pick(start, model(), v, request) {
 		b.RequestStarted(start, c, request)
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -322,8 +322,8 @@
 // pace gives by how much an engine is slower than usual, and more for one that
 // makes answers late.
 func (b *Picker) pace(now time.Time, id ids.Life) float64 {
-	pace := b.conditions.Pace(now, id)
-	if pace < condition.SlowPace {
+	pace := b.conditions.Slowdown(now, id)
+	if pace < condition.StalledSlowdown {
 		return pace
 	}
 	return pace * slowFactor
--- a/decide/condition/condition.go
+++ b/decide/condition/condition.go
@@ -88,10 +88,10 @@
 	// trackedPace is the pace from which reports are refreshed. It lies between
 	// the normal pace of 1 and SlowPace.
 	trackedPace = 1.5
-	// SlowPace is the pace, as a multiple of the normal time per step, from which
+	// StalledSlowdown is the pace, as a multiple of the normal time per step, from which
 	// an engine counts as stalled: a batch that processes a prompt takes longer
 	// there than the pauses between tokens that routes allow.
-	SlowPace = 3.0
+	StalledSlowdown = 3.0
 )
 
 // stateOf returns the state of an upstream and creates it if needed.
@@ -208,9 +208,9 @@
 	return true
 }
 
-// SetPace stores the pace that an upstream reports: the factor by which its steps
+// SetSlowdown stores the pace that an upstream reports: the factor by which its steps
 // take longer than normal. Values below 1 count as 1.
-func (t *Table) SetPace(now time.Time, id ids.Life, pace float64) {
+func (t *Table) SetSlowdown(now time.Time, id ids.Life, pace float64) {
 	u := t.stateOf(id)
 	u.pace = max(pace, 1)
 	u.reportedAt, u.polledAt = now, now
@@ -282,9 +282,9 @@
 	return t.ZoneSuspected(now, zone)
 }
 
-// Pace returns the factor by which an upstream is slower than normal: at least 1,
+// Slowdown returns the factor by which an upstream is slower than normal: at least 1,
 // and 1 if its last report is older than paceTTL or there is none.
-func (t *Table) Pace(now time.Time, id ids.Life) float64 {
+func (t *Table) Slowdown(now time.Time, id ids.Life) float64 {
 	u := t.upstreams[id]
 	if u == nil || now.Sub(u.reportedAt) >= paceTTL {
 		return 1
--- a/decide/condition/condition_test.go
+++ b/decide/condition/condition_test.go
@@ -52,12 +52,12 @@
 
 func TestPaceExpires(t *testing.T) {
 	table := New()
-	table.SetPace(at(0), life("a"), 12)
-	if table.Pace(at(9999), life("a")) != 12 || table.Pace(at(10000), life("a")) != 1 {
+	table.SetSlowdown(at(0), life("a"), 12)
+	if table.Slowdown(at(9999), life("a")) != 12 || table.Slowdown(at(10000), life("a")) != 1 {
 		t.Error("a reported pace is not used for 10 s")
 	}
-	table.SetPace(at(0), life("a"), 0.5)
-	if table.Pace(at(1), life("a")) != 1 {
+	table.SetSlowdown(at(0), life("a"), 0.5)
+	if table.Slowdown(at(1), life("a")) != 1 {
 		t.Error("pace below 1 is not raised to 1")
 	}
 }
@@ -90,8 +90,8 @@
 
 func TestReportsOfSlowUpstreamsAreDueAgain(t *testing.T) {
 	table := New()
-	table.SetPace(at(0), life("slow"), 12)
-	table.SetPace(at(0), life("usual"), 1)
+	table.SetSlowdown(at(0), life("slow"), 12)
+	table.SetSlowdown(at(0), life("usual"), 1)
 	if due := table.ProbesDue(at(1000)); len(due) != 0 {
 		t.Errorf("due early: %v", due)
 	}
@@ -107,7 +107,7 @@
 	if due := table.ProbesDue(at(10000)); len(due) != 0 {
 		t.Errorf("due after its pace expired: %v", due)
 	}
-	table.SetPace(at(10000), life("slow"), 1)
+	table.SetSlowdown(at(10000), life("slow"), 1)
 	if due := table.ProbesDue(at(12000)); len(due) != 0 {
 		t.Errorf("due after it recovered: %v", due)
 	}
--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -126,7 +126,7 @@
 		}
 	}
 	occupied := active * b.fleet / float64(max(u.Slots, 1))
-	cost := mean * b.conditions.Pace(now, u.ID) * (1 + occupied)
+	cost := mean * b.conditions.Slowdown(now, u.ID) * (1 + occupied)
 	if u.Zone != zone {
 		cost += awayMs
 	}
