--- a/decide/condition/condition.go
+++ b/decide/condition/condition.go
@@ -24,11 +24,11 @@
 	silent map[ids.Life]*upstreamState
 }
 
-// zoneState tracks whether an availability zone is reachable from this node.
+// zoneState tracks whether an availability zone can be reached from this node.
 type zoneState struct {
-	// silent holds the upstreams of the zone that could not be reached since
+	// unreachable holds the upstreams of the zone that could not be reached since
 	// any upstream of the zone last answered.
-	silent       map[ids.Life]bool
+	unreachable  map[ids.Life]bool
 	suspectUntil time.Time
 	// suspicions counts the suspicions of the zone since it last answered.
 	suspicions int
@@ -42,9 +42,9 @@
 	silentSince time.Time
 	// suspicions counts the suspicions since the last answer.
 	suspicions int
-	// pace was reported at reportedAt. polledAt is when a report last arrived
+	// slowdown was reported at reportedAt. polledAt is when a report last arrived
 	// or was last due.
-	pace                 float64
+	slowdown             float64
 	reportedAt, polledAt time.Time
 	// fullUntil is the time until which the upstream counts as full.
 	fullUntil time.Time
@@ -79,18 +79,18 @@
 	// fullPeriod is how long an upstream that refused for lack of capacity counts
 	// as full. Many requests finish there within this time and free capacity.
 	fullPeriod = 300 * time.Millisecond
-	// paceTTL is how long a reported pace is used without a newer report. Each
-	// node whose entry has expired sends streams to the slow upstream again.
-	paceTTL = 10 * time.Second
-	// paceRefreshAge is the age at which the report of a slow upstream is polled
+	// slowdownTTL is how long a reported slowdown is used without a newer report.
+	// Each node whose entry has expired sends streams to the slow upstream again.
+	slowdownTTL = 10 * time.Second
+	// slowdownRefreshAge is the age at which the report of a slow upstream is polled
 	// again, so that an upstream that has recovered gets work again.
-	paceRefreshAge = 1500 * time.Millisecond
-	// trackedPace is the pace from which reports are refreshed. It lies between
-	// the normal pace of 1 and SlowPace.
-	trackedPace = 1.5
-	// StalledSlowdown is the pace, as a multiple of the normal time per step, from which
-	// an engine counts as stalled: a batch that processes a prompt takes longer
-	// there than the pauses between tokens that routes allow.
+	slowdownRefreshAge = 1500 * time.Millisecond
+	// trackedSlowdown is the slowdown from which reports are refreshed. It lies
+	// between the normal value of 1 and StalledSlowdown.
+	trackedSlowdown = 1.5
+	// StalledSlowdown is the slowdown from which an engine counts as stalled: a
+	// batch that processes a prompt takes longer there than the pauses between
+	// tokens that routes allow.
 	StalledSlowdown = 3.0
 )
 
@@ -98,7 +98,7 @@
 func (t *Table) stateOf(id ids.Life) *upstreamState {
 	u := t.upstreams[id]
 	if u == nil {
-		u = &upstreamState{pace: 1}
+		u = &upstreamState{slowdown: 1}
 		t.upstreams[id] = u
 	}
 	return u
@@ -132,11 +132,11 @@
 func (t *Table) Unreachable(now time.Time, id ids.Life, zone ids.Zone) bool {
 	z := t.zones[zone]
 	if z == nil {
-		z = &zoneState{silent: make(map[ids.Life]bool)}
+		z = &zoneState{unreachable: make(map[ids.Life]bool)}
 		t.zones[zone] = z
 	}
-	z.silent[id] = true
-	if len(z.silent) < zoneCutOffThreshold || now.Before(z.suspectUntil) {
+	z.unreachable[id] = true
+	if len(z.unreachable) < zoneCutOffThreshold || now.Before(z.suspectUntil) {
 		return false
 	}
 	z.suspectUntil = now.Add(suspicionPeriod(z.suspicions))
@@ -150,12 +150,12 @@
 	return z != nil && now.Before(z.suspectUntil)
 }
 
-// ConnectivityRestored records that this node itself was cut off and reaches
-// others again. It clears the suspicion and silence of every unreachable upstream
-// and of their zones.
+// ConnectivityRestored records that this node was itself cut off and now reaches
+// others again. It clears the suspicion and silence of all unreachable upstreams
+// and zones.
 func (t *Table) ConnectivityRestored() {
 	for _, z := range t.zones {
-		for id := range z.silent {
+		for id := range z.unreachable {
 			if u := t.upstreams[id]; u != nil {
 				u.suspicions, u.suspectUntil = 0, time.Time{}
 			}
@@ -208,13 +208,13 @@
 	return true
 }
 
-// SetSlowdown stores the pace that an upstream reports: the factor by which its steps
-// take longer than normal. Values below 1 count as 1.
-func (t *Table) SetSlowdown(now time.Time, id ids.Life, pace float64) {
+// SetSlowdown stores the slowdown that an upstream reports: the factor by which
+// it takes longer than normal. Values below 1 count as 1.
+func (t *Table) SetSlowdown(now time.Time, id ids.Life, slowdown float64) {
 	u := t.stateOf(id)
-	u.pace = max(pace, 1)
+	u.slowdown = max(slowdown, 1)
 	u.reportedAt, u.polledAt = now, now
-	if u.pace >= trackedPace {
+	if u.slowdown >= trackedSlowdown {
 		t.slow[id] = u
 	} else {
 		delete(t.slow, id)
@@ -236,7 +236,7 @@
 // unreachable, with no answer from the zone in between.
 func (t *Table) zoneCutOff(zone ids.Zone) bool {
 	z := t.zones[zone]
-	return z != nil && len(z.silent) >= zoneCutOffThreshold
+	return z != nil && len(z.unreachable) >= zoneCutOffThreshold
 }
 
 // SilentFor returns the time since an upstream's first failure after its last
@@ -250,7 +250,7 @@
 }
 
 // ProbesDue returns the upstreams whose load report should be polled now: slow ones
-// whose report is paceRefreshAge old, and silent ones whose suspicion has ended. It
+// whose report is slowdownRefreshAge old, and silent ones whose suspicion has ended. It
 // counts them as polled, so that the next call doesn't return them again at once.
 func (t *Table) ProbesDue(now time.Time) []ids.Life {
 	var due []ids.Life
@@ -262,9 +262,9 @@
 	}
 	for id, u := range t.slow {
 		switch {
-		case now.Sub(u.reportedAt) >= paceTTL:
+		case now.Sub(u.reportedAt) >= slowdownTTL:
 			delete(t.slow, id)
-		case now.Sub(u.polledAt) >= paceRefreshAge:
+		case now.Sub(u.polledAt) >= slowdownRefreshAge:
 			u.polledAt = now
 			due = append(due, id)
 		}
@@ -282,14 +282,15 @@
 	return t.ZoneSuspected(now, zone)
 }
 
-// Slowdown returns the factor by which an upstream is slower than normal: at least 1,
-// and 1 if its last report is older than paceTTL or there is none.
+// Slowdown returns the factor by which an upstream takes longer than normal. It
+// is at least 1, and 1 if the last report is older than slowdownTTL or there is
+// none.
 func (t *Table) Slowdown(now time.Time, id ids.Life) float64 {
 	u := t.upstreams[id]
-	if u == nil || now.Sub(u.reportedAt) >= paceTTL {
+	if u == nil || now.Sub(u.reportedAt) >= slowdownTTL {
 		return 1
 	}
-	return u.pace
+	return u.slowdown
 }
 
 // Forget drops the state of an upstream that has been removed.
@@ -298,7 +299,7 @@
 	delete(t.slow, id)
 	delete(t.silent, id)
 	for zone, z := range t.zones {
-		if delete(z.silent, id); len(z.silent) == 0 {
+		if delete(z.unreachable, id); len(z.unreachable) == 0 {
 			delete(t.zones, zone)
 		}
 	}
--- a/decide/condition/condition_test.go
+++ b/decide/condition/condition_test.go
@@ -9,8 +9,11 @@
 
 var start = time.Unix(1000, 0)
 
+// at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
+// An upstream that failed must get work again after its suspicion, and a
+// suspicion must last longer the more often it fails without an answer.
 func TestSuspicionExpiresAndDoubles(t *testing.T) {
 	table := New()
 	if !table.Failed(at(0), life("a")) || table.Failed(at(10), life("a")) {
@@ -33,6 +36,8 @@
 	}
 }
 
+// A zone must be suspected only once several of its upstreams are unreachable,
+// with no answer from the zone in between.
 func TestZoneIsCutOffWhenSeveralAreUnreachable(t *testing.T) {
 	table := New()
 	if table.Unreachable(at(0), life("a"), "z") || table.Unreachable(at(1), life("a"), "z") {
@@ -50,15 +55,15 @@
 	}
 }
 
-func TestPaceExpires(t *testing.T) {
+func TestSlowdownExpires(t *testing.T) {
 	table := New()
 	table.SetSlowdown(at(0), life("a"), 12)
 	if table.Slowdown(at(9999), life("a")) != 12 || table.Slowdown(at(10000), life("a")) != 1 {
-		t.Error("a reported pace is not used for 10 s")
+		t.Error("a reported slowdown is not used for exactly 10 s")
 	}
 	table.SetSlowdown(at(0), life("a"), 0.5)
 	if table.Slowdown(at(1), life("a")) != 1 {
-		t.Error("pace below 1 is not raised to 1")
+		t.Error("slowdown below 1 is not raised to 1")
 	}
 }
 
@@ -71,6 +76,8 @@
 	}
 }
 
+// Refusals despite capacity must exclude an upstream for longer each time,
+// whatever it answers to other calls.
 func TestRefusalsExtendExclusion(t *testing.T) {
 	table := New()
 	table.Refused(at(0), life("a"))
@@ -88,6 +95,8 @@
 	}
 }
 
+// Reports of slow upstreams must be polled regularly until the upstream recovers
+// or its slowdown expires. Otherwise a recovered upstream would get no work.
 func TestReportsOfSlowUpstreamsAreDueAgain(t *testing.T) {
 	table := New()
 	table.SetSlowdown(at(0), life("slow"), 12)
@@ -105,7 +114,7 @@
 		t.Error("an upstream that did not report is not due again")
 	}
 	if due := table.ProbesDue(at(10000)); len(due) != 0 {
-		t.Errorf("due after its pace expired: %v", due)
+		t.Errorf("due after its slowdown expired: %v", due)
 	}
 	table.SetSlowdown(at(10000), life("slow"), 1)
 	if due := table.ProbesDue(at(12000)); len(due) != 0 {
@@ -113,6 +122,8 @@
 	}
 }
 
+// Once a partition of this node ends, upstreams that were unreachable must get
+// work at once.
 func TestConnectivityRestoredClearsSuspicion(t *testing.T) {
 	table := New()
 	for _, id := range []ids.Life{life("a"), life("b")} {
--- a/decide/configorder/store.go
+++ b/decide/configorder/store.go
@@ -196,7 +196,8 @@
 }
 
 // evictTombstone drops the tombstone with the lowest version to make room for
-// another key. It returns false if there is none, or none that Config has applied.
+// another key. Only tombstones that Config has already applied can be dropped; it
+// returns false if there is none.
 func (s *Store) evictTombstone() bool {
 	var oldest *entry
 	for key, e := range s.entries {
--- a/decide/configorder/store_test.go
+++ b/decide/configorder/store_test.go
@@ -63,6 +63,8 @@
 	}
 }
 
+// An invalid or older object must not replace the active one, and peers must
+// receive the active object as well as the invalid one.
 func TestLastGoodObjectStaysInForce(t *testing.T) {
 	s := New(Settings{})
 	mustApply(t, s, profile("p", 3), true)
@@ -95,6 +97,8 @@
 	}
 }
 
+// A configuration that was returned must not change when objects are applied
+// later.
 func TestConfigSharesWhatDidNotChange(t *testing.T) {
 	s := New(Settings{})
 	mustApply(t, s, profile("p", 1), true)
@@ -111,6 +115,8 @@
 	}
 }
 
+// The limits must hold, and an evicted tombstone must not allow an older object
+// to become active.
 func TestLimits(t *testing.T) {
 	s := New(Settings{MaxObjects: 2, MaxBytes: 200})
 	mustApply(t, s, profile("a", 1), true)
@@ -130,6 +136,8 @@
 	}
 }
 
+// Missing must name the keys that a peer has in newer versions, and Objects must
+// return those objects within the size limit.
 func TestMissingAndObjects(t *testing.T) {
 	ours, theirs := New(Settings{}), New(Settings{})
 	mustApply(t, ours, profile("a", 1), true)
--- a/decide/queue/queue_test.go
+++ b/decide/queue/queue_test.go
@@ -57,6 +57,7 @@
 	}
 }
 
+// Large accounts must not fill the queue so far that a small one is refused.
 func TestLargeAccountLeavesRoomForSmall(t *testing.T) {
 	q := newQueue(Options{Length: 64, PerAccount: 32})
 	for _, account := range []ids.Account{"big1", "big2"} {
@@ -102,6 +103,7 @@
 	}
 }
 
+// An account must not get more service by leaving the queue and returning.
 func TestAccountGainsNothingByLeavingAndReturning(t *testing.T) {
 	q := newQueue(Options{Length: 400, PerAccount: 200})
 	for i := range 100 {
@@ -120,6 +122,7 @@
 	}
 }
 
+// A higher class must be served first, but a waiting lower class must not starve.
 func TestPriorityIsStrictButNotStarving(t *testing.T) {
 	q := newQueue(Options{Length: 4000, PerAccount: 2000, AgeStep: time.Second})
 	for i := range 100 {
@@ -137,6 +140,8 @@
 	}
 }
 
+// Expired must return the items that cannot be served before their deadline, and
+// no others.
 func TestExpired(t *testing.T) {
 	q := newQueue(Options{})
 	q.SetServiceTime(200 * time.Millisecond)
@@ -175,6 +180,7 @@
 	}
 }
 
+// A lower limit must refuse new requests without dropping waiting ones.
 func TestShorterLengthDropsNothing(t *testing.T) {
 	q := newQueue(Options{Length: 8, PerAccount: 4})
 	for i := range 6 {
@@ -205,6 +211,7 @@
 	return now
 }
 
+// WouldMiss must count only the work that is served before the item.
 func TestWouldMissCountsOnlyTheWorkAhead(t *testing.T) {
 	q := newQueue(Options{Length: 1000, PerAccount: 500})
 	now := saturate(t, q, "big") // 40 requests left: 2 s of work
--- a/decide/router/status.go
+++ b/decide/router/status.go
@@ -37,8 +37,8 @@
 	Slots    int     `json:"slots"`
 	// Rate is the token steps per second that it reports at full batch.
 	Rate float64 `json:"rate"`
-	// Weight is the fraction of its capacity in use by this node, between 0 and
-	// 1.
+	// Weight is the fraction of its normal share of work that this node gives it,
+	// between 0 and 1. It is 0 while the upstream gets none.
 	Weight float64 `json:"weight"`
 	// Reason explains the state; empty if there is nothing to explain.
 	Reason string `json:"reason,omitempty"`
