--- a/decide/chain/chain.go
+++ b/decide/chain/chain.go
@@ -1,14 +1,15 @@
-// Package chain decides which engines a streaming request passes through: an
-// ordered chain whose parts run every layer of the model exactly once.
+// Package chain chooses the chain of engines for a streaming request to a model
+// whose layers are spread over several engines. The stages of a chain run every
+// layer of the model exactly once and in order.
 //
-// A Book knows what this node has running on each engine, which engines did
-// not answer lately, and how slow others said to be. Choose finds, in each
-// availability zone, the chain that finishes a request of the given size
-// soonest by the model of its engines (a shortest path over the layers), and
-// takes the best zone. Chains across zones cost more: activations of every
-// token cross the link between them.
+// It runs in every node, once for each attempt of a streaming request. Picker
+// finds, in each availability zone, the chain with the least expected time to
+// finish the request: a shortest path over the layers, with costs from the
+// performance model of the engines and their estimated load. It picks the zone
+// with the cheapest chain. A chain across zones costs more, because the
+// activations of every token cross the link between them.
 //
-// A Book is used by one goroutine at a time and reads no clock.
+// A Picker must be used by one goroutine at a time and reads no clock.
 package chain
 
 import (
@@ -20,45 +21,48 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// Stage is one stage of a chain: an engine and the layers it runs.
+// Stage is one stage of a chain: an engine and the layers that it runs.
 type Stage struct {
 	Engine *directory.Upstream
 	Layers layered.Range
 }
 
-// Chain is the stages of a request in order.
+// Chain is the sequence of stages that a request passes through.
 type Chain []Stage
 
-// Engines names the engines in order.
+// Engines returns the IDs of the engines in order.
 func (c Chain) Engines() []ids.Life {
 	out := make([]ids.Life, len(c))
-	for i, h := range c {
-		out[i] = h.Engine.ID
+	for i, stage := range c {
+		out[i] = stage.Engine.ID
 	}
 	return out
 }
 
-// String implements fmt.Stringer.
+// String implements fmt.Stringer: "address=from-to" for each stage, separated by
+// commas.
 func (c Chain) String() string {
 	s := ""
-	for i, h := range c {
+	for i, stage := range c {
 		if i > 0 {
 			s += ","
 		}
-		s += fmt.Sprintf("%s=%s", h.Engine.Address, h.Layers)
+		s += fmt.Sprintf("%s=%s", stage.Engine.Address, stage.Layers)
 	}
 	return s
 }
 
-// Has reports whether an engine is part of the chain.
+// Has reports whether an engine runs a stage of the chain.
 func (c Chain) Has(id ids.Life) bool {
-	return slices.ContainsFunc(c, func(h Stage) bool { return h.Engine.ID == id })
+	return slices.ContainsFunc(c, func(s Stage) bool { return s.Engine.ID == id })
 }
 
-// NoChainError tells that no chain of usable engines holds the whole model.
+// NoChainError reports that no chain of usable engines runs every layer of the
+// model.
 type NoChainError struct {
 	Service ids.Service
-	// Engines are those of the service; Usable those that may take work.
+	// Engines is the number of engines of the service, Usable that of those
+	// among them that may take requests.
 	Engines, Usable int
 }
 
@@ -67,11 +71,12 @@
 	return fmt.Sprintf("no chain for %s: %d of %d engines usable", e.Service, e.Usable, e.Engines)
 }
 
-// FullError tells that every chain leads through an engine that has just refused for
-// want of room.
+// FullError reports that every chain contains an engine that has recently refused
+// a request for lack of capacity.
 type FullError struct {
 	Service ids.Service
-	Engine  ids.Life
+	// Engine is the engine that has refused.
+	Engine ids.Life
 }
 
 // Error implements error.
@@ -79,8 +84,10 @@
 	return fmt.Sprintf("no chain for %s without %s, which has no room", e.Service, e.Engine)
 }
 
-// TilingError tells that a chain does not run every layer once and in order.
+// TilingError reports a chain that does not run every layer once and in order.
 type TilingError struct {
+	// Chain is the chain as Chain.String returns it, Layers the number of
+	// layers of the model.
 	Chain  string
 	Layers int
 }
@@ -90,19 +97,19 @@
 	return fmt.Sprintf("chain %s does not tile %d layers", e.Chain, e.Layers)
 }
 
-// Check reports with a *TilingError a chain that leaves a layer out, runs one
-// twice, goes through an engine twice, or asks for layers an engine does not
-// hold. Engines check neither gaps nor order, so no chain leaves unchecked.
+// Check returns a *TilingError for a chain that skips a layer, runs one twice, uses
+// an engine twice, or asks an engine for layers that it does not hold. Engines
+// check neither gaps nor order, so each chain must be checked before it is sent.
 func Check(c Chain, layers int) error {
-	at := 0
-	for i, h := range c {
-		twice := Chain(c[:i]).Has(h.Engine.ID)
-		if h.Layers.From != at || h.Layers.Empty() || twice || !h.Engine.Layers.Covers(h.Layers) {
+	next := 0
+	for i, stage := range c {
+		twice := Chain(c[:i]).Has(stage.Engine.ID)
+		if stage.Layers.From != next || stage.Layers.Empty() || twice || !stage.Engine.Layers.Covers(stage.Layers) {
 			return &TilingError{Chain: c.String(), Layers: layers}
 		}
-		at = h.Layers.To
+		next = stage.Layers.To
 	}
-	if at != layers || len(c) == 0 {
+	if next != layers || len(c) == 0 {
 		return &TilingError{Chain: c.String(), Layers: layers}
 	}
 	return nil
--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -13,8 +13,10 @@
 	"mimosaarch.example/decide/directory"
 )
 
+// start is the start time of the tests.
 var start = time.Unix(1000, 0)
 
+// model returns a model of 80 layers with fast and slow cards.
 func model() *layered.Model {
 	return &layered.Model{
 		Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, StepMs: 1, PerSequenceMs: 0.007, PerContextMs: 0.01,
@@ -26,6 +28,7 @@
 	}
 }
 
+// engine returns an engine that holds the layers from up to, not including, to.
 func engine(id, zone, card string, from, to int) directory.Upstream {
 	return directory.Upstream{
 		ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Address: id, Zone: ids.Zone(zone), Card: card,
@@ -33,6 +36,7 @@
 	}
 }
 
+// view returns a directory view of engines.
 func view(engines ...directory.Upstream) *directory.View {
 	d := directory.New()
 	for _, e := range engines {
@@ -41,12 +45,14 @@
 	return d.View()
 }
 
+// request is the usual request of the tests.
 var request = Request{Service: "s", Zone: "z1", PromptTokens: 800, OutputTokens: 200}
 
-// choose fails the test unless a chain is found.
-func choose(t *testing.T, b *Picker, v *directory.View, r Request) string {
+// mustPick returns the chain for a request as a string. It fails the test unless a
+// chain is found that runs all 80 layers.
+func mustPick(t *testing.T, p *Picker, v *directory.View, r Request) string {
 	t.Helper()
-	c, err := b.Pick(start, model(), v, r)
+	c, err := p.Pick(start, model(), v, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +79,7 @@
 	} {
 		var tiling *TilingError
 		if err := Check(chain, 80); !errors.As(err, &tiling) {
-			t.Errorf("%s: %v, want a *TilingError", name, err)
+			t.Errorf("%s: error %v, want a *TilingError", name, err)
 		}
 	}
 	if err := Check(Chain{{&a, r(0, 35)}, {&b, r(35, 80)}}, 80); err != nil {
@@ -81,14 +87,16 @@
 	}
 }
 
-// TestChosenChainsTile draws fleets of engines with any ranges, some leaving or
-// suspected, and requests with any first stage.
+// TestChosenChainsTile picks chains from random engines, some of which are leaving
+// or suspected. Each chain must run every layer once and use no engine that must
+// not be used, also when it is picked again with its first stage pinned and its
+// last engine to be avoided.
 func TestChosenChainsTile(t *testing.T) {
 	found := 0
 	for seed := range uint64(2000) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		conditions := condition.New()
-		b := New(conditions)
+		p := New(conditions)
 		var engines []directory.Upstream
 		for i := range 1 + r.IntN(14) {
 			from := r.IntN(8) * 10
@@ -101,7 +109,7 @@
 			engines = append(engines, e)
 		}
 		v := view(engines...)
-		c, err := b.Pick(start, model(), v, request)
+		c, err := p.Pick(start, model(), v, request)
 		if err != nil {
 			continue
 		}
@@ -109,116 +117,116 @@
 		if err := Check(c, 80); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		for _, h := range c {
-			if h.Engine.Leaving || conditions.Suspected(start, h.Engine.ID, h.Engine.Zone) {
-				t.Fatalf("seed %d: %s may take nothing", seed, h.Engine.ID)
+		for _, stage := range c {
+			if stage.Engine.Leaving || conditions.Suspected(start, stage.Engine.ID, stage.Engine.Zone) {
+				t.Fatalf("seed %d: chain uses %s, which is leaving or suspected", seed, stage.Engine.ID)
 			}
 		}
 		again := request
 		again.PinnedFirst = &c[0]
 		again.Avoid = map[ids.Life]bool{c[len(c)-1].Engine.ID: true}
-		if other, err := b.Pick(start, model(), v, again); err == nil {
+		if other, err := p.Pick(start, model(), v, again); err == nil {
 			if err := Check(other, 80); err != nil {
-				t.Fatalf("seed %d, around %s: %v", seed, c, err)
+				t.Fatalf("seed %d, picked again after %s: %v", seed, c, err)
 			}
 			if len(c) > 1 && (other[0] != c[0] || other.Has(c[len(c)-1].Engine.ID)) {
-				t.Fatalf("seed %d: around %s: %s", seed, c, other)
+				t.Fatalf("seed %d, picked again after %s: chain %s has another first stage or the same last engine", seed, c, other)
 			}
 		}
 	}
 	if found < 200 {
-		t.Errorf("only %d of the draws had a chain", found)
+		t.Errorf("only %d of 2000 seeds had a chain", found)
 	}
 }
 
 func TestOwnZoneGoesFirst(t *testing.T) {
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z2", "fast", 0, 80))
-	if got := choose(t, New(condition.New()), v, request); got != "a=0-80" {
+	if got := mustPick(t, New(condition.New()), v, request); got != "a=0-80" {
 		t.Errorf("chain %s", got)
 	}
 	far := request
 	far.Zone = "z2"
-	if got := choose(t, New(condition.New()), v, far); got != "b=0-80" {
+	if got := mustPick(t, New(condition.New()), v, far); got != "b=0-80" {
 		t.Errorf("chain %s", got)
 	}
 }
 
-func TestMuchFasterZoneIsWorthTheWay(t *testing.T) {
+func TestMuchFasterRemoteZoneIsPreferred(t *testing.T) {
 	v := view(engine("a", "z1", "slow", 0, 80), engine("b", "z2", "fast", 0, 80))
-	if got := choose(t, New(condition.New()), v, request); got != "b=0-80" {
+	if got := mustPick(t, New(condition.New()), v, request); got != "b=0-80" {
 		t.Errorf("chain %s", got)
 	}
 }
 
 func TestChainsCrossZonesOnlyWhereNoneIsWhole(t *testing.T) {
 	v := view(engine("a", "z1", "fast", 0, 40), engine("b", "z2", "fast", 40, 80))
-	if got := choose(t, New(condition.New()), v, request); got != "a=0-40,b=40-80" {
+	if got := mustPick(t, New(condition.New()), v, request); got != "a=0-40,b=40-80" {
 		t.Errorf("chain %s", got)
 	}
 	v = view(engine("a", "z1", "fast", 0, 40), engine("b", "z2", "fast", 40, 80), engine("c", "z3", "slow", 0, 80))
-	if got := choose(t, New(condition.New()), v, request); got != "c=0-80" {
+	if got := mustPick(t, New(condition.New()), v, request); got != "c=0-80" {
 		t.Errorf("chain %s", got)
 	}
 }
 
 func TestLoadSpreadsOverEqualStages(t *testing.T) {
-	b := New(condition.New())
+	p := New(condition.New())
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
 	counts := make(map[string]int)
 	for range 40 {
-		c, err := b.Pick(start, model(), v, request)
+		c, err := p.Pick(start, model(), v, request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.RequestStarted(start, c, request)
+		p.RequestStarted(start, c, request)
 		counts[c.String()]++
 	}
 	if counts["a=0-80"] != 20 || counts["b=0-80"] != 20 {
-		t.Errorf("shares %v", counts)
+		t.Errorf("requests per chain %v, want 20 for each", counts)
 	}
 }
 
 func TestSlowAndFullEnginesAreAvoided(t *testing.T) {
 	conditions := condition.New()
-	b := New(conditions)
+	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
 	conditions.Paced(start, life("a"), 5)
-	if got := choose(t, b, v, request); got != "b=0-80" {
-		t.Errorf("with a slow: %s", got)
+	if got := mustPick(t, p, v, request); got != "b=0-80" {
+		t.Errorf("with engine a slow: chain %s", got)
 	}
 	conditions.Paced(start, life("a"), 1)
 	conditions.Full(start, life("a"))
-	if got := choose(t, b, v, request); got != "b=0-80" {
-		t.Errorf("with a full: %s", got)
+	if got := mustPick(t, p, v, request); got != "b=0-80" {
+		t.Errorf("with engine a full: chain %s", got)
 	}
 }
 
-func TestFirstStageMayBeBound(t *testing.T) {
+func TestFirstStageIsRestrictedToAllowed(t *testing.T) {
 	v := view(engine("a", "z1", "slow", 0, 40), engine("b", "z1", "fast", 0, 40), engine("c", "z1", "fast", 40, 80))
-	bound := request
-	bound.AllowedFirst = map[ids.Life]bool{{Upstream: "a"}: true}
-	if got := choose(t, New(condition.New()), v, bound); got != "a=0-40,c=40-80" {
+	restricted := request
+	restricted.AllowedFirst = map[ids.Life]bool{{Upstream: "a"}: true}
+	if got := mustPick(t, New(condition.New()), v, restricted); got != "a=0-40,c=40-80" {
 		t.Errorf("chain %s", got)
 	}
-	bound.AllowedFirst = map[ids.Life]bool{{Upstream: "c"}: true}
-	var none *NoChainError
-	if _, err := New(condition.New()).Pick(start, model(), v, bound); !errors.As(err, &none) {
+	restricted.AllowedFirst = map[ids.Life]bool{{Upstream: "c"}: true}
+	var noChain *NoChainError
+	if _, err := New(condition.New()).Pick(start, model(), v, restricted); !errors.As(err, &noChain) {
 		t.Errorf("error %v", err)
 	}
 }
 
-func TestNoChainIsSaid(t *testing.T) {
+func TestNoChainIsReported(t *testing.T) {
 	v := view(engine("a", "z1", "fast", 0, 40), engine("b", "z1", "fast", 41, 80))
 	_, err := New(condition.New()).Pick(start, model(), v, request)
-	var none *NoChainError
-	if !errors.As(err, &none) || none.Engines != 2 || none.Usable != 2 {
+	var noChain *NoChainError
+	if !errors.As(err, &noChain) || noChain.Engines != 2 || noChain.Usable != 2 {
 		t.Errorf("error %v", err)
 	}
 }
 
-// BenchmarkChoose tells what a choice costs with three zones of so many
-// engines in all: 20, 45 and 99 µs with a draw, 14, 31 and 100 µs without one.
-func BenchmarkChoose(b *testing.B) {
+// BenchmarkPick measures Pick with three zones of 33, 90 and 210 engines in all.
+// Typical times are 20, 45 and 99 µs, and 14, 31 and 100 µs without jitter.
+func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{33, 90, 210} {
 		var engines []directory.Upstream
 		for i := range size {
@@ -226,12 +234,12 @@
 			engines = append(engines, engine(fmt.Sprint(i), fmt.Sprintf("z%d", i%3), "fast", from, min(80, from+14)))
 		}
 		v := view(engines...)
-		book := New(condition.New())
+		p := New(condition.New())
 		r := request
 		r.JitterSeed = 1
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := book.Pick(start, model(), v, r); err != nil {
+				if _, err := p.Pick(start, model(), v, r); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -239,66 +247,66 @@
 	}
 }
 
-func TestSlowEngineIsTakenLateOnly(t *testing.T) {
+func TestSlowEngineIsUsedOnlyUnderHighLoad(t *testing.T) {
 	conditions := condition.New()
-	b := New(conditions)
+	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
 	conditions.Paced(start, life("b"), 4)
 	streams := 0
-	for c, _ := b.Pick(start, model(), v, request); c.Has(life("a")); c, _ = b.Pick(start, model(), v, request) {
-		b.RequestStarted(start, c, request)
+	for c, _ := p.Pick(start, model(), v, request); c.Has(life("a")); c, _ = p.Pick(start, model(), v, request) {
+		p.RequestStarted(start, c, request)
 		if streams++; streams > 10_000 {
-			t.Fatal("a slow engine is never taken")
+			t.Fatal("the slow engine is never used")
 		}
 	}
-	// By the time alone it would be 614.
+	// With slowEngineFactor 1, the slow engine would be used after 614 streams.
 	if streams < 1000 {
-		t.Errorf("a slow engine is taken after %d streams on a good one", streams)
+		t.Errorf("the slow engine is used after %d streams on the other one, want at least 1000", streams)
 	}
 }
 
-// life is the one life of an upstream whose start is not told.
+// life returns the ID of an upstream that does not report its start time.
 func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
 
-// A chain through an engine without room is chosen only where there is no other, and
-// tells so.
-func TestFullNamesTheEngineThatNoChainAvoids(t *testing.T) {
+// A chain through an engine that has recently refused a request is picked only if
+// there is no other, and FullEngine returns that engine.
+func TestFullEngineReturnsTheEngineThatNoChainAvoids(t *testing.T) {
 	conditions := condition.New()
-	b := New(conditions)
-	only, twin := engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80)
+	p := New(conditions)
+	only, second := engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80)
 	conditions.Full(start, only.ID)
-	c, err := b.Pick(start, model(), view(only), request)
-	if err != nil || b.FullEngine(start, c) == nil || b.FullEngine(start, c).ID != only.ID {
+	c, err := p.Pick(start, model(), view(only), request)
+	if err != nil || p.FullEngine(start, c) == nil || p.FullEngine(start, c).ID != only.ID {
 		t.Errorf("chain %s, error %v", c, err)
 	}
-	c, err = b.Pick(start, model(), view(only, twin), request)
-	if err != nil || b.FullEngine(start, c) != nil || c[0].Engine.ID != twin.ID {
-		t.Errorf("with a twin: chain %s, error %v", c, err)
+	c, err = p.Pick(start, model(), view(only, second), request)
+	if err != nil || p.FullEngine(start, c) != nil || c[0].Engine.ID != second.ID {
+		t.Errorf("with a second engine: chain %s, error %v", c, err)
 	}
 }
 
-// Nodes that know nothing of each other's load spread what they choose at one moment
-// over equal engines, and leave out a much dearer one.
+// Nodes that know nothing of each other's load must not all pick the same engine at
+// one moment: they spread over equal engines, and leave out a much slower one.
 func TestChoicesAtOneMomentAreSpread(t *testing.T) {
-	twins := []directory.Upstream{engine("slow", "z1", "slow", 0, 80)}
+	engines := []directory.Upstream{engine("slow", "z1", "slow", 0, 80)}
 	for i := range 10 {
-		twins = append(twins, engine(fmt.Sprint("fast", i), "z1", "fast", 0, 80))
+		engines = append(engines, engine(fmt.Sprint("fast", i), "z1", "fast", 0, 80))
 	}
-	v := view(twins...)
-	shares := make(map[string]int)
-	draws := rand.New(rand.NewPCG(1, 1))
+	v := view(engines...)
+	counts := make(map[string]int)
+	seeds := rand.New(rand.NewPCG(1, 1))
 	const nodes = 300
 	for range nodes {
 		r := request
-		r.JitterSeed = draws.Uint64()
-		shares[choose(t, New(condition.New()), v, r)]++
+		r.JitterSeed = seeds.Uint64()
+		counts[mustPick(t, New(condition.New()), v, r)]++
 	}
-	for chain, n := range shares {
+	for chain, n := range counts {
 		if n > nodes/10*2 {
-			t.Errorf("%d of %d nodes take %s", n, nodes, chain)
+			t.Errorf("%d of %d nodes pick %s", n, nodes, chain)
 		}
 	}
-	if len(shares) != 10 || shares["slow=0-80"] > 0 {
-		t.Errorf("shares %v", shares)
+	if len(counts) != 10 || counts["slow=0-80"] > 0 {
+		t.Errorf("picks per chain %v", counts)
 	}
 }
--- a/decide/chain/fleet_test.go
+++ b/decide/chain/fleet_test.go
@@ -15,66 +15,71 @@
 	"mimosaarch.example/decide/retry"
 )
 
-// Callers were refused in the seconds after all nodes had been killed at once and came
-// back: 304 of some 1,400. Each node, knowing of no load, sent its requests through the
-// one fastest chain of the fleet, so that in one second 591 of 958 chains began at the
-// same engine. It works on 192 requests at once and queues 96, and turned the others
-// away; the nodes spent their few retries on them. The chains in the logs of all nodes,
-// second by second, showed it: how many requests an engine works on at once was no part
-// of the decision.
-
-// slots of an engine, and how many requests it queues beside them.
+// These tests guard against callers that are refused after all nodes have been
+// restarted at once. Without knowledge of any load, each node sent its requests
+// through the one fastest chain, so that 591 of 958 chains began at the same engine
+// within a second. It runs 192 requests and queues 96, so it refused the others, and
+// the retry budget ran out: 304 of some 1,400 callers were refused. The slots of
+// engines are therefore part of the cost of a chain.
+
+// simSlotsPerEngine is the number of requests that an engine runs at once,
+// simQueueLimit the number that it queues beside them.
 const (
-	simSlots = 192
-	simQueue = 96
+	simSlotsPerEngine = 192
+	simQueueLimit     = 96
 )
 
-// The fleet's retries: for each request, and beside these in retry.BudgetWindow.
+// The retry budget of all nodes together: a number of retries for each request, and
+// another number within each retry.BudgetWindow.
 const (
-	simRatio = 0.2
-	simSlack = 300.0
+	simRetriesPerRequest = 0.2
+	simRetriesPerWindow  = 300.0
 )
 
-// simulation is a fleet of nodes before the same engines, each with what it knows itself.
+// simulation simulates nodes that share the same engines, each with its own picker and
+// retry budget.
 type simulation struct {
 	rand  *rand.Rand
 	view  *directory.View
 	nodes []*simNode
-	// firsts are the requests that engines work on and queue.
-	firsts map[ids.Life]int
-	events events
-	// What callers got: an answer, one after a wait for a place, a refusal.
+	// firstStages is the number of requests that each engine runs or queues as their
+	// first stage.
+	firstStages map[ids.Life]int
+	events      eventQueue
+	// Numbers of requests that were accepted, that were accepted but had to queue for
+	// a slot, and that were refused.
 	answered, queued, refused int
 }
 
-// simNode is one node: what it knows, and its part of the fleet's retries.
+// simNode is one node with its share of the retry budget.
 type simNode struct {
-	book    *Picker
-	full    *condition.Table
-	retries *retry.Budget
+	picker     *Picker
+	conditions *condition.Table
+	retries    *retry.Budget
 }
 
-// event is something that happens at a time.
+// event is a call of run at a simulated time.
 type event struct {
-	at time.Time
-	do func(now time.Time)
+	at  time.Time
+	run func(now time.Time)
 }
 
-// events are in order of their time.
-type events []event
+// eventQueue is a heap of events by time.
+type eventQueue []event
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// unevenZones gives engines in three zones: four fast ones hold more than half of the model
-// in one zone, two and one in the others, and slow ones the rest, three times each.
+// unevenZones returns engines in three zones. Fast engines, of which the zones have 1, 4
+// and 2, hold 10 layers of the model each. Slow engines hold 5 layers each: two hold each
+// 5 layers that a fast engine also holds, three hold each of the others.
 func unevenZones() *directory.View {
 	var engines []directory.Upstream
 	for z, fast := range []int{1, 4, 2} {
@@ -94,146 +99,153 @@
 		}
 	}
 	for i := range engines {
-		engines[i].Slots = simSlots
+		engines[i].Slots = simSlotsPerEngine
 	}
 	return view(engines...)
 }
 
-// newSimulation makes so many nodes that have just started.
+// newSimulation returns a simulation of nodes that have just started.
 func newSimulation(seed uint64, nodes int) *simulation {
-	p := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), view: unevenZones(), firsts: make(map[ids.Life]int)}
+	s := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), view: unevenZones(), firstStages: make(map[ids.Life]int)}
 	for range nodes {
-		conditions := condition.New()
-		n := &simNode{book: New(conditions), full: conditions}
-		n.book.SetNodeCount(nodes)
-		n.retries = retry.NewBudget(fleet.RetryPolicy{BudgetRatio: simRatio, BudgetMin: simSlack / float64(nodes) / retry.BudgetWindow.Seconds()})
-		p.nodes = append(p.nodes, n)
+		table := condition.New()
+		n := &simNode{picker: New(table), conditions: table}
+		n.picker.SetNodeCount(nodes)
+		n.retries = retry.NewBudget(fleet.RetryPolicy{BudgetRatio: simRetriesPerRequest, BudgetMin: simRetriesPerWindow / float64(nodes) / retry.BudgetWindow.Seconds()})
+		s.nodes = append(s.nodes, n)
 	}
-	return p
+	return s
 }
 
-// at has something happen.
-func (p *simulation) at(t time.Time, do func(now time.Time)) { heap.Push(&p.events, event{t, do}) }
+// schedule adds a call of run at time t.
+func (s *simulation) schedule(t time.Time, run func(now time.Time)) {
+	heap.Push(&s.events, event{t, run})
+}
 
-// run goes on until nothing is left to happen.
-func (p *simulation) run() {
-	for len(p.events) > 0 {
-		e := heap.Pop(&p.events).(event)
-		e.do(e.at)
+// run processes the events until none is left.
+func (s *simulation) run() {
+	for len(s.events) > 0 {
+		e := heap.Pop(&s.events).(event)
+		e.run(e.at)
 	}
 }
 
 const (
-	// reportAfter is how long an engine's answer takes to begin.
-	reportAfter = 60 * time.Millisecond
-	// streamFor is how long a stream lasts.
-	streamFor = 3 * time.Second
+	// reportDelay is the time until an engine's answer begins, which brings its load
+	// report.
+	reportDelay = 60 * time.Millisecond
+	// streamDuration is how long a stream lasts.
+	streamDuration = 3 * time.Second
 )
 
-// request is one caller's, at a node in a zone.
-func (p *simulation) request(now time.Time) {
-	zone := p.rand.IntN(3)
-	n := p.nodes[3*p.rand.IntN(len(p.nodes)/3)+zone]
+// request simulates the request of one caller at a random node of a random zone, with
+// the retries that the node's budget allows.
+func (s *simulation) request(now time.Time) {
+	zone := s.rand.IntN(3)
+	n := s.nodes[3*s.rand.IntN(len(s.nodes)/3)+zone]
 	n.retries.First(now)
 	r := request
-	r.Zone, r.JitterSeed = ids.Zone(fmt.Sprintf("z%d", zone+1)), p.rand.Uint64()|1
+	r.Zone, r.JitterSeed = ids.Zone(fmt.Sprintf("z%d", zone+1)), s.rand.Uint64()|1
 	r.Avoid = make(map[ids.Life]bool)
-	for !p.send(now, n, r) {
+	for !s.send(now, n, r) {
 		if len(r.Avoid) == 0 || !n.retries.Allow(now, outcome.UpstreamBusy) {
-			p.refused++
+			s.refused++
 			return
 		}
 	}
 }
 
-// send sends a request through the chain that its node chooses, and reports whether its
-// first stage took it.
-func (p *simulation) send(now time.Time, n *simNode, r Request) bool {
-	c, err := n.book.Pick(now, model(), p.view, r)
+// send sends a request through the chain that its node picks, and reports whether the
+// engine of the first stage accepted it.
+func (s *simulation) send(now time.Time, n *simNode, r Request) bool {
+	c, err := n.picker.Pick(now, model(), s.view, r)
 	if err != nil {
 		clear(r.Avoid)
 		return false
 	}
 	first := c[0].Engine.ID
-	there := p.firsts[first]
-	if there >= simSlots+simQueue {
+	present := s.firstStages[first]
+	if present >= simSlotsPerEngine+simQueueLimit {
 		r.Avoid[first] = true
-		n.full.Full(now, first)
+		n.conditions.Full(now, first)
 		return false
 	}
-	if there >= simSlots {
-		p.queued++
+	if present >= simSlotsPerEngine {
+		s.queued++
 	}
-	p.answered++
-	p.firsts[first]++
-	n.book.RequestStarted(now, c, r)
-	p.at(now.Add(reportAfter), func(now time.Time) { n.book.LoadReported(now, first, p.firsts[first]) })
-	p.at(now.Add(streamFor), func(now time.Time) {
-		n.book.RequestEnded(now, c, r)
-		p.firsts[first]--
+	s.answered++
+	s.firstStages[first]++
+	n.picker.RequestStarted(now, c, r)
+	s.schedule(now.Add(reportDelay), func(now time.Time) { n.picker.LoadReported(now, first, s.firstStages[first]) })
+	s.schedule(now.Add(streamDuration), func(now time.Time) {
+		n.picker.RequestEnded(now, c, r)
+		s.firstStages[first]--
 	})
 	return true
 }
 
-// TestCallersOfNodesThatStartTogetherAreServed plays callers who all come in the first
-// second after a start of every node, and further ones at the usual rate.
+// TestCallersOfNodesThatStartTogetherAreServed simulates 960 callers in the first second
+// after all nodes have started, and 174 per second in the five seconds after. No caller may
+// be refused, since the engines have slots for all.
 func TestCallersOfNodesThatStartTogetherAreServed(t *testing.T) {
 	for _, nodes := range []int{9, 84, 300} {
 		for seed := range uint64(5) {
 			t.Run(fmt.Sprintf("%d nodes, seed %d", nodes, seed), func(t *testing.T) {
 				t.Parallel()
-				p := newSimulation(seed, nodes)
+				s := newSimulation(seed, nodes)
 				for i := range 960 {
-					p.at(start.Add(time.Duration(i)*time.Second/960), p.request)
+					s.schedule(start.Add(time.Duration(i)*time.Second/960), s.request)
 				}
 				for i := range 5 * 174 {
-					p.at(start.Add(time.Second+time.Duration(i)*time.Second/174), p.request)
+					s.schedule(start.Add(time.Second+time.Duration(i)*time.Second/174), s.request)
 				}
-				p.run()
-				if p.refused > 0 {
-					t.Errorf("%d callers were refused with slots for all (%d waited for one)", p.refused, p.queued)
+				s.run()
+				if s.refused > 0 {
+					t.Errorf("%d callers were refused with slots for all (%d queued for one)", s.refused, s.queued)
 				}
 			})
 		}
 	}
 }
 
-// TestNodesThatKnowNothingCrossNoZone: what a node does not know of first stages is no
-// reason to cross zones that are whole, however many nodes there are.
-func TestNodesThatKnowNothingCrossNoZone(t *testing.T) {
+// Without any load report, nodes assume that some slots of first stages are taken. That
+// must not make them pick a chain across zones while each zone has a whole chain, however
+// many nodes there are.
+func TestNodesWithoutReportsStayInOneZone(t *testing.T) {
 	for _, nodes := range []int{9, 84, 300, 1000} {
-		b, v := New(condition.New()), unevenZones()
-		b.SetNodeCount(nodes)
-		for draw := range uint64(500) {
+		p, v := New(condition.New()), unevenZones()
+		p.SetNodeCount(nodes)
+		for seed := range uint64(500) {
 			r := request
-			r.JitterSeed = draw + 1
-			c, err := b.Pick(start, model(), v, r)
+			r.JitterSeed = seed + 1
+			c, err := p.Pick(start, model(), v, r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, h := range c {
-				if h.Engine.Zone != c[0].Engine.Zone {
-					t.Fatalf("%d nodes, draw %d: %s leads from %s to %s", nodes, r.JitterSeed, c, c[0].Engine.Zone, h.Engine.Zone)
+			for _, stage := range c {
+				if stage.Engine.Zone != c[0].Engine.Zone {
+					t.Fatalf("%d nodes, jitter seed %d: chain %s crosses from %s to %s", nodes, r.JitterSeed, c, c[0].Engine.Zone, stage.Engine.Zone)
 				}
 			}
 		}
 	}
 }
 
-// A report that comes once its engine is gone leaves nothing behind.
+// A report that arrives after its engine is gone must not create state for it again,
+// which nothing would remove.
 func TestReportOfAnEngineThatIsGoneIsDropped(t *testing.T) {
-	b, v := New(condition.New()), unevenZones()
-	c, err := b.Pick(start, model(), v, request)
+	p, v := New(condition.New()), unevenZones()
+	c, err := p.Pick(start, model(), v, request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := c[0].Engine.ID
-	b.RequestStarted(start, c, request)
-	b.LoadReported(start, first, 5)
-	b.RequestEnded(start, c, request)
-	b.Forget(first)
-	b.LoadReported(start, first, 5)
-	if s := b.engines[first]; s != nil {
-		t.Errorf("%s is gone and still known: %+v", first, s)
+	p.RequestStarted(start, c, request)
+	p.LoadReported(start, first, 5)
+	p.RequestEnded(start, c, request)
+	p.Forget(first)
+	p.LoadReported(start, first, 5)
+	if s := p.engines[first]; s != nil {
+		t.Errorf("%s is gone and still has state: %+v", first, s)
 	}
 }
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -11,116 +11,125 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// Request is what a chain is chosen for.
+// Request describes a request to choose a chain for.
 type Request struct {
 	Service ids.Service
-	// Zone is preferred among equals.
+	// Zone is the availability zone whose chains are preferred, normally that
+	// of this node.
 	Zone ids.Zone
-	// PromptTokens and OutputTokens are the expected sizes, in tokens.
+	// PromptTokens and OutputTokens are the expected sizes of the request.
 	PromptTokens, OutputTokens float64
-	// Avoid are engines that the request already failed on.
+	// Avoid holds the engines that must not be used, for instance because the
+	// request has failed there.
 	Avoid map[ids.Life]bool
-	// PinnedFirst, where set, stays the first stage: the request runs there already,
-	// and only the stages after it are chosen.
+	// PinnedFirst, if set, is the first stage of the chain: the request already
+	// runs there, and only the stages after it are chosen.
 	PinnedFirst *Stage
-	// AllowedFirst, where set, are the engines one of which must be the first stage.
+	// AllowedFirst, if set, holds the engines that may be the first stage.
 	AllowedFirst map[ids.Life]bool
-	// OutputStarted tells that part of the answer is with the caller.
+	// OutputStarted is set when the caller has received part of the output.
 	OutputStarted bool
-	// JitterSeed is random, other than 0, so that choices made at the same moment differ
-	// among engines that are nearly equal. With 0 the cheapest chain is taken.
+	// JitterSeed seeds a random part of the engines' costs, so that requests at
+	// the same moment spread over engines of nearly equal cost. With 0 the
+	// costs have no random part.
 	JitterSeed uint64
 }
 
-// spread is the part by which an engine may count as dearer than another of equal
-// cost, by each request's own draw. Nodes that know little of the load, as after a start
-// of all, else send their first requests to the same engines.
-const spread = 0.2
+// maxJitterFraction is the largest random part of an engine's cost, as a fraction of it.
+// Without it, nodes that know little of the load, for instance after all of them
+// have restarted, send their first requests to the same engines.
+const maxJitterFraction = 0.2
 
-// Parameters of a 64-bit FNV-1a hash, and of the multiplication that mixes its bits.
+// Parameters of the 64-bit FNV-1a hash, and the factor that mixes its bits.
 const (
-	fnvOffset = 14695981039346656037
-	fnvPrime  = 1099511628211
-	mixFactor = 0x9e3779b97f4a7c15
+	fnvOffset    = 14695981039346656037
+	fnvPrime     = 1099511628211
+	mixingFactor = 0x9e3779b97f4a7c15
 )
 
-// taste gives the factor of an engine's cost for one request, from 1 to 1 + spread.
-func (r Request) taste(id ids.Life) float64 {
+// jitterFactor returns the random factor of an engine's cost, at least 1 and at most
+// 1 + maxJitterFraction.
+func (r Request) jitterFactor(id ids.Life) float64 {
 	if r.JitterSeed == 0 {
 		return 1
 	}
-	return 1 + spread*r.draw(id)
+	return 1 + maxJitterFraction*r.jitter(id)
 }
 
-// draw gives a request's own number for an engine, 0 to 1.
-func (r Request) draw(id ids.Life) float64 {
+// jitter returns a number in [0, 1) that depends on the request and the engine.
+func (r Request) jitter(id ids.Life) float64 {
 	h := r.JitterSeed ^ fnvOffset
 	for i := range len(id.Upstream) {
 		h = (h ^ uint64(id.Upstream[i])) * fnvPrime
 	}
-	h = (h ^ h>>32) * mixFactor
+	h = (h ^ h>>32) * mixingFactor
 	return float64(h>>11) / (1 << 53)
 }
 
-// fixed reports whether an engine is the given first stage.
-func (r Request) fixed(e *directory.Upstream) bool {
+// isPinned reports whether an engine is the pinned first stage.
+func (r Request) isPinned(e *directory.Upstream) bool {
 	return r.PinnedFirst != nil && r.PinnedFirst.Engine.ID == e.ID
 }
 
-// mayBegin reports whether an engine may be the first stage.
-func (r Request) mayBegin(e *directory.Upstream) bool {
+// mayBeFirst reports whether an engine may be the first stage.
+func (r Request) mayBeFirst(e *directory.Upstream) bool {
 	return r.AllowedFirst == nil || r.AllowedFirst[e.ID]
 }
 
-// tokens is the KV cache that a request needs on each stage.
-func (r Request) tokens() float64 { return r.PromptTokens + r.OutputTokens }
+// kvTokens returns the number of tokens of KV cache that the request needs at
+// each stage.
+func (r Request) kvTokens() float64 { return r.PromptTokens + r.OutputTokens }
 
-// Costs that the model of the engines does not give.
+// Costs of a chain beside the time that its engines take.
 const (
-	// hopMs is charged for each stage of a pass, in ms, for the transfer of
-	// activations.
-	hopMs = 0.3
-	// zoneHopMs is charged for a stage in another zone than the one before, in
-	// ms: all such chains share one pipe, for the activations of every token.
-	// They are chosen where no zone has a whole chain, or those are full.
-	zoneHopMs = 1000.0
-	// awayFactor multiplies the cost of a chain in another zone than the
-	// request's. A cut between zones breaks every stream across it, while a
-	// chain that is somewhat slower costs its caller nothing.
-	awayFactor = 1.5
-	// fullAt is the part of an engine's KV room from which on it costs more; at
-	// full that is fullMs, in ms. An engine without room throws out a running
-	// request, which is read again.
-	fullAt = 0.85
-	fullMs = 600.0
-	// refusedMs is charged for an engine that refused for want of room just now, in
-	// ms: it will refuse again, and the caller comes back after 400 ms at best. It
-	// is worth the way over another zone and back while the pipe is mostly free.
-	refusedMs = 3000.0
+	// stageTransferCostMs is the cost of each stage of a decoding pass, in ms, for
+	// the transfer of activations.
+	stageTransferCostMs = 0.3
+	// zoneCrossingCostMs is the cost of a stage in another zone than the stage
+	// before, in ms. All chains that cross zones share the link between them
+	// for the activations of every token, so they are chosen only if no zone
+	// has a whole chain, or those in a zone are near capacity.
+	zoneCrossingCostMs = 1000.0
+	// remoteZoneFactor multiplies the cost of a chain in another zone than the
+	// request's. A network partition between zones breaks every stream that
+	// crosses it, while a caller hardly notices a somewhat slower chain.
+	remoteZoneFactor = 1.5
+	// highUtilization is the utilization of an engine's KV cache or slots, 0 to
+	// 1, from which on its cost rises.
+	highUtilization = 0.85
+	// fullKVCacheCostMs is the cost of an engine with a full KV cache, in ms. Such an
+	// engine evicts a running request, whose prompt must be read again.
+	fullKVCacheCostMs = 600.0
+	// recentRefusalCostMs is the cost of an engine that has recently refused a
+	// request for lack of capacity, in ms. It would refuse again, and the caller
+	// retries after 400 ms at best. The cost exceeds that of crossing to
+	// another zone and back while most of the link is free.
+	recentRefusalCostMs = 3000.0
 )
 
-// Pick gives the chain for a request; the error is a *NoChainError.
-func (b *Picker) Pick(now time.Time, m *layered.Model, view *directory.View, r Request) (Chain, error) {
+// Pick returns the cheapest chain for a request among the usable engines in view.
+// m is the performance model of the engines. The error is a *NoChainError.
+func (p *Picker) Pick(now time.Time, m *layered.Model, view *directory.View, r Request) (Chain, error) {
 	all := view.Of(r.Service)
 	usable := make([]*directory.Upstream, 0, len(all))
 	for _, e := range all {
-		if !e.Leaving && !e.Layers.Empty() && !r.Avoid[e.ID] && !b.doubtful(now, e) {
+		if !e.Leaving && !e.Layers.Empty() && !r.Avoid[e.ID] && !p.isUnhealthy(now, e) {
 			usable = append(usable, e)
 		}
 	}
-	priced := b.price(now, m, r, usable)
+	candidates := p.candidates(now, m, r, usable)
 	best, bestCost := Chain(nil), math.Inf(1)
 	for _, zone := range zonesOf(usable) {
-		c, cost := b.shortest(now, m, priced, r, zone)
+		c, cost := p.shortest(now, m, candidates, r, zone)
 		if zone != r.Zone && r.PinnedFirst == nil {
-			cost *= awayFactor
+			cost *= remoteZoneFactor
 		}
 		if c != nil && cost < bestCost {
 			best, bestCost = c, cost
 		}
 	}
-	if best == nil || b.crowded(now, m, best) {
-		if c, cost := b.shortest(now, m, priced, r, ""); c != nil && cost < bestCost {
+	if best == nil || p.nearCapacity(now, m, best) {
+		if c, cost := p.shortest(now, m, candidates, r, ""); c != nil && cost < bestCost {
 			best = c
 		}
 	}
@@ -130,54 +139,59 @@
 	return best, nil
 }
 
-// doubtful reports whether an engine gets no work for what it did last.
-func (b *Picker) doubtful(now time.Time, e *directory.Upstream) bool {
-	return b.conditions.Suspected(now, e.ID, e.Zone) || b.conditions.Silent(e.ID, e.Zone)
+// isUnhealthy reports whether an engine must get no requests because of recent
+// failures there or in its zone.
+func (p *Picker) isUnhealthy(now time.Time, e *directory.Upstream) bool {
+	return p.conditions.Suspected(now, e.ID, e.Zone) || p.conditions.Silent(e.ID, e.Zone)
 }
 
-// Cost is the time that a request is expected to take on a chain, in ms, beside
-// what already runs there.
-func (b *Picker) Cost(now time.Time, m *layered.Model, r Request, c Chain) float64 {
+// Cost returns the time in ms that a request is expected to take on a chain under
+// the present load, with the costs of engines that are slow or near capacity. It
+// leaves out what else Pick adds: the costs of other zones and of taken slots at
+// the first stage, and jitter.
+func (p *Picker) Cost(now time.Time, m *layered.Model, r Request, c Chain) float64 {
 	cost := 0.0
-	for _, h := range c {
-		cost += b.stageCost(now, m, r, h.Engine) + b.layerCost(now, m, r, h.Engine)*float64(h.Layers.Len())
+	for _, stage := range c {
+		cost += p.stageCost(now, m, r, stage.Engine) + p.layerCost(now, m, r, stage.Engine)*float64(stage.Layers.Len())
 	}
 	return cost
 }
 
-// FullEngine gives the engine of a chain that refused for want of room just now, nil for
-// none. A chain has one only where no other can be had.
-func (b *Picker) FullEngine(now time.Time, c Chain) *directory.Upstream {
-	for _, h := range c {
-		if b.conditions.IsFull(now, h.Engine.ID) {
-			return h.Engine
+// FullEngine returns the first engine of a chain that has recently refused a
+// request for lack of capacity, nil if there is none. Pick returns a chain with
+// such an engine only if it finds none without one, or only much dearer ones.
+func (p *Picker) FullEngine(now time.Time, c Chain) *directory.Upstream {
+	for _, stage := range c {
+		if p.conditions.IsFull(now, stage.Engine.ID) {
+			return stage.Engine
 		}
 	}
 	return nil
 }
 
-// crowded reports whether an engine of a chain is short of room.
-func (b *Picker) crowded(now time.Time, m *layered.Model, c Chain) bool {
-	return slices.ContainsFunc(c, func(h Stage) bool {
-		return b.occupied(now, m, h.Engine) > fullAt || b.conditions.IsFull(now, h.Engine.ID)
+// nearCapacity reports whether an engine of a chain has little free KV cache or
+// has recently refused a request for lack of capacity.
+func (p *Picker) nearCapacity(now time.Time, m *layered.Model, c Chain) bool {
+	return slices.ContainsFunc(c, func(s Stage) bool {
+		return p.kvUtilization(now, m, s.Engine) > highUtilization || p.conditions.IsFull(now, s.Engine.ID)
 	})
 }
 
-// occupied gives the part of an engine's KV room that is taken, by a guess from
-// this node's own streams.
-func (b *Picker) occupied(now time.Time, m *layered.Model, e *directory.Upstream) float64 {
-	s := b.engines[e.ID]
+// kvUtilization returns the fraction of an engine's KV cache in use, as estimated
+// from this node's own requests.
+func (p *Picker) kvUtilization(now time.Time, m *layered.Model, e *directory.Upstream) float64 {
+	s := p.engines[e.ID]
 	if s == nil {
 		return 0
 	}
-	room := m.KVCapacityTokens(m.Cards[e.Card], e.Layers.Len()) * float64(e.Layers.Len())
-	if room <= 0 {
+	capacity := m.KVCapacityTokens(m.Cards[e.Card], e.Layers.Len()) * float64(e.Layers.Len())
+	if capacity <= 0 {
 		return 0
 	}
-	return s.guess(now).tokenLayers * b.fleet / room
+	return s.loadPerNode(now).tokenLayers * p.nodeCount / capacity
 }
 
-// zonesOf gives the zones of engines in order.
+// zonesOf returns the zones of engines in ascending order, without duplicates.
 func zonesOf(engines []*directory.Upstream) []ids.Zone {
 	var zones []ids.Zone
 	for _, e := range engines {
@@ -189,178 +203,190 @@
 	return zones
 }
 
-// step is the cheapest known way to a layer.
-type step struct {
+// partialPath is the cheapest known path of stages from layer 0 to a layer
+// boundary.
+type partialPath struct {
+	// cost is in ms, +Inf when no path is known.
 	cost float64
-	hop  Stage
-	// before is the index of the boundary where the hop begins.
-	before int
+	// last is the last stage of the path.
+	last Stage
+	// prev is the index of the boundary where the last stage begins.
+	prev int
 }
 
 // candidate is an engine with its costs for one request, in ms.
 type candidate struct {
 	*directory.Upstream
-	// perLayer is for each layer that it runs, stage for taking part at all, first for
-	// doing so as the first stage.
-	perLayer, stage, first float64
+	// perLayerMs is the cost of each layer that the engine runs, stageMs that
+	// of being a stage of the chain, firstStageMs the additional cost of being
+	// the first stage.
+	perLayerMs, stageMs, firstStageMs float64
 }
 
-// price gives engines their costs, once for all the ways that lead through them.
-func (b *Picker) price(now time.Time, m *layered.Model, r Request, engines []*directory.Upstream) []candidate {
-	priced := make([]candidate, 0, len(engines))
+// candidates returns the engines with their costs, except for the pinned first
+// stage.
+func (p *Picker) candidates(now time.Time, m *layered.Model, r Request, engines []*directory.Upstream) []candidate {
+	candidates := make([]candidate, 0, len(engines))
 	for _, e := range engines {
-		if r.fixed(e) {
+		if r.isPinned(e) {
 			continue
 		}
-		taste := r.taste(e.ID)
-		c := candidate{Upstream: e, perLayer: b.layerCost(now, m, r, e) * taste, stage: b.stageCost(now, m, r, e) * taste}
+		factor := r.jitterFactor(e.ID)
+		c := candidate{Upstream: e, perLayerMs: p.layerCost(now, m, r, e) * factor, stageMs: p.stageCost(now, m, r, e) * factor}
 		if e.Layers.From == 0 {
-			c.first = b.slotCost(now, r, e)
+			c.firstStageMs = p.slotCost(now, r, e)
 		}
-		priced = append(priced, c)
+		candidates = append(candidates, c)
 	}
-	return priced
+	return candidates
 }
 
-// shortest finds the cheapest chain among the engines of a zone, or of all
-// zones where it is empty; nil if there is none.
-func (b *Picker) shortest(now time.Time, m *layered.Model, engines []candidate, r Request, zone ids.Zone) (Chain, float64) {
-	var inside []candidate
+// shortest returns the cheapest chain among the engines of a zone, or of all zones
+// if zone is empty, and its cost in ms. The chain is nil and the cost +Inf if
+// there is none.
+func (p *Picker) shortest(now time.Time, m *layered.Model, engines []candidate, r Request, zone ids.Zone) (Chain, float64) {
+	var inZone []candidate
 	for _, e := range engines {
 		if zone == "" || e.Zone == zone {
-			inside = append(inside, e)
+			inZone = append(inZone, e)
 		}
 	}
-	cuts := boundaries(inside, m.Layers, r.PinnedFirst)
-	if len(cuts) < 2 || cuts[0] != 0 || cuts[len(cuts)-1] != m.Layers {
+	boundaries := layerBoundaries(inZone, m.Layers, r.PinnedFirst)
+	if len(boundaries) < 2 || boundaries[0] != 0 || boundaries[len(boundaries)-1] != m.Layers {
 		return nil, math.Inf(1)
 	}
-	ways := make([]step, len(cuts))
-	for i := range ways {
-		ways[i].cost = math.Inf(1)
+	paths := make([]partialPath, len(boundaries))
+	for i := range paths {
+		paths[i].cost = math.Inf(1)
 	}
 	start := 0
 	if r.PinnedFirst != nil {
-		start = slices.Index(cuts, r.PinnedFirst.Layers.To)
-		ways[start].hop = *r.PinnedFirst
+		start = slices.Index(boundaries, r.PinnedFirst.Layers.To)
+		paths[start].last = *r.PinnedFirst
 	}
-	ways[start].cost = 0
-	for i := start; i < len(cuts)-1; i++ {
-		if math.IsInf(ways[i].cost, 1) {
+	paths[start].cost = 0
+	for i := start; i < len(boundaries)-1; i++ {
+		if math.IsInf(paths[i].cost, 1) {
 			continue
 		}
-		for j := range inside {
-			b.extend(now, m, r, cuts, ways, i, &inside[j])
+		for j := range inZone {
+			p.extendPaths(now, m, r, boundaries, paths, i, &inZone[j])
 		}
 	}
-	last := len(cuts) - 1
-	if math.IsInf(ways[last].cost, 1) {
+	last := len(boundaries) - 1
+	if math.IsInf(paths[last].cost, 1) {
 		return nil, math.Inf(1)
 	}
-	return trace(ways, last), ways[last].cost
+	return chainOf(paths, last), paths[last].cost
 }
 
-// boundaries gives the layers at which some engine begins or ends, ascending,
-// with those of a first stage that is given.
-func boundaries(engines []candidate, layers int, first *Stage) []int {
-	var cuts []int
-	if first != nil {
-		cuts = append(cuts, first.Layers.From, first.Layers.To)
+// layerBoundaries returns the layers at which an engine's range or the pinned
+// first stage begins or ends, ascending and without duplicates.
+func layerBoundaries(engines []candidate, layers int, pinnedFirst *Stage) []int {
+	var boundaries []int
+	if pinnedFirst != nil {
+		boundaries = append(boundaries, pinnedFirst.Layers.From, pinnedFirst.Layers.To)
 	}
 	for _, e := range engines {
-		cuts = append(cuts, min(e.Layers.From, layers), min(e.Layers.To, layers))
+		boundaries = append(boundaries, min(e.Layers.From, layers), min(e.Layers.To, layers))
 	}
-	slices.Sort(cuts)
-	return slices.Compact(cuts)
+	slices.Sort(boundaries)
+	return slices.Compact(boundaries)
 }
 
-// extend improves the ways that lead on from boundary i through engine e.
-func (b *Picker) extend(now time.Time, m *layered.Model, r Request, cuts []int, ways []step, i int, e *candidate) {
-	from := cuts[i]
-	if e.Layers.From > from || e.Layers.To <= from || from == 0 && !r.mayBegin(e.Upstream) {
+// extendPaths extends the path to boundary i by a stage on engine e, and stores
+// the result for each later boundary that it reaches at lower cost than before.
+func (p *Picker) extendPaths(now time.Time, m *layered.Model, r Request, boundaries []int, paths []partialPath, i int, e *candidate) {
+	from := boundaries[i]
+	if e.Layers.From > from || e.Layers.To <= from || from == 0 && !r.mayBeFirst(e.Upstream) {
 		return
 	}
-	fixed := e.stage
+	fixed := e.stageMs
 	if from == 0 {
-		fixed += e.first
+		fixed += e.firstStageMs
 	}
-	if prev := ways[i].hop.Engine; prev != nil && prev.Zone != e.Zone {
-		fixed += b.hopCost(now, m, prev.Zone, e.Zone)
+	if prev := paths[i].last.Engine; prev != nil && prev.Zone != e.Zone {
+		fixed += p.zoneCrossingCost(now, m, prev.Zone, e.Zone)
 	}
-	for j := i + 1; j < len(cuts) && cuts[j] <= e.Layers.To; j++ {
-		cost := ways[i].cost + fixed + e.perLayer*float64(cuts[j]-from)
-		if cost < ways[j].cost {
-			ways[j] = step{cost: cost, hop: Stage{e.Upstream, layered.Range{From: from, To: cuts[j]}}, before: i}
+	for j := i + 1; j < len(boundaries) && boundaries[j] <= e.Layers.To; j++ {
+		cost := paths[i].cost + fixed + e.perLayerMs*float64(boundaries[j]-from)
+		if cost < paths[j].cost {
+			paths[j] = partialPath{cost: cost, last: Stage{e.Upstream, layered.Range{From: from, To: boundaries[j]}}, prev: i}
 		}
 	}
 }
 
-// passes is how many decoding passes a request takes.
-func (r Request) passes(m *layered.Model) float64 {
+// decodePasses returns the number of decoding passes that a request takes.
+func (r Request) decodePasses(m *layered.Model) float64 {
 	return r.OutputTokens / float64(max(m.StepsPerPass, 1))
 }
 
-// stageCost is the time that a request takes at an engine beside its passes, in
-// ms.
-func (b *Picker) stageCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
-	writers := 1.0
-	if s := b.engines[e.ID]; s != nil {
-		writers += s.guess(now).streams * b.fleet
+// stageCost returns the cost in ms of an engine as a stage of a chain, whatever
+// the number of layers that it runs: transfer and waiting time of each decoding
+// pass, and the costs of an engine with little free capacity.
+func (p *Picker) stageCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
+	streams := 1.0
+	if s := p.engines[e.ID]; s != nil {
+		streams += s.loadPerNode(now).streams * p.nodeCount
 	}
-	wait := m.WaitMs(m.Cards[e.Card], e.Layers.Len(), writers, r.tokens())
-	crowd := max(b.occupied(now, m, e)-fullAt, 0) / (1 - fullAt) * fullMs
-	if b.conditions.IsFull(now, e.ID) {
-		crowd += refusedMs
+	wait := m.WaitMs(m.Cards[e.Card], e.Layers.Len(), streams, r.kvTokens())
+	capacityCost := max(p.kvUtilization(now, m, e)-highUtilization, 0) / (1 - highUtilization) * fullKVCacheCostMs
+	if p.conditions.IsFull(now, e.ID) {
+		capacityCost += recentRefusalCostMs
 	}
-	return r.passes(m)*(hopMs+wait*b.pace(now, e.ID)) + crowd
+	return r.decodePasses(m)*(stageTransferCostMs+wait*p.slowdownCost(now, e.ID)) + capacityCost
 }
 
-// slowFactor is by how much an engine that makes answers late is dearer than its
-// time alone: callers lose more by a late answer than the time it takes.
-const slowFactor = 4.0
+// slowEngineFactor multiplies the cost of an engine that is slow enough to delay
+// answers: callers lose more by a late answer than the time that it takes.
+const slowEngineFactor = 4.0
 
-// pace gives by how much an engine is slower than usual, and more for one that
-// makes answers late.
-func (b *Picker) pace(now time.Time, id ids.Life) float64 {
-	pace := b.conditions.Pace(now, id)
-	if pace < condition.SlowPace {
-		return pace
+// slowdownCost returns the factor by which the slowdown of an engine multiplies
+// its cost: the slowdown itself, 1 at the usual speed, and slowEngineFactor times
+// that from condition.SlowPace on.
+func (p *Picker) slowdownCost(now time.Time, id ids.Life) float64 {
+	slowdown := p.conditions.Pace(now, id)
+	if slowdown < condition.SlowPace {
+		return slowdown
 	}
-	return pace * slowFactor
+	return slowdown * slowEngineFactor
 }
 
-// layerCost is the time that a request takes in one layer of an engine, in ms.
-func (b *Picker) layerCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
+// layerCost returns the expected time in ms that a request takes in one layer of
+// an engine, for its prompt and all decoding passes.
+func (p *Picker) layerCost(now time.Time, m *layered.Model, r Request, e *directory.Upstream) float64 {
 	card, known := m.Cards[e.Card]
 	if !known {
 		card = layered.Card{StepFactor: 1, PrefillFactor: 1}
 	}
-	writers := 1.0
-	if s := b.engines[e.ID]; s != nil {
-		writers += s.guess(now).streams * b.fleet
+	streams := 1.0
+	if s := p.engines[e.ID]; s != nil {
+		streams += s.loadPerNode(now).streams * p.nodeCount
 	}
-	cost := m.PrefillMs(card, 1, r.PromptTokens) + r.passes(m)*m.PassMs(card, 1, writers, r.tokens())
-	return cost * b.pace(now, e.ID)
+	cost := m.PrefillMs(card, 1, r.PromptTokens) + r.decodePasses(m)*m.PassMs(card, 1, streams, r.kvTokens())
+	return cost * p.slowdownCost(now, e.ID)
 }
 
-// trace follows the ways back from the last boundary. Where an engine comes
-// twice, it runs all layers between as well, which it holds in one piece.
-func trace(ways []step, last int) Chain {
+// chainOf returns the chain of the path that ends at boundary last.
+func chainOf(paths []partialPath, last int) Chain {
 	var c Chain
-	for i := last; i > 0; i = ways[i].before {
-		c = append(c, ways[i].hop)
+	for i := last; i > 0; i = paths[i].prev {
+		c = append(c, paths[i].last)
 	}
 	slices.Reverse(c)
-	return merge(c)
+	return mergeStages(c)
 }
 
-// merge joins the hops of one engine into one.
-func merge(c Chain) Chain {
+// mergeStages returns a chain in which no engine occurs twice. The first of two
+// stages on the same engine takes over all layers up to the end of the second,
+// and the stages between are dropped: the engine holds their layers as well,
+// because its layers are contiguous.
+func mergeStages(c Chain) Chain {
 	for i := range c {
 		for j := len(c) - 1; j > i; j-- {
 			if c[j].Engine.ID == c[i].Engine.ID {
 				c[i].Layers.To = c[j].Layers.To
-				return merge(append(c[:i+1:i+1], c[j+1:]...))
+				return mergeStages(append(c[:i+1:i+1], c[j+1:]...))
 			}
 		}
 	}
--- a/decide/chain/shortage_test.go
+++ b/decide/chain/shortage_test.go
@@ -10,76 +10,75 @@
 	"mimosaarch.example/decide/condition"
 )
 
-// pipedModel is the model with figures of the way between zones.
-func pipedModel() *layered.Model {
+// linkedModel returns the model with a link between zones of limited capacity.
+func linkedModel() *layered.Model {
 	m := model()
 	m.ActivationBytes, m.ZoneLinkMbps = 29500, 3280
 	return m
 }
 
-// A stage that refused for want of room is led around over another zone while the
-// pipe is free; once chains fill the pipe, requests stay in their zone. Load: 100
-// prompts of 800 tokens a second, eleven times what a pipe of 3,280 Mbit/s takes.
-func TestCrossingsStopAsThePipeFills(t *testing.T) {
+// If the only engine of a stage in the zone refuses requests, chains use one in another
+// zone, but no more of them than the link between the zones can carry. The load of 100
+// prompts of 800 tokens per second is 11 times the capacity of a link of 3,280 Mbit/s.
+func TestZoneCrossingsStopAsTheLinkFills(t *testing.T) {
 	conditions := condition.New()
-	b := New(conditions)
+	p := New(conditions)
 	v := view(
 		engine("a1", "z1", "fast", 0, 40), engine("a2", "z1", "fast", 40, 80),
 		engine("b", "z2", "fast", 40, 80),
 	)
-	m := pipedModel()
+	m := linkedModel()
 	conditions.Full(start, life("a2"))
-	now, crossed, after := start, 0, 0
+	now, crossed, crossedLate := start, 0, 0
 	for i := range 100 {
 		now = now.Add(10 * time.Millisecond)
 		conditions.Full(now, life("a2"))
-		c, err := b.Pick(now, m, v, request)
+		c, err := p.Pick(now, m, v, request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.RequestStarted(now, c, request)
-		b.RequestEnded(now, c, request)
+		p.RequestStarted(now, c, request)
+		p.RequestEnded(now, c, request)
 		if strings.Contains(c.String(), "b=") {
 			crossed++
 			if i >= 50 {
-				after++
+				crossedLate++
 			}
 		}
 	}
 	if crossed == 0 {
-		t.Error("no request crossed while the pipe was free")
+		t.Error("no request crossed zones while the link was free")
 	}
-	if share := m.ZoneLinkUtilization(float64(after) / 0.5 * request.PromptTokens); share > 1.2 {
-		t.Errorf("%d of the last 50 requests crossed, %.1f times what the pipe takes", after, share)
+	if utilization := m.ZoneLinkUtilization(float64(crossedLate) / 0.5 * request.PromptTokens); utilization > 1.2 {
+		t.Errorf("%d of the last 50 requests crossed zones, %.1f times the capacity of the link", crossedLate, utilization)
 	}
 }
 
-// An engine that did not answer gets no work until it answers a question, also
-// once its suspicion has ended; then it does at once.
+// An engine that did not answer gets no requests until it answers a probe, even after
+// the time for which it is suspected. Once it has answered, it gets requests again.
 func TestSilentEngineWaitsForAnAnswer(t *testing.T) {
 	conditions := condition.New()
-	b := New(conditions)
+	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z2", "fast", 0, 80))
 	conditions.Failed(start, life("a"))
 	late := start.Add(time.Minute)
-	c, err := b.Pick(late, model(), v, request)
+	c, err := p.Pick(late, model(), v, request)
 	if err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
 	if due := conditions.Due(late); len(due) != 1 || due[0] != life("a") {
-		t.Errorf("to be asked: %v", due)
+		t.Errorf("engines due for a probe: %v", due)
 	}
 	conditions.Answered(life("a"), "z1")
-	if c, err := b.Pick(late, model(), v, request); err != nil || c.String() != "a=0-80" {
+	if c, err := p.Pick(late, model(), v, request); err != nil || c.String() != "a=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
 }
 
-// A zone of which several engines could not be reached gets nothing until one of
-// them answers.
+// A zone with several unreachable engines gets no requests until one of them answers.
 func TestSilentZoneWaitsForAnAnswer(t *testing.T) {
 	conditions := condition.New()
-	b := New(conditions)
+	p := New(conditions)
 	v := view(
 		engine("a1", "z1", "fast", 0, 40), engine("a2", "z1", "fast", 40, 80), engine("a3", "z1", "fast", 0, 80),
 		engine("b", "z2", "fast", 0, 80),
@@ -89,11 +88,11 @@
 		conditions.Unreachable(start, id, "z1")
 	}
 	late := start.Add(time.Minute)
-	if c, err := b.Pick(late, model(), v, request); err != nil || c.String() != "b=0-80" {
+	if c, err := p.Pick(late, model(), v, request); err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
 	conditions.Answered(life("a1"), "z1")
-	if c, err := b.Pick(late, model(), v, request); err != nil || c.String() != "a3=0-80" {
+	if c, err := p.Pick(late, model(), v, request); err != nil || c.String() != "a3=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
 }
