--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -190,12 +190,12 @@
 	conditions := condition.New()
 	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.Paced(start, life("a"), 5)
+	conditions.SetPace(start, life("a"), 5)
 	if got := mustPick(t, p, v, request); got != "b=0-80" {
 		t.Errorf("with engine a slow: chain %s", got)
 	}
-	conditions.Paced(start, life("a"), 1)
-	conditions.Full(start, life("a"))
+	conditions.SetPace(start, life("a"), 1)
+	conditions.RefusedFull(start, life("a"))
 	if got := mustPick(t, p, v, request); got != "b=0-80" {
 		t.Errorf("with engine a full: chain %s", got)
 	}
@@ -251,7 +251,7 @@
 	conditions := condition.New()
 	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.Paced(start, life("b"), 4)
+	conditions.SetPace(start, life("b"), 4)
 	streams := 0
 	for c, _ := p.Pick(start, model(), v, request); c.Has(life("a")); c, _ = p.Pick(start, model(), v, request) {
 		p.RequestStarted(start, c, request)
@@ -274,7 +274,7 @@
 	conditions := condition.New()
 	p := New(conditions)
 	only, second := engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80)
-	conditions.Full(start, only.ID)
+	conditions.RefusedFull(start, only.ID)
 	c, err := p.Pick(start, model(), view(only), request)
 	if err != nil || p.FullEngine(start, c) == nil || p.FullEngine(start, c).ID != only.ID {
 		t.Errorf("chain %s, error %v", c, err)
--- a/decide/chain/fleet_test.go
+++ b/decide/chain/fleet_test.go
@@ -143,7 +143,7 @@
 func (s *simulation) request(now time.Time) {
 	zone := s.rand.IntN(3)
 	n := s.nodes[3*s.rand.IntN(len(s.nodes)/3)+zone]
-	n.retries.First(now)
+	n.retries.RecordFirst(now)
 	r := request
 	r.Zone, r.JitterSeed = ids.Zone(fmt.Sprintf("z%d", zone+1)), s.rand.Uint64()|1
 	r.Avoid = make(map[ids.Life]bool)
@@ -167,7 +167,7 @@
 	present := s.firstStages[first]
 	if present >= simSlotsPerEngine+simQueueLimit {
 		r.Avoid[first] = true
-		n.conditions.Full(now, first)
+		n.conditions.RefusedFull(now, first)
 		return false
 	}
 	if present >= simSlotsPerEngine {
--- a/decide/chain/shortage_test.go
+++ b/decide/chain/shortage_test.go
@@ -28,11 +28,11 @@
 		engine("b", "z2", "fast", 40, 80),
 	)
 	m := linkedModel()
-	conditions.Full(start, life("a2"))
+	conditions.RefusedFull(start, life("a2"))
 	now, crossed, crossedLate := start, 0, 0
 	for i := range 100 {
 		now = now.Add(10 * time.Millisecond)
-		conditions.Full(now, life("a2"))
+		conditions.RefusedFull(now, life("a2"))
 		c, err := p.Pick(now, m, v, request)
 		if err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 	if err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
-	if due := conditions.Due(late); len(due) != 1 || due[0] != life("a") {
+	if due := conditions.ProbesDue(late); len(due) != 1 || due[0] != life("a") {
 		t.Errorf("engines due for a probe: %v", due)
 	}
 	conditions.Answered(life("a"), "z1")
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -110,7 +110,7 @@
 	req.sentAt = r.now
 	req.startedAt = time.Time{}
 	if req.attempt == 1 {
-		req.svc.budget.First(r.now)
+		req.svc.budget.RecordFirst(r.now)
 	}
 	r.trial(req)
 	r.note(req, StepSent, "", "")
@@ -157,5 +157,5 @@
 		decision.Outcome = err.Outcome
 		decision.Detail = err.Detail
 	}
-	r.emit(Note{Decision: decision})
+	r.emit(RecordDecision{Decision: decision})
 }
--- a/decide/router/script_test.go
+++ b/decide/router/script_test.go
@@ -36,7 +36,7 @@
 		router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}),
 		now:    epoch,
 	}
-	s.router.Step(s.now, ConfigSeen{Config: testConfig()})
+	s.router.Step(s.now, ConfigReceived{Config: testConfig()})
 	s.vms("vm-1", "vm-2")
 	for _, name := range []string{"head-1", "head-2"} {
 		s.load(name, 0, 3)
@@ -78,12 +78,12 @@
 		list.VMs = append(list.VMs, platformapi.VM{ID: id, Address: id, Zone: "a", Role: platformapi.RoleEngine, State: platformapi.StateLive, Service: "drafts"})
 	}
 	list.VMs = append(list.VMs, platformapi.VM{ID: "plain-1", Address: "plain-1", Zone: "a", Role: platformapi.RolePlain, State: platformapi.StateLive, Service: "booking"})
-	s.step(VMsSeen{List: list})
+	s.step(VMListReceived{List: list})
 }
 
 // load tells the Router an engine's report.
 func (s *script) load(name string, first, last int) {
-	s.step(LoadSeen{At: s.now, Report: engineapi.LoadReport{
+	s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
 		Engine: name, Epoch: "e-" + name, Model: "drafts", First: first, Last: last, Slots: 8, TokensPerSecond: 100,
 	}})
 }
@@ -145,9 +145,9 @@
 }
 
 // arrive makes a request of the known account.
-func arrive(id ids.Request, change func(*Arrive)) Arrive {
+func arrive(id ids.Request, change func(*RequestArrived)) RequestArrived {
 	key := sha256.Sum256([]byte("key"))
-	ev := Arrive{ID: id, Service: "drafts", KeySHA256: hex.EncodeToString(key[:]), Fingerprint: "f-" + string(id), MaxTokens: 10}
+	ev := RequestArrived{ID: id, Service: "drafts", KeySHA256: hex.EncodeToString(key[:]), Fingerprint: "f-" + string(id), MaxTokens: 10}
 	if change != nil {
 		change(&ev)
 	}
@@ -155,10 +155,10 @@
 }
 
 // withKey gives a request an idempotency key.
-func withKey(a *Arrive) { a.IdempotencyKey, a.Fingerprint = "k", "f" }
+func withKey(a *RequestArrived) { a.IdempotencyKey, a.Fingerprint = "k", "f" }
 
 // booking makes it a call of the plain service that may not be repeated.
-func booking(a *Arrive) { a.Service, a.Method, a.Path = "booking", "POST", "/bookings" }
+func booking(a *RequestArrived) { a.Service, a.Method, a.Path = "booking", "POST", "/bookings" }
 
 // ended makes the end of the newest attempt sent.
 func (s *script) ended(phase outcome.Phase, reason outcome.Reason) {
