--- a/decide/load/entry.go
+++ b/decide/load/entry.go
@@ -6,112 +6,116 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// Shape of the history that a lagging report is compared with.
+// Parameters of the history of counts that load reports are compared with.
 const (
-	// historyStep is the shortest time between two kept samples.
-	historyStep = 50 * time.Millisecond
-	// historyLength samples reach back at least 1.6s; older reports leave
-	// the unexplained part as it is.
+	// minSampleInterval is the shortest time between two samples of the history.
+	minSampleInterval = 50 * time.Millisecond
+	// historyLength is the number of samples in the history. They cover at least
+	// 1.6 s. Reports measured before that leave the unattributed load as it is.
 	historyLength = 32
-	// smoothing is the weight of a new report in the unexplained part.
-	smoothing = 0.4
+	// newReportWeight is the weight of a new report in the moving average of the
+	// unattributed load.
+	newReportWeight = 0.4
 )
 
-// entry is what a Book keeps of one upstream.
+// entry is the load data of one upstream.
 type entry struct {
-	// own and peers are the counts in flight accounted for.
+	// own and peers are the numbers of requests in flight from this VM and from
+	// its peers.
 	own, peers int
-	// unexplained is the smoothed count reported beyond those; the estimate
-	// uses it when positive.
-	unexplained float64
-	// comparable is the time since which the history and unexplained mean
-	// the same set of senders.
-	comparable time.Time
-	history    history
+	// unattributed is the moving average of the reported number of running
+	// requests less own and peers. A negative value counts as 0 in the estimate.
+	unattributed float64
+	// comparableSince is the time since which history and unattributed refer to
+	// the same set of senders. Reports measured before it are not compared.
+	comparableSince time.Time
+	history         history
 
-	known    bool
-	last     engineapi.LoadReport
-	measured time.Time
-	failures int
+	hasReport   bool
+	lastReport  engineapi.LoadReport
+	measuredAt  time.Time
+	failedPolls int
 }
 
-// note records the counts after a change.
-func (e *entry) note(now time.Time) {
+// recordCounts adds the current counts to the history.
+func (e *entry) recordCounts(now time.Time) {
 	e.history.add(sample{at: now, own: e.own, peers: e.peers})
 }
 
-// shift moves work into (n > 0) or out of the unexplained part. Reports
-// measured before now can't be compared with the counts any more.
-func (e *entry) shift(now time.Time, n float64) {
-	e.unexplained = max(e.unexplained, 0) + n
-	e.unexplained = max(e.unexplained, 0)
-	e.comparable = now
+// shiftUnattributed adds n requests, which may be negative, to the unattributed
+// load. Reports measured before now can no longer be compared with the counts.
+func (e *entry) shiftUnattributed(now time.Time, n float64) {
+	e.unattributed = max(e.unattributed, 0) + n
+	e.unattributed = max(e.unattributed, 0)
+	e.comparableSince = now
 }
 
-// report takes a report measured at the given time. Peers' counts become
-// known peerLag late on average.
-func (e *entry) report(now time.Time, r engineapi.LoadReport, measured time.Time, peerLag time.Duration) {
-	e.failures = 0
-	if e.known && measured.Before(e.measured) {
+// applyReport applies a load report that was measured at measuredAt. peerLag is
+// the average delay after which a change of a peer's count becomes known here.
+func (e *entry) applyReport(now time.Time, r engineapi.LoadReport, measuredAt time.Time, peerLag time.Duration) {
+	e.failedPolls = 0
+	if e.hasReport && measuredAt.Before(e.measuredAt) {
 		return
 	}
-	restarted := e.known && e.last.Epoch != r.Epoch
-	repeated := e.known && measured.Equal(e.measured)
-	first := !e.known
-	e.known = true
-	e.last = r
-	e.last.Links = nil
-	e.measured = measured
+	restarted := e.hasReport && e.lastReport.Epoch != r.Epoch
+	repeated := e.hasReport && measuredAt.Equal(e.measuredAt)
+	first := !e.hasReport
+	e.hasReport = true
+	e.lastReport = r
+	e.lastReport.Links = nil
+	e.measuredAt = measuredAt
 	switch {
 	case restarted:
-		e.unexplained = 0
-		e.comparable = now
-	case repeated, measured.Before(e.comparable):
+		e.unattributed = 0
+		e.comparableSince = now
+	case repeated, measuredAt.Before(e.comparableSince):
 		return
 	default:
-		e.compare(r.Running, measured, peerLag, first)
+		e.updateUnattributed(r.Running, measuredAt, peerLag, first)
 	}
 }
 
-// compare sets the unexplained part from a report and the counts of its time.
-func (e *entry) compare(running int, measured time.Time, peerLag time.Duration, first bool) {
-	own, okOwn := e.history.at(measured)
-	peers, okPeers := e.history.at(measured.Add(peerLag))
+// updateUnattributed updates the unattributed load from a reported number of
+// running requests and the counts at the time of the report. The first report
+// sets it without averaging.
+func (e *entry) updateUnattributed(running int, measuredAt time.Time, peerLag time.Duration, first bool) {
+	own, okOwn := e.history.at(measuredAt)
+	peers, okPeers := e.history.at(measuredAt.Add(peerLag))
 	if !okOwn || !okPeers {
 		return
 	}
-	beyond := float64(running - own.own - peers.peers)
+	difference := float64(running - own.own - peers.peers)
 	if first {
-		e.unexplained = beyond
+		e.unattributed = difference
 		return
 	}
-	e.unexplained += smoothing * (beyond - e.unexplained)
+	e.unattributed += newReportWeight * (difference - e.unattributed)
 }
 
-// forget drops all reports.
-func (e *entry) forget() {
-	e.known = false
-	e.last = engineapi.LoadReport{}
-	e.measured = time.Time{}
-	e.unexplained = 0
-	e.failures = 0
+// forgetReports drops all data from load reports.
+func (e *entry) forgetReports() {
+	e.hasReport = false
+	e.lastReport = engineapi.LoadReport{}
+	e.measuredAt = time.Time{}
+	e.unattributed = 0
+	e.failedPolls = 0
 }
 
-// estimate gives the belief now.
+// estimate returns the estimated load at time now.
 func (e *entry) estimate(now time.Time) Estimate {
 	est := Estimate{
-		InFlight:        float64(e.own+e.peers) + max(e.unexplained, 0),
+		InFlight:        float64(e.own+e.peers) + max(e.unattributed, 0),
 		OwnInFlight:     e.own,
-		ReportedRunning: e.last.Running,
-		Slots:           e.last.Slots,
-		Rate:            e.last.TokensPerSecond,
-		Epoch:           e.last.Epoch,
-		Leaving:         e.last.Leaving,
-		Failures:        e.failures,
-		HasReport:       e.known,
+		ReportedRunning: e.lastReport.Running,
+		Slots:           e.lastReport.Slots,
+		Rate:            e.lastReport.TokensPerSecond,
+		Epoch:           e.lastReport.Epoch,
+		Leaving:         e.lastReport.Leaving,
+		Failures:        e.failedPolls,
+		HasReport:       e.hasReport,
 	}
-	if e.known {
-		est.Age = now.Sub(e.measured)
+	if e.hasReport {
+		est.Age = now.Sub(e.measuredAt)
 	}
 	return est
 }
--- a/decide/load/history.go
+++ b/decide/load/history.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// sample is the counts in flight from a time on.
+// sample holds the in-flight counts of an upstream from time at on.
 type sample struct {
 	at         time.Time
 	own, peers int
 }
 
-// history is a ring of the counts of the last while. Changes closer than
-// historyStep share a sample, which keeps the time of its first change.
+// history is a ring buffer of the most recent samples. Changes closer together
+// than minSampleInterval share a sample, which keeps the time of the first of
+// them and the counts of the last.
 type history struct {
 	samples [historyLength]sample
 	count   int
 	newest  int
-	// lost tells that samples were overwritten: before the oldest, the
-	// counts aren't known to have been zero.
-	lost bool
+	// overwritten is set once a sample has been overwritten. Without that, the
+	// counts before the oldest sample were zero.
+	overwritten bool
 }
 
-// add records the counts from a time on.
+// add appends a sample or merges it into the newest one.
 func (h *history) add(s sample) {
-	if h.count > 0 && s.at.Sub(h.samples[h.newest].at) < historyStep {
+	if h.count > 0 && s.at.Sub(h.samples[h.newest].at) < minSampleInterval {
 		s.at = h.samples[h.newest].at
 		h.samples[h.newest] = s
 		return
@@ -32,13 +33,13 @@
 	if h.count < historyLength {
 		h.count++
 	} else {
-		h.lost = true
+		h.overwritten = true
 	}
 	h.samples[h.newest] = s
 }
 
-// at gives the counts that held at a time, false when it lies before all
-// that is kept.
+// at returns the counts at time t, and false if t is before all samples and
+// earlier ones have been overwritten.
 func (h *history) at(t time.Time) (sample, bool) {
 	for k := range h.count {
 		s := h.samples[(h.newest-k+historyLength)%historyLength]
@@ -46,5 +47,5 @@
 			return s, true
 		}
 	}
-	return sample{}, !h.lost
+	return sample{}, !h.overwritten
 }
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -1,16 +1,20 @@
-// Package load estimates the work in flight at each upstream. Engines report
-// their own load with a lag; a Book adds to the last report what this VM and
-// its peers have sent since, less what has ended.
+// Package load estimates the number of requests in flight at each upstream.
+// Engines report their load with a delay, so an Estimator adds to the last
+// report the requests that this VM and its peers have started since, and
+// subtracts those that have ended.
 //
-// What this VM has in flight is known exactly, what its peers have is known
-// as of their last digest. A report measured at time t covers both and also
-// work of senders not heard of. The Book therefore takes from a report only
-// the part that was not accounted for at time t (the unexplained part), and
-// estimates
+// The requests of this VM are known exactly, those of its peers as of their last
+// digest. A load report measured at time t includes both, and also requests from
+// senders that this VM has no digest of. The Estimator therefore takes from a
+// report only the unattributed load: the running requests that were not in the
+// counts of this VM and its peers at time t. It estimates
 //
-//	in flight now = own now + peers' last digests + unexplained part
+//	in flight now = own count now + counts of the peers' last digests + unattributed load
 //
 // so that no request is counted twice.
+//
+// Package router feeds it with each request, poll and digest, and reads the
+// estimates whenever it picks an upstream.
 package load
 
 import (
@@ -18,13 +22,14 @@
 	"time"
 )
 
-// Settings bound a Book. A zero field gets its default.
+// Settings bounds the memory of an Estimator and describes its peers. A zero
+// field gets its default.
 type Settings struct {
-	// MaxUpstreams is the most upstreams kept. Default 8192.
+	// MaxUpstreams is the maximum number of upstreams. Default 8192.
 	MaxUpstreams int
-	// MaxPeers is the most peer VMs kept. Default 512.
+	// MaxPeers is the maximum number of peer VMs. Default 512.
 	MaxPeers int
-	// DigestInterval is how often peers send their counts. Default 200ms.
+	// DigestInterval is the time between two digests of a peer. Default 200ms.
 	DigestInterval time.Duration
 }
 
@@ -35,48 +40,53 @@
 	defaultDigestInterval = 200 * time.Millisecond
 )
 
-// Estimate is what is believed of one upstream.
+// Estimate is the estimated load of one upstream.
 type Estimate struct {
-	// InFlight is the estimated count of requests running now.
+	// InFlight is the estimated number of requests in flight.
 	InFlight float64
-	// OwnInFlight is the count this VM has in flight; exact.
+	// OwnInFlight is the exact number of requests in flight from this VM.
 	OwnInFlight int
-	// ReportedRunning is the running count of the last report as it came.
+	// ReportedRunning is the number of running requests in the last report.
 	ReportedRunning int
-	// Slots is the most requests the upstream runs at once; 0 when not known.
+	// Slots is the maximum number of requests that the upstream runs at once;
+	// 0 when not known.
 	Slots int
-	// Rate is the token steps a second at full batch; 0 when not known.
+	// Rate is the number of token steps per second at full batch size; 0 when
+	// not known.
 	Rate float64
-	// Epoch names the upstream's process life; empty when not known.
+	// Epoch identifies the upstream's process and changes when it restarts; empty
+	// when not known.
 	Epoch string
-	// Leaving is the upstream's own word.
+	// Leaving is set when the upstream reports that it is about to leave and
+	// takes no new requests.
 	Leaving bool
-	// Age is the time since the last report was measured; 0 when Known is false.
+	// Age is the time since the last report was measured; 0 without a report.
 	Age time.Duration
-	// Failures counts polls failed since the last report.
+	// Failures is the number of failed polls since the last report.
 	Failures int
-	// HasReport tells whether any report has come.
+	// HasReport is set when there is a load report.
 	HasReport bool
 }
 
-// ReportError refuses a report with impossible figures.
+// ReportError reports a load report with a missing or impossible value.
 type ReportError struct {
-	// Engine is the report's sender, Field the figure at fault.
+	// Engine is the sender of the report, Field the JSON name of the value.
 	Engine, Field string
 }
 
 // Error implements error.
 func (e *ReportError) Error() string {
-	return fmt.Sprintf("load report of %q: bad %s", e.Engine, e.Field)
+	return fmt.Sprintf("load report of %q: invalid value of %s", e.Engine, e.Field)
 }
 
-// FullError refuses news of one upstream or VM more than a Book may keep.
+// FullError reports that an Estimator holds the maximum number of upstreams or
+// peers and cannot add another one.
 type FullError struct {
-	// Limit is the bound met.
+	// Limit is that maximum.
 	Limit int
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("load book is full at %d entries", e.Limit)
+	return fmt.Sprintf("load estimator is full: limit of %d entries reached", e.Limit)
 }
