--- a/adapter/orders/orders_test.go
+++ b/adapter/orders/orders_test.go
@@ -87,7 +87,7 @@
 func run(t *testing.T, test func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{store: &store{objects: map[string]platformapi.Object{}}}
-		plan, _ := json.Marshal(order.Plan{Layers: 2, Engines: []order.Wanted{{Engine: "e", Model: "m", Version: "2"}}})
+		plan, _ := json.Marshal(order.Plan{Layers: 2, Engines: []order.Assignment{{Engine: "e", Model: "m", Version: "2"}}})
 		_, _ = f.Put(t.Context(), order.Key("s"), plan, 0)
 		for _, name := range []string{"a", "b"} {
 			d := New(Options{
--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -24,8 +24,8 @@
 	"mimosaarch.example/decide/lease"
 )
 
-// Wanted is what one engine is to hold.
-type Wanted struct {
+// Assignment is what one engine is to hold.
+type Assignment struct {
 	Engine ids.Upstream `json:"engine"`
 	Model  string       `json:"model"`
 	// First and Last are the layers, inclusive, counted from 0.
@@ -42,7 +42,7 @@
 	// ChecksFence tells that the service's engines refuse orders with an old
 	// fencing number. Default false.
 	ChecksFence bool     `json:"checks_fence,omitempty"`
-	Engines     []Wanted `json:"engines"`
+	Engines     []Assignment `json:"engines"`
 }
 
 // KeyPrefix is the prefix of the platform's objects that hold plans.
@@ -144,7 +144,7 @@
 // engine is what is known of one engine.
 type engine struct {
 	service ids.Service
-	wanted  Wanted
+	wanted  Assignment
 	report  engineapi.LoadReport
 	// reported is when the last report came; zero if none did.
 	reported time.Time
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -34,7 +34,7 @@
 	b := &bench{Planner: New(opts), t: t, plan: Plan{Layers: 4, ChecksFence: true}}
 	for half := range 2 {
 		for i := range each {
-			b.plan.Engines = append(b.plan.Engines, Wanted{
+			b.plan.Engines = append(b.plan.Engines, Assignment{
 				Engine: ids.Upstream(fmt.Sprintf("e%d%d", half, i)),
 				Model:  "m", First: 2 * half, Last: 2*half + 1, Version: "2",
 			})
@@ -61,7 +61,7 @@
 	b.reportOne(seconds, b.plan.Engines[0], "old", "x")
 }
 
-func (b *bench) reportOne(seconds int, w Wanted, model, epoch string) {
+func (b *bench) reportOne(seconds int, w Assignment, model, epoch string) {
 	b.Reported(at(seconds), engineapi.LoadReport{Engine: string(w.Engine), Epoch: epoch, Model: model, First: w.First, Last: w.Last})
 }
 
@@ -206,8 +206,8 @@
 		}
 	}
 	p := New(Options{MaxEngines: 1})
-	one := Plan{Layers: 1, Engines: []Wanted{{Engine: "e", Model: "m"}}}
-	two := Plan{Layers: 1, Engines: []Wanted{{Engine: "f", Model: "m"}, {Engine: "g", Model: "m"}}}
+	one := Plan{Layers: 1, Engines: []Assignment{{Engine: "e", Model: "m"}}}
+	two := Plan{Layers: 1, Engines: []Assignment{{Engine: "f", Model: "m"}, {Engine: "g", Model: "m"}}}
 	var refused *PlanError
 	if err := p.SetPlan("s", one); err != nil {
 		t.Fatal(err)
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -125,7 +125,7 @@
 		// More than the engines hold, so that no chain is lost by a load.
 		Layers:      2,
 		ChecksFence: checks,
-		Engines:     []order.Wanted{{Engine: ids.Upstream(name), Model: "m", Version: "2"}},
+		Engines:     []order.Assignment{{Engine: ids.Upstream(name), Model: "m", Version: "2"}},
 	})
 	return value
 }
