--- a/adapter/orders/duty.go
+++ b/adapter/orders/duty.go
@@ -143,7 +143,7 @@
 	limit, done := context.WithTimeout(ctx, s.Timeout)
 	defer done()
 	status := d.Status()
-	if !status.Held || status.Fence != s.Order.Fence || status.Left < s.MinLeft {
+	if !status.Held || status.Fence != s.Order.Fence || status.Left < s.MinLeaseRemaining {
 		return order.Skipped
 	}
 	return d.opts.Send(limit, address, s)
--- a/adapter/orders/options.go
+++ b/adapter/orders/options.go
@@ -112,7 +112,7 @@
 	o.MaxSends = cmp.Or(o.MaxSends, DefaultMaxSends)
 	o.Ring = cmp.Or(o.Ring, DefaultRing)
 	o.Lease.Duration = cmp.Or(o.Lease.Duration, lease.DefaultDuration)
-	o.Order.MinLeft = cmp.Or(o.Order.MinLeft, o.Lease.Duration/minLeftPart)
+	o.Order.MinLeaseRemaining = cmp.Or(o.Order.MinLeaseRemaining, o.Lease.Duration/minLeftPart)
 	if o.Send == nil {
 		o.Send = Send
 	}
--- a/adapter/orders/orders_test.go
+++ b/adapter/orders/orders_test.go
@@ -250,12 +250,12 @@
 		held.Answered(began, lease.Answer{Kind: lease.Found, Version: 3, Record: write.Record})
 		d.lease = bareLease{held}
 	}
-	s := order.Send{Order: engineapi.Order{Fence: 3}, Timeout: time.Second, MinLeft: lease.DefaultDuration / 3}
+	s := order.Send{Order: engineapi.Order{Fence: 3}, Timeout: time.Second, MinLeaseRemaining: lease.DefaultDuration / 3}
 	earlier := s
 	earlier.Order.Fence = 2
 	for name, try := range map[string]func() order.Result{
 		"lapsed":             func() order.Result { hold(-time.Second); return d.give(t.Context(), s) },
-		"little left":        func() order.Result { hold(s.MinLeft - time.Millisecond); return d.give(t.Context(), s) },
+		"little left":        func() order.Result { hold(s.MinLeaseRemaining - time.Millisecond); return d.give(t.Context(), s) },
 		"of an earlier term": func() order.Result { hold(lease.DefaultDuration); return d.give(t.Context(), earlier) },
 	} {
 		if got := try(); got != order.Skipped || sent {
--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -53,9 +53,9 @@
 
 // Options bound a Planner. Zero values stand for the defaults.
 type Options struct {
-	// MinLeft is the least time of the lease left at a send. Default a third
+	// MinLeaseRemaining is the least time of the lease left at a send. Default a third
 	// of lease.DefaultDuration. It is never below OrderTimeout.
-	MinLeft time.Duration
+	MinLeaseRemaining time.Duration
 	// OrderTimeout bounds the wait for the answer to an order. Default 2s.
 	OrderTimeout time.Duration
 	// RepeatEvery is the time after which an unconfirmed order is sent
@@ -76,7 +76,7 @@
 
 // Defaults of Options.
 const (
-	DefaultMinLeft      = lease.DefaultDuration / 3
+	DefaultMinLeaseRemaining      = lease.DefaultDuration / 3
 	DefaultOrderTimeout = 2 * time.Second
 	DefaultRepeatEvery  = 10 * time.Second
 	DefaultLoadTimeout  = 10 * time.Minute
@@ -91,9 +91,9 @@
 
 // withDefaults fills in unset options.
 func (o Options) withDefaults() Options {
-	o.MinLeft = cmp.Or(o.MinLeft, DefaultMinLeft)
+	o.MinLeaseRemaining = cmp.Or(o.MinLeaseRemaining, DefaultMinLeaseRemaining)
 	o.OrderTimeout = cmp.Or(o.OrderTimeout, DefaultOrderTimeout)
-	o.MinLeft = max(o.MinLeft, o.OrderTimeout)
+	o.MinLeaseRemaining = max(o.MinLeaseRemaining, o.OrderTimeout)
 	o.RepeatEvery = cmp.Or(o.RepeatEvery, DefaultRepeatEvery)
 	o.LoadTimeout = cmp.Or(o.LoadTimeout, DefaultLoadTimeout)
 	o.Rate = cmp.Or(o.Rate, DefaultRate)
@@ -107,9 +107,9 @@
 type Send struct {
 	Engine ids.Upstream
 	Order  engineapi.Order
-	// Timeout bounds the call; MinLeft is what must be left of the lease when
+	// Timeout bounds the call; MinLeaseRemaining is what must be left of the lease when
 	// the clock is read just before it.
-	Timeout, MinLeft time.Duration
+	Timeout, MinLeaseRemaining time.Duration
 }
 
 // Result is what came of an order.
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -156,7 +156,7 @@
 }
 
 func TestLeaseGuardsOrders(t *testing.T) {
-	b := newBench(t, Options{Rate: 9, AtOnce: 9, MinLeft: 3 * time.Second, OrderTimeout: 2 * time.Second}, 1)
+	b := newBench(t, Options{Rate: 9, AtOnce: 9, MinLeaseRemaining: 3 * time.Second, OrderTimeout: 2 * time.Second}, 1)
 	b.plan.ChecksFence = false
 	if err := b.SetPlan("s", b.plan); err != nil {
 		t.Fatal(err)
--- a/decide/order/tick.go
+++ b/decide/order/tick.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	p.enter(status)
-	if status.Left < p.opts.MinLeft {
+	if status.Left < p.opts.MinLeaseRemaining {
 		return nil
 	}
 	var out []Send
@@ -137,7 +137,7 @@
 			Version: e.wanted.Version,
 		},
 		Timeout: p.opts.OrderTimeout,
-		MinLeft: p.opts.MinLeft,
+		MinLeaseRemaining: p.opts.MinLeaseRemaining,
 	}
 }
 
