--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -58,9 +58,9 @@
 	MinLeaseRemaining time.Duration
 	// OrderTimeout bounds the wait for the answer to an order. Default 2s.
 	OrderTimeout time.Duration
-	// RepeatEvery is the time after which an unconfirmed order is sent
+	// RetryInterval is the time after which an unconfirmed order is sent
 	// again. Default 10s.
-	RepeatEvery time.Duration
+	RetryInterval time.Duration
 	// LoadTimeout is how long an engine may take to confirm before it no
 	// longer counts as loading. Default 10m.
 	LoadTimeout time.Duration
@@ -78,7 +78,7 @@
 const (
 	DefaultMinLeaseRemaining      = lease.DefaultDuration / 3
 	DefaultOrderTimeout = 2 * time.Second
-	DefaultRepeatEvery  = 10 * time.Second
+	DefaultRetryInterval  = 10 * time.Second
 	DefaultLoadTimeout  = 10 * time.Minute
 	DefaultRate         = 6
 	DefaultAtOnce       = 2
@@ -94,7 +94,7 @@
 	o.MinLeaseRemaining = cmp.Or(o.MinLeaseRemaining, DefaultMinLeaseRemaining)
 	o.OrderTimeout = cmp.Or(o.OrderTimeout, DefaultOrderTimeout)
 	o.MinLeaseRemaining = max(o.MinLeaseRemaining, o.OrderTimeout)
-	o.RepeatEvery = cmp.Or(o.RepeatEvery, DefaultRepeatEvery)
+	o.RetryInterval = cmp.Or(o.RetryInterval, DefaultRetryInterval)
 	o.LoadTimeout = cmp.Or(o.LoadTimeout, DefaultLoadTimeout)
 	o.Rate = cmp.Or(o.Rate, DefaultRate)
 	o.AtOnce = cmp.Or(o.AtOnce, DefaultAtOnce)
--- a/decide/order/tick.go
+++ b/decide/order/tick.go
@@ -75,7 +75,7 @@
 	case !p.plans[e.service].ChecksFence && now.Sub(status.Since) < p.opts.OrderTimeout:
 		return false
 	case e.repeat():
-		return now.Sub(e.sent) >= p.opts.RepeatEvery
+		return now.Sub(e.sent) >= p.opts.RetryInterval
 	}
 	return p.mayLoad(now, e)
 }
@@ -162,7 +162,7 @@
 		e.applied = true
 	case Skipped, Refused:
 		if !e.applied {
-			e.notBefore = e.sent.Add(p.opts.RepeatEvery)
+			e.notBefore = e.sent.Add(p.opts.RetryInterval)
 			e.forget()
 		}
 	}
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -161,7 +161,7 @@
 	h := &holder{Client: client}
 	h.duty = orders.New(orders.Options{
 		Lease:    lease.Options{Holder: name},
-		Order:    order.Options{RepeatEvery: time.Second},
+		Order:    order.Options{RetryInterval: time.Second},
 		Platform: h,
 		Address:  func(id ids.Upstream) string { return f.addresses[id] },
 		Send:     h.send,
