--- a/adapter/orders/options.go
+++ b/adapter/orders/options.go
@@ -65,7 +65,7 @@
 type Options struct {
 	// Name is the lease's. Default "orders".
 	Name string
-	// Lease and Order set up the decisions. An Order.MinLeft of 0 stands for
+	// Lease and Order set up the decisions. An Order.MinLeaseRemaining of 0 stands for
 	// a third of the lease's duration.
 	Lease    lease.Options
 	Order    order.Options
--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -64,12 +64,12 @@
 	// LoadTimeout is how long an engine may take to confirm before it no
 	// longer counts as loading. Default 10m.
 	LoadTimeout time.Duration
-	// Rate is the most loads begun in a minute. Default 6.
-	Rate int
-	// AtOnce is the most engines loading at once. Default 2.
-	AtOnce int
-	// ReportFor is how long a report counts. Default 10s.
-	ReportFor time.Duration
+	// LoadsPerMinute is the most loads begun in a minute. Default 6.
+	LoadsPerMinute int
+	// MaxConcurrentLoads is the most engines loading at once. Default 2.
+	MaxConcurrentLoads int
+	// ReportTTL is how long a report counts. Default 10s.
+	ReportTTL time.Duration
 	// MaxEngines bounds the engines of all plans. Default 4096.
 	MaxEngines int
 }
@@ -80,13 +80,13 @@
 	DefaultOrderTimeout = 2 * time.Second
 	DefaultRetryInterval  = 10 * time.Second
 	DefaultLoadTimeout  = 10 * time.Minute
-	DefaultRate         = 6
-	DefaultAtOnce       = 2
-	DefaultReportFor    = 10 * time.Second
+	DefaultLoadsPerMinute         = 6
+	DefaultMaxConcurrentLoads       = 2
+	DefaultReportTTL    = 10 * time.Second
 	DefaultMaxEngines   = 4096
 )
 
-// rateWindow is the time that Rate counts in.
+// rateWindow is the window of LoadsPerMinute.
 const rateWindow = time.Minute
 
 // withDefaults fills in unset options.
@@ -96,9 +96,9 @@
 	o.MinLeaseRemaining = max(o.MinLeaseRemaining, o.OrderTimeout)
 	o.RetryInterval = cmp.Or(o.RetryInterval, DefaultRetryInterval)
 	o.LoadTimeout = cmp.Or(o.LoadTimeout, DefaultLoadTimeout)
-	o.Rate = cmp.Or(o.Rate, DefaultRate)
-	o.AtOnce = cmp.Or(o.AtOnce, DefaultAtOnce)
-	o.ReportFor = cmp.Or(o.ReportFor, DefaultReportFor)
+	o.LoadsPerMinute = cmp.Or(o.LoadsPerMinute, DefaultLoadsPerMinute)
+	o.MaxConcurrentLoads = cmp.Or(o.MaxConcurrentLoads, DefaultMaxConcurrentLoads)
+	o.ReportTTL = cmp.Or(o.ReportTTL, DefaultReportTTL)
 	o.MaxEngines = cmp.Or(o.MaxEngines, DefaultMaxEngines)
 	return o
 }
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestAtOnceAndRate(t *testing.T) {
-	b := newBench(t, Options{Rate: 3, AtOnce: 2}, 3)
+	b := newBench(t, Options{LoadsPerMinute: 3, MaxConcurrentLoads: 2}, 3)
 	got, _ := b.tick(1, held(5))
 	b.want("the last holder's loads count", got)
 	b.report(61, "old")
@@ -106,7 +106,7 @@
 }
 
 func TestChainStays(t *testing.T) {
-	b := newBench(t, Options{Rate: 100, AtOnce: 100}, 2)
+	b := newBench(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 2)
 	b.report(60, "m")
 	got, sends := b.tick(60, held(5))
 	b.want("one of each range stays", got, "e00", "e10")
@@ -120,7 +120,7 @@
 }
 
 func TestNoLoadWithoutSpare(t *testing.T) {
-	b := newBench(t, Options{Rate: 100, AtOnce: 100}, 1)
+	b := newBench(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 1)
 	b.report(60, "m")
 	got, _ := b.tick(60, held(5))
 	b.want("the only chain is kept", got)
@@ -130,7 +130,7 @@
 }
 
 func TestRepeatsUntilTheReportConfirms(t *testing.T) {
-	b := newBench(t, Options{Rate: 1, AtOnce: 1}, 1)
+	b := newBench(t, Options{LoadsPerMinute: 1, MaxConcurrentLoads: 1}, 1)
 	b.broken(60)
 	_, sends := b.tick(60, held(5))
 	if len(sends) != 1 || sends[0].Order != (engineapi.Order{Fence: 5, Model: "m", First: 0, Last: 1, Version: "2"}) {
@@ -156,7 +156,7 @@
 }
 
 func TestLeaseGuardsOrders(t *testing.T) {
-	b := newBench(t, Options{Rate: 9, AtOnce: 9, MinLeaseRemaining: 3 * time.Second, OrderTimeout: 2 * time.Second}, 1)
+	b := newBench(t, Options{LoadsPerMinute: 9, MaxConcurrentLoads: 9, MinLeaseRemaining: 3 * time.Second, OrderTimeout: 2 * time.Second}, 1)
 	b.plan.ChecksFence = false
 	if err := b.SetPlan("s", b.plan); err != nil {
 		t.Fatal(err)
@@ -174,11 +174,11 @@
 	}
 	// A new term: engines that ignore fences wait out the last holder's
 	// orders, and an answer to the earlier term's order tells nothing.
-	b.opts.Rate = 0
+	b.opts.LoadsPerMinute = 0
 	b.broken(70)
 	took := lease.Status{Held: true, Left: 10 * time.Second, Fence: 9, Since: at(70)}
 	b.tick(70, took)
-	b.opts.Rate = 9
+	b.opts.LoadsPerMinute = 9
 	got, _ = b.tick(71, took)
 	b.want("one second after the takeover", got)
 	if b.Ended(sends[1], Stale) {
--- a/decide/order/tick.go
+++ b/decide/order/tick.go
@@ -54,7 +54,7 @@
 	for _, e := range p.engines {
 		e.again()
 	}
-	p.loads = slices.Repeat([]time.Time{status.Since}, p.opts.Rate)
+	p.loads = slices.Repeat([]time.Time{status.Since}, p.opts.LoadsPerMinute)
 }
 
 // names lists the engines in order.
@@ -94,7 +94,7 @@
 
 // present reports whether the engine is there to be ordered.
 func (p *Planner) present(now time.Time, e *engine) bool {
-	return !e.reported.IsZero() && now.Sub(e.reported) < p.opts.ReportFor && !e.report.Leaving
+	return !e.reported.IsZero() && now.Sub(e.reported) < p.opts.ReportTTL && !e.report.Leaving
 }
 
 // repeat reports whether the engine was given this order in its process life.
@@ -114,7 +114,7 @@
 			atOnce++
 		}
 	}
-	return len(p.loads) < p.opts.Rate && atOnce < p.opts.AtOnce && p.chainStays(now, e)
+	return len(p.loads) < p.opts.LoadsPerMinute && atOnce < p.opts.MaxConcurrentLoads && p.chainStays(now, e)
 }
 
 // order gives an engine its order.
