--- a/decide/balancer/cheapest.go
+++ b/decide/balancer/cheapest.go
@@ -49,7 +49,7 @@
 	c.cost[i] = math.Inf(1)
 	c.next[i] = source
 	rest := 0.0
-	if !g.Ends(i) {
+	if !g.IsTail(i) {
 		rest = c.onward(g, i)
 	}
 	if !math.IsInf(rest, 1) {
--- a/decide/balancer/flow.go
+++ b/decide/balancer/flow.go
@@ -136,7 +136,7 @@
 func (p *flow) walk(s *flowLook) float64 {
 	p.path = p.path[:0]
 	at, total := source, 0.0
-	for at == source || !s.graph.Ends(at) {
+	for at == source || !s.graph.IsTail(at) {
 		first, cost := p.hop(s, at)
 		second, other := p.hop(s, at)
 		if other < cost {
@@ -197,7 +197,7 @@
 func (p *flow) own(s *flowLook) float64 {
 	p.path = p.path[:0]
 	at, total := source, 0.0
-	for at == source || !s.graph.Ends(at) {
+	for at == source || !s.graph.IsTail(at) {
 		i, edge := s.favourite(at)
 		if i == source {
 			return math.Inf(1)
--- a/decide/balancer/search.go
+++ b/decide/balancer/search.go
@@ -49,7 +49,7 @@
 		return false
 	}
 	s.path = append(s.path, i)
-	if s.g.Ends(i) || s.follow(i) {
+	if s.g.IsTail(i) || s.follow(i) {
 		return true
 	}
 	s.path = s.path[:len(s.path)-1]
--- a/decide/topology/augment.go
+++ b/decide/topology/augment.go
@@ -74,7 +74,7 @@
 			x.fromEntry(node / 2)
 			continue
 		}
-		if x.s.g.Ends(node / 2) {
+		if x.s.g.IsTail(node / 2) {
 			return node
 		}
 		x.fromExit(node / 2)
--- a/decide/topology/flow.go
+++ b/decide/topology/flow.go
@@ -217,7 +217,7 @@
 		taken += a.push
 	}
 	offered := s.in[i]
-	if s.g.Ends(i) {
+	if s.g.IsTail(i) {
 		taken = min(offered, s.free(i))
 	}
 	s.flow[i] += taken
--- a/decide/topology/graph.go
+++ b/decide/topology/graph.go
@@ -138,7 +138,7 @@
 	toEnd := make([]bool, len(g.engines))
 	var kept []Engine
 	for i := range slices.Backward(g.engines) {
-		toEnd[i] = g.Ends(i)
+		toEnd[i] = g.IsTail(i)
 		for _, e := range g.next[i] {
 			toEnd[i] = toEnd[i] || toEnd[e.To]
 		}
@@ -222,8 +222,8 @@
 // caller must not change it.
 func (g *Graph) Next(i int) []Edge { return g.next[i] }
 
-// Ends reports whether engine i holds the model's last layer.
-func (g *Graph) Ends(i int) bool { return g.engines[i].Last == g.layers-1 }
+// IsTail reports whether engine i holds the model's last layer.
+func (g *Graph) IsTail(i int) bool { return g.engines[i].Last == g.layers-1 }
 
 // Index gives the index of an engine, false when the graph leaves it out.
 func (g *Graph) Index(id ids.Upstream) (int, bool) {
--- a/decide/topology/graph_test.go
+++ b/decide/topology/graph_test.go
@@ -129,7 +129,7 @@
 				out += f.Edge[i][k]
 				into[edge.To] += f.Edge[i][k]
 			}
-			if g.Ends(i) {
+			if g.IsTail(i) {
 				ended += f.Engine[i]
 			} else if math.Abs(out-f.Engine[i]) > 1e-6 {
 				t.Fatalf("engine %v: %v through, %v out", e, f.Engine[i], out)
