--- a/decide/balancer/balancer_test.go
+++ b/decide/balancer/balancer_test.go
@@ -307,7 +307,7 @@
 // there is no interval to keep or where the flow needs it.
 func TestSlowLinksAreLeftOut(t *testing.T) {
 	slow := topology.Link{From: "a", To: "c", Rate: 20}
-	free := topology.Link{From: "a", To: "d", Latency: topology.DefaultZoneLatency}
+	free := topology.Link{From: "a", To: "d", Latency: topology.DefaultSameZoneLatency}
 	for _, test := range []struct {
 		slowest float64
 		rates   []float64
@@ -344,7 +344,7 @@
 func TestHeadOfOwnZoneGetsMore(t *testing.T) {
 	engines := pair(100, 100, 100, 100).Engines()
 	engines[1].Zone = "far"
-	links := []topology.Link{{From: "b", To: "c", Latency: topology.DefaultZoneLatency}, {From: "b", To: "d", Latency: topology.DefaultZoneLatency}}
+	links := []topology.Link{{From: "b", To: "c", Latency: topology.DefaultSameZoneLatency}, {From: "b", To: "d", Latency: topology.DefaultSameZoneLatency}}
 	v := newFakeView(topology.NewGraph(2, engines, links))
 	if got := taken(picker(fleet.StrategyFlow, Options{}), v, Request{Zone: "z"}, "a"); got < 85 {
 		t.Errorf("the head of the own zone is taken %d times of 100", got)
--- a/decide/balancer/flow_look.go
+++ b/decide/balancer/flow_look.go
@@ -40,7 +40,7 @@
 	if s.request.Zone == "" || s.graph.Engines()[i].Zone == s.request.Zone {
 		return 0
 	}
-	return topology.DefaultCrossLatency.Seconds()
+	return topology.DefaultCrossZoneLatency.Seconds()
 }
 
 // edge gives the time of a step over a link, +Inf when it may not be used.
--- a/decide/topology/graph.go
+++ b/decide/topology/graph.go
@@ -10,8 +10,8 @@
 
 // Default one-way latencies of links that no report names.
 const (
-	DefaultZoneLatency  = 200 * time.Microsecond
-	DefaultCrossLatency = time.Millisecond
+	DefaultSameZoneLatency  = 200 * time.Microsecond
+	DefaultCrossZoneLatency = time.Millisecond
 )
 
 // Edge is one link of a Graph, from an engine to one that may follow it.
@@ -156,9 +156,9 @@
 		return Edge{To: to, Latency: l.Latency, Rate: l.Rate}
 	}
 	if from.Zone == follower.Zone {
-		return Edge{To: to, Latency: DefaultZoneLatency}
+		return Edge{To: to, Latency: DefaultSameZoneLatency}
 	}
-	return Edge{To: to, Latency: DefaultCrossLatency}
+	return Edge{To: to, Latency: DefaultCrossZoneLatency}
 }
 
 // usable gives the engines that lie on some complete tiling, in order of
--- a/decide/topology/graph_test.go
+++ b/decide/topology/graph_test.go
@@ -57,7 +57,7 @@
 	if diff := cmp.Diff([]Edge{{To: 2, Latency: time.Second, Rate: 7}}, g.Next(0)); diff != "" {
 		t.Error(diff)
 	}
-	defaults := []Edge{{To: 2, Latency: DefaultZoneLatency}, {To: 3, Latency: DefaultCrossLatency}}
+	defaults := []Edge{{To: 2, Latency: DefaultSameZoneLatency}, {To: 3, Latency: DefaultCrossZoneLatency}}
 	if diff := cmp.Diff(defaults, g.Next(1)); diff != "" {
 		t.Error(diff)
 	}
