--- a/decide/balancer/plan.go
+++ b/decide/balancer/plan.go
@@ -94,14 +94,14 @@
 // flow gives the flow to aim at.
 func (p *plan) flow(slowest float64) *topology.Flow {
 	engine := func(i int) float64 { return p.engine[i] }
-	all := topology.PartFlows(p.graph, topology.Parts{
+	all := topology.ScaledFlows(p.graph, topology.Scale{
 		Engine: engine,
 		Link:   func(i, k int) float64 { return p.link[i][k] },
 	})
 	if math.IsInf(slowest, 1) {
 		return all
 	}
-	quick := topology.PartFlows(p.graph, topology.Parts{Engine: engine, Link: func(i, k int) float64 {
+	quick := topology.ScaledFlows(p.graph, topology.Scale{Engine: engine, Link: func(i, k int) float64 {
 		if p.graph.Next(i)[k].StepTime() > slowest {
 			return 0
 		}
--- a/decide/topology/flow.go
+++ b/decide/topology/flow.go
@@ -26,9 +26,9 @@
 	easyPart = 0.6
 )
 
-// Parts tells which part of each engine and link of a Graph may be used, from
+// Scale tells which part of each engine and link of a Graph may be used, from
 // 0 for none to 1 for all. A nil func means all.
-type Parts struct {
+type Scale struct {
 	// Engine gives the part of engine i.
 	Engine func(i int) float64
 	// Link gives the part of the k-th edge of engine i. The edge's limit is
@@ -41,10 +41,10 @@
 // The libraries at hand give the value of a maximum flow but no flow, so it
 // is built here: first by rounds that fill all engines in proportion, then by
 // augmenting paths until none is left.
-func Flows(g *Graph) *Flow { return PartFlows(g, Parts{}) }
+func Flows(g *Graph) *Flow { return ScaledFlows(g, Scale{}) }
 
-// PartFlows is Flows for a graph of which only parts may be used.
-func PartFlows(g *Graph, p Parts) *Flow {
+// ScaledFlows is Flows for a graph of which only parts may be used.
+func ScaledFlows(g *Graph, p Scale) *Flow {
 	s := newSpread(g, p)
 	for _, s.part = range [...]float64{easyPart, 1} {
 		s.rounds()
@@ -92,7 +92,7 @@
 }
 
 // newSpread makes the empty flow of parts of a graph.
-func newSpread(g *Graph, p Parts) *spread {
+func newSpread(g *Graph, p Scale) *spread {
 	n := len(g.engines)
 	s := &spread{
 		g:    g,
@@ -115,7 +115,7 @@
 }
 
 // engine gives the part of an engine.
-func (p Parts) engine(i int) float64 {
+func (p Scale) engine(i int) float64 {
 	if p.Engine == nil {
 		return 1
 	}
@@ -123,7 +123,7 @@
 }
 
 // link gives the part of an edge.
-func (p Parts) link(i, k int) float64 {
+func (p Scale) link(i, k int) float64 {
 	if p.Link == nil {
 		return 1
 	}
