--- a/adapter/placer/shortage.go
+++ b/adapter/placer/shortage.go
@@ -37,7 +37,7 @@
 		return p.opts.SilentFor(u) >= lostAfter
 	})
 	state = p.state(now, answering)
-	whole = placement.Whole(m, state)
+	whole = placement.CompleteZones(m, state)
 	count := 0
 	for _, ok := range whole {
 		if ok {
@@ -46,7 +46,7 @@
 	}
 	if urgent = 2*count < len(whole); !urgent {
 		state = p.state(now, engines)
-		whole = placement.Whole(m, state)
+		whole = placement.CompleteZones(m, state)
 	}
 	return state, whole, urgent
 }
@@ -99,7 +99,7 @@
 		all = append(all, placement.Engine{ID: u.ID, Zone: u.Zone, Card: u.Card, Holds: u.Layers})
 		leaving[u.Zone] = leaving[u.Zone] || u.Leaving
 	}
-	left := placement.Whole(m, all)
+	left := placement.CompleteZones(m, all)
 	for zone, whole := range left {
 		left[zone] = whole && leaving[zone]
 	}
--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -312,7 +312,7 @@
 		stay = append(stay, placement.Engine{ID: u.ID, Zone: u.Zone, Card: u.Card, Holds: u.Layers})
 		memory[u.Zone] += most(u.Card)
 	}
-	for zone, whole := range placement.Whole(siteModel, stay) {
+	for zone, whole := range placement.CompleteZones(siteModel, stay) {
 		if whole || memory[zone] < siteModel.Layers {
 			delete(s.since, zone)
 			continue
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -75,8 +75,8 @@
 	fromBack bool
 }
 
-// Whole reports for each zone whether its engines hold every layer.
-func Whole(m *layered.Model, engines []Engine) map[ids.Zone]bool {
+// CompleteZones reports for each zone whether its engines hold every layer.
+func CompleteZones(m *layered.Model, engines []Engine) map[ids.Zone]bool {
 	byZone := make(map[ids.Zone][]Engine)
 	for _, e := range engines {
 		byZone[e.Zone] = append(byZone[e.Zone], e)
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -56,7 +56,7 @@
 	m := model()
 	engines := append(append(zone("a", 1, 3, 8), zone("b", 1, 6, 5)...), zone("c", 2, 2, 5)...)
 	after := apply(engines, Plan(m, engines, Options{}))
-	for name, whole := range Whole(m, after) {
+	for name, whole := range CompleteZones(m, after) {
 		if !whole {
 			t.Errorf("zone %s lacks layers", name)
 		}
--- a/decide/placement/relocate_test.go
+++ b/decide/placement/relocate_test.go
@@ -23,7 +23,7 @@
 	}
 	emptied := make(map[ids.Life]bool)
 	rounds := 0
-	for ; !Whole(m, engines)["a"] && rounds < 20; rounds++ {
+	for ; !CompleteZones(m, engines)["a"] && rounds < 20; rounds++ {
 		orders := Plan(m, engines, moving("a"))
 		checkServed(t, m, engines, orders)
 		for _, o := range orders {
@@ -33,7 +33,7 @@
 		}
 		engines = apply(engines, orders)
 	}
-	if !Whole(m, engines)["a"] || rounds > 3 || len(emptied) > 1 {
+	if !CompleteZones(m, engines)["a"] || rounds > 3 || len(emptied) > 1 {
 		t.Errorf("%d rounds in which %d engines gave up layers, want 3 and one: %+v", rounds, len(emptied), engines)
 	}
 }
--- a/decide/placement/tiling_test.go
+++ b/decide/placement/tiling_test.go
@@ -75,11 +75,11 @@
 	held := apply(engines, Plan(m, engines, Options{}))
 	for i := range held {
 		left := slices.Delete(slices.Clone(held), i, i+1)
-		if Whole(m, left)["a"] {
+		if CompleteZones(m, left)["a"] {
 			continue
 		}
 		after, rounds := settle(t, m, left, moving("a"))
-		if !Whole(m, after)["a"] {
+		if !CompleteZones(m, after)["a"] {
 			t.Errorf("without %s (%s) the zone is not whole after %d rounds", held[i].ID, held[i].Holds, rounds)
 		}
 		for _, o := range Plan(m, left, moving("a")) {
@@ -118,7 +118,7 @@
 			engines = slices.Delete(engines, i, i+1)
 		}
 		engines[r.IntN(len(engines))].Fixed = true
-		if Whole(m, engines)["a"] || wholeTiling(m, engines) == nil {
+		if CompleteZones(m, engines)["a"] || wholeTiling(m, engines) == nil {
 			continue
 		}
 		tiled++
@@ -135,7 +135,7 @@
 		for i := range after {
 			after[i].Fixed = false
 		}
-		if after, _ = settle(t, m, after, moving("a")); !Whole(m, after)["a"] {
+		if after, _ = settle(t, m, after, moving("a")); !CompleteZones(m, after)["a"] {
 			t.Errorf("seed %d: not whole after %d rounds, the first of %v: %+v", seed, rounds, orders, after)
 		}
 	}
@@ -155,7 +155,7 @@
 		engines = apply(engines, Plan(m, engines, Options{}))
 		i := r.IntN(len(engines))
 		engines = slices.Delete(engines, i, i+1)
-		if Whole(m, engines)["a"] || wholeTiling(m, engines) == nil {
+		if CompleteZones(m, engines)["a"] || wholeTiling(m, engines) == nil {
 			continue
 		}
 		next := func() []Order {
--- a/decide/placement/whole_test.go
+++ b/decide/placement/whole_test.go
@@ -47,7 +47,7 @@
 			t.Errorf("seed %d: nobody holds %v, with room for %d layers: %+v", seed, missing, layersAt(m, engines, most), engines)
 		}
 	}
-	whole := Whole(m, engines)
+	whole := CompleteZones(m, engines)
 	for name, of := range grouped(engines) {
 		if layersAt(m, of, most) >= m.Layers && !whole[name] {
 			t.Errorf("seed %d: zone %s with room for %d layers is not whole: %+v", seed, name, layersAt(m, of, most), of)
