--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -263,7 +263,7 @@
 		case underway && !told.sending && (u.Layers == told.layers || !now.Before(told.until)):
 			delete(p.under, u.ID)
 		case underway:
-			e.Told, e.Fixed = told.layers, true
+			e.Target, e.Fixed = told.layers, true
 		}
 		state = append(state, e)
 	}
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -29,21 +29,21 @@
 	Slots int
 	// Holds is what it holds, empty for nothing.
 	Holds layered.Range
-	// Told is what an order under way has it hold, empty where there is none.
-	Told layered.Range
+	// Target is what an order under way has it hold, empty where there is none.
+	Target layered.Range
 	// Fixed engines are counted but get no order now.
 	Fixed bool
 }
 
 // underWay reports whether the engine carries out an order.
-func (e Engine) underWay() bool { return !e.Told.Empty() }
+func (e Engine) underWay() bool { return !e.Target.Empty() }
 
 // will gives what the engine holds once it has carried out its order.
 func (e Engine) will() layered.Range {
-	if e.Told.Empty() {
+	if e.Target.Empty() {
 		return e.Holds
 	}
-	return e.Told
+	return e.Target
 }
 
 // serves gives what it holds and goes on holding.
--- a/decide/placement/tiling_test.go
+++ b/decide/placement/tiling_test.go
@@ -44,7 +44,7 @@
 		for i := range during {
 			for _, o := range orders {
 				if o.Engine == during[i].ID {
-					during[i].Told = o.Layers
+					during[i].Target = o.Layers
 				}
 			}
 		}
@@ -166,7 +166,7 @@
 		for i := range engines {
 			for _, o := range orders {
 				if o.Engine == engines[i].ID {
-					engines[i].Told, engines[i].Fixed = o.Layers, true
+					engines[i].Target, engines[i].Fixed = o.Layers, true
 				}
 			}
 		}
