--- a/decide/placement/compare_test.go
+++ b/decide/placement/compare_test.go
@@ -33,7 +33,7 @@
 	for _, of := range byZone(engines) {
 		at := 0
 		for _, e := range of {
-			size := capacity(m, e, Options{part: DefaultPart})
+			size := capacity(m, e, Options{part: DefaultWeightFraction})
 			r := layered.Range{From: at, To: min(at+size, m.Layers)}
 			if at = r.To; at >= m.Layers {
 				at = 0
--- a/decide/placement/part.go
+++ b/decide/placement/part.go
@@ -4,8 +4,8 @@
 
 // Parts of a card's memory for weights.
 const (
-	// DefaultPart is taken where the rest is not more than requests can use.
-	DefaultPart = 0.6
+	// DefaultWeightFraction is taken where the rest is not more than requests can use.
+	DefaultWeightFraction = 0.6
 	// mostUsual is the most that is taken while nothing is missing: engines behind the
 	// first stage serve the requests of several first stages.
 	mostUsual = 0.75
@@ -54,9 +54,9 @@
 		slots = max(slots, e.Slots)
 	}
 	if slots == 0 {
-		return DefaultPart
+		return DefaultWeightFraction
 	}
-	return min(max(partBeside(m, usedSlots*float64(slots)), DefaultPart), mostUsual)
+	return min(max(partBeside(m, usedSlots*float64(slots)), DefaultWeightFraction), mostUsual)
 }
 
 // groupPart gives the part of memory for weights in a group: the usual one, or the smallest
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -57,9 +57,9 @@
 
 // Options set up Plan.
 type Options struct {
-	// WeightPart is the part of a card's memory that weights usually take, 0 to 1; where it
+	// WeightFraction is the part of a card's memory that weights usually take, 0 to 1; where it
 	// is 0 it follows from the requests that engines may work on at once.
-	WeightPart float64
+	WeightFraction float64
 	// Reassign names the zones in which an engine whose layers others there serve too
 	// may be told to hold missing ones instead.
 	Reassign map[ids.Zone]bool
@@ -93,7 +93,7 @@
 	var orders []Order
 	for i, group := range groups(m, engines) {
 		o.fromBack = i%2 == 1
-		usual := o.WeightPart
+		usual := o.WeightFraction
 		if usual <= 0 || usual > 1 {
 			usual = usualPart(m, group)
 		}
--- a/decide/placement/tiling_test.go
+++ b/decide/placement/tiling_test.go
@@ -201,7 +201,7 @@
 	m := model()
 	full := Engine{ID: life("full"), Zone: "a", Card: "small", Holds: layered.Range{From: 0, To: 10}}
 	next := Engine{ID: life("next"), Zone: "a", Card: "medium", Holds: layered.Range{From: 8, To: 18}}
-	o := Options{part: DefaultPart}
+	o := Options{part: DefaultWeightFraction}
 	want := Order{Engine: full.ID, Layers: layered.Range{From: 0, To: 8}}
 	if got := trim(m, []Engine{full, next}, o); len(got) != 1 || got[0] != want {
 		t.Errorf("orders %v, want %v", got, want)
--- a/decide/placement/whole_test.go
+++ b/decide/placement/whole_test.go
@@ -96,12 +96,12 @@
 		slots       int
 		least, most float64
 	}{
-		"large caches":         {918e3, 192, DefaultPart, DefaultPart},
+		"large caches":         {918e3, 192, DefaultWeightFraction, DefaultWeightFraction},
 		"small caches":         {300e3, 192, 0.7, 0.8},
 		"small caches, halved": {150e3, 192, mostUsual, mostUsual},
 		"few requests at once": {918e3, 32, mostUsual, mostUsual},
-		"slots not told":       {300e3, 0, DefaultPart, DefaultPart},
-		"sizes not told":       {0, 192, DefaultPart, DefaultPart},
+		"slots not told":       {300e3, 0, DefaultWeightFraction, DefaultWeightFraction},
+		"sizes not told":       {0, 192, DefaultWeightFraction, DefaultWeightFraction},
 	} {
 		m := model()
 		m.KVTokenBytes = c.cache
