--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -29,8 +29,8 @@
 	Layers layered.Range
 	// Fence is the number of the lease's term.
 	Fence int64
-	// After is the count of orders the engine had begun.
-	After int64
+	// ExpectedOrderCount is the count of orders the engine had begun.
+	ExpectedOrderCount int64
 }
 
 // Result is what came of an order.
@@ -330,7 +330,7 @@
 	if !ok {
 		return Unfit, &LeaseError{}
 	}
-	return p.opts.Engines.Place(limit, u, Order{Layers: layers, Fence: fence, After: report.Orders})
+	return p.opts.Engines.Place(limit, u, Order{Layers: layers, Fence: fence, ExpectedOrderCount: report.Orders})
 }
 
 // term gives the number of the own term, if orders may be given in it now.
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -85,7 +85,7 @@
 func (f *fleet) Place(_ context.Context, u *directory.Upstream, o Order) (Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders = append(f.orders, fmt.Sprintf("%s %s fence %d after %d", u.ID, o.Layers, o.Fence, o.After))
+	f.orders = append(f.orders, fmt.Sprintf("%s %s fence %d after %d", u.ID, o.Layers, o.Fence, o.ExpectedOrderCount))
 	slices.Sort(f.orders)
 	return f.result, nil
 }
--- a/adapter/placer/site_test.go
+++ b/adapter/placer/site_test.go
@@ -136,7 +136,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.servers[u.ID]
-	if e.busy || e.ended || o.After != e.orders || !siteModel.Fits(siteModel.Cards[e.up.Card], o.Layers.Len()) {
+	if e.busy || e.ended || o.ExpectedOrderCount != e.orders || !siteModel.Fits(siteModel.Cards[e.up.Card], o.Layers.Len()) {
 		return Unfit, nil
 	}
 	e.orders++
