--- a/adapter/placer/leavings_test.go
+++ b/adapter/placer/leavings_test.go
@@ -29,7 +29,7 @@
 func playLeavings(t *testing.T, s *site, engines, streams int) {
 	t.Helper()
 	o := Options{
-		Engines: s, Lease: s, Fenced: true, Restarted: func(ids.Life) {},
+		Engines: s, Lease: s, ChecksFence: true, Restarted: func(ids.Life) {},
 		SilentFor: func(*directory.Upstream) time.Duration { return 0 },
 	}
 	playPlacer(t, siteModel, &s.mu, s.dir, o, func(ctx context.Context) {
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -72,10 +72,10 @@
 	Engines Engines
 	Lease   Lease
 	Plan    placement.Options
-	// Fenced tells that engines refuse orders of an earlier term than one they
+	// ChecksFence tells that engines refuse orders of an earlier term than one they
 	// have seen. Orders then go on while the store is away and the lease cannot
 	// be renewed.
-	Fenced bool
+	ChecksFence bool
 	Now    func() time.Time
 	Log    zerolog.Logger
 	// Count adds to a counter.
@@ -339,7 +339,7 @@
 	if status.Held && status.Left >= leastLeft {
 		return status.Fence, true
 	}
-	if !p.opts.Fenced {
+	if !p.opts.ChecksFence {
 		return 0, false
 	}
 	lapsed := p.opts.Lease.Lapsed()
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -127,7 +127,7 @@
 // play runs the duty over a fleet, in a bubble of its own clock.
 func play(t *testing.T, f *fleet, fenced bool, story func()) {
 	t.Helper()
-	o := Options{Engines: f, Lease: f, Fenced: fenced, Restarted: f.restarted, SilentFor: f.silentFor}
+	o := Options{Engines: f, Lease: f, ChecksFence: fenced, Restarted: f.restarted, SilentFor: f.silentFor}
 	playPlacer(t, playModel, &f.mu, f.dir, o, func(context.Context) { story() })
 }
 
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -165,7 +165,7 @@
 		Engines:   ports.Engines,
 		Lease:     n.keeper,
 		Plan:      settings.Plan,
-		Fenced:    settings.Fenced,
+		ChecksFence:    settings.Fenced,
 		Now:       boottime.Now,
 		Log:       log,
 		Count:     n.metrics.Add,
