--- a/adapter/orders/calls.go
+++ b/adapter/orders/calls.go
@@ -69,7 +69,7 @@
 }
 
 // readPlans reads the plans in a goroutine of its own.
-func (d *Duty) readPlans(ctx context.Context) {
+func (d *Controller) readPlans(ctx context.Context) {
 	d.reading = true
 	d.calls.Go(func() {
 		limit, done := context.WithTimeout(ctx, d.opts.CallTimeout)
@@ -89,7 +89,7 @@
 
 // setPlans puts the plans in force that are new, and drops those that are
 // gone. One that is not valid leaves the last one in force.
-func (d *Duty) setPlans(reply platformapi.ListReply) {
+func (d *Controller) setPlans(reply platformapi.ListReply) {
 	named := make(map[ids.Service]bool)
 	for _, object := range reply.Objects {
 		service := ids.Service(strings.TrimPrefix(object.Key, order.KeyPrefix))
@@ -108,7 +108,7 @@
 }
 
 // setPlan puts one plan in force.
-func (d *Duty) setPlan(service ids.Service, value []byte) {
+func (d *Controller) setPlan(service ids.Service, value []byte) {
 	plan, err := order.ParsePlan(service, value)
 	if err == nil {
 		err = d.planner.SetPlan(service, plan)
--- a/adapter/orders/duty.go
+++ b/adapter/orders/duty.go
@@ -20,9 +20,9 @@
 	StepDown()
 }
 
-// Duty seeks the lease and gives the orders. Make it with New, and let Run
+// Controller seeks the lease and gives the orders. Make it with New, and let Run
 // run.
-type Duty struct {
+type Controller struct {
 	opts   Options
 	events *ring.Ring[func(time.Time)]
 	// sends has room for each order that may be under way.
@@ -42,7 +42,7 @@
 }
 
 // New makes a Duty; it calls nothing before Run.
-func New(opts Options) *Duty {
+func New(opts Options) *Controller {
 	opts = opts.withDefaults()
 	keeper := leader.New(leader.Options{
 		Lease:     opts.Lease,
@@ -50,7 +50,7 @@
 		Now:       time.Now,
 		Candidate: opts.Candidate,
 	})
-	return &Duty{
+	return &Controller{
 		opts:    opts,
 		events:  ring.New[func(time.Time)]("order events", opts.Ring),
 		sends:   make(chan struct{}, opts.MaxSends),
@@ -63,7 +63,7 @@
 
 // Run works until ctx ends, and then waits for its calls to end. It is called
 // once. The lease lapses by itself afterwards.
-func (d *Duty) Run(ctx context.Context) {
+func (d *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(d.opts.TickEvery)
 	defer ticker.Stop()
 	defer d.calls.Wait()
@@ -82,7 +82,7 @@
 
 // Reported takes an engine's report of itself. Any goroutine may call it. A
 // *ring.FullError means that it was not taken; a later one will do.
-func (d *Duty) Reported(r engineapi.LoadReport) error {
+func (d *Controller) Reported(r engineapi.LoadReport) error {
 	err := d.events.Offer(func(now time.Time) { d.planner.Reported(now, r) })
 	if err != nil {
 		d.opts.Count(ReportsRefused, 1)
@@ -92,10 +92,10 @@
 
 // Status tells whether this node holds the lease now. Any goroutine may call
 // it.
-func (d *Duty) Status() lease.Status { return d.lease.Status() }
+func (d *Controller) Status() lease.Status { return d.lease.Status() }
 
 // tick makes the calls that are due.
-func (d *Duty) tick(ctx context.Context) {
+func (d *Controller) tick(ctx context.Context) {
 	status := d.Status()
 	if !status.Held {
 		return
@@ -115,12 +115,12 @@
 
 // put hands an answer to Run; it waits for room, since no answer may be
 // missed, and gives up only when the duty ends.
-func (d *Duty) put(ctx context.Context, event func(time.Time)) {
+func (d *Controller) put(ctx context.Context, event func(time.Time)) {
 	_ = d.events.Put(ctx, event)
 }
 
 // send gives one order, in a goroutine of its own.
-func (d *Duty) send(ctx context.Context, s order.Send) {
+func (d *Controller) send(ctx context.Context, s order.Send) {
 	select {
 	case d.sends <- struct{}{}:
 	default:
@@ -135,7 +135,7 @@
 }
 
 // give sends an order if the lease allows it at this moment.
-func (d *Duty) give(ctx context.Context, s order.Send) order.Result {
+func (d *Controller) give(ctx context.Context, s order.Send) order.Result {
 	address := d.opts.Address(s.Engine)
 	if address == "" {
 		return order.Skipped
@@ -151,7 +151,7 @@
 
 // ended takes what came of an order. An engine that has seen a later term
 // ends this one.
-func (d *Duty) ended(s order.Send, result order.Result) {
+func (d *Controller) ended(s order.Send, result order.Result) {
 	d.opts.Count(resultCounters[result], 1)
 	if d.planner.Ended(s, result) {
 		d.lease.StepDown()
--- a/adapter/orders/orders_test.go
+++ b/adapter/orders/orders_test.go
@@ -75,7 +75,7 @@
 // fleet is two duties, a store and the orders given.
 type fleet struct {
 	*store
-	duties  []*Duty
+	duties  []*Controller
 	stops   []func()
 	mu      sync.Mutex
 	given   []engineapi.Order
@@ -111,7 +111,7 @@
 }
 
 // report tells a duty each second what the engine holds.
-func (f *fleet) report(ctx context.Context, d *Duty) {
+func (f *fleet) report(ctx context.Context, d *Controller) {
 	for ctx.Err() == nil {
 		_ = d.Reported(engineapi.LoadReport{Engine: "e", Epoch: "x", Model: "old"})
 		select {
--- a/node/node.go
+++ b/node/node.go
@@ -52,7 +52,7 @@
 	platform *platform.Client
 	feed     *configfeed.Feed
 	claims   committer
-	orders   *orders.Duty
+	orders   *orders.Controller
 	callers  *caller.Server
 	operator *operator
 	// identity and peers are nil in a node that has none.
--- a/node/orders.go
+++ b/node/orders.go
@@ -13,7 +13,7 @@
 
 // newOrders makes the duty that gives engines their orders while it holds the
 // lease.
-func (n *Node) newOrders(store orders.Platform) *orders.Duty {
+func (n *Node) newOrders(store orders.Platform) *orders.Controller {
 	return orders.New(orders.Options{
 		Lease:     lease.Options{Holder: string(n.newID())},
 		Platform:  store,
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -41,7 +41,7 @@
 // answer.
 type holder struct {
 	*platform.Client
-	duty *orders.Duty
+	duty *orders.Controller
 
 	mu  sync.Mutex
 	cut bool
