--- a/adapter/orders/calls.go
+++ b/adapter/orders/calls.go
@@ -21,7 +21,7 @@
 func (l *leaseObject) Call(ctx context.Context, command lease.Command) lease.Answer {
 	limit, done := context.WithTimeout(ctx, l.opts.CallTimeout)
 	defer done()
-	key := LeasePrefix + l.opts.Name
+	key := LeasePrefix + l.opts.LeaseName
 	var object platformapi.Object
 	var err error
 	switch c := command.(type) {
@@ -49,7 +49,7 @@
 	case errors.As(err, &conflict):
 		return found(conflict.Current)
 	}
-	l.opts.Count(CallsFailed, 1)
+	l.opts.Count(PlatformCallsFailed, 1)
 	if platform.MayHaveTakenEffect(err) {
 		return lease.Answer{Kind: lease.Lost}
 	}
@@ -79,7 +79,7 @@
 			d.reading = false
 			d.readAt = now
 			if err != nil {
-				d.opts.Count(CallsFailed, 1)
+				d.opts.Count(PlatformCallsFailed, 1)
 				return
 			}
 			d.setPlans(reply)
--- a/adapter/orders/duty.go
+++ b/adapter/orders/duty.go
@@ -41,7 +41,7 @@
 	fence   int64
 }
 
-// New makes a Duty; it calls nothing before Run.
+// New makes a Controller; it calls nothing before Run.
 func New(opts Options) *Controller {
 	opts = opts.withDefaults()
 	keeper := leader.New(leader.Options{
@@ -52,8 +52,8 @@
 	})
 	return &Controller{
 		opts:    opts,
-		events:  ring.New[func(time.Time)]("order events", opts.Ring),
-		sends:   make(chan struct{}, opts.MaxSends),
+		events:  ring.New[func(time.Time)]("order events", opts.RingCapacity),
+		sends:   make(chan struct{}, opts.MaxInFlight),
 		keeper:  keeper,
 		lease:   keeper,
 		planner: order.New(opts.Order),
@@ -64,7 +64,7 @@
 // Run works until ctx ends, and then waits for its calls to end. It is called
 // once. The lease lapses by itself afterwards.
 func (d *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(d.opts.TickEvery)
+	ticker := time.NewTicker(d.opts.TickInterval)
 	defer ticker.Stop()
 	defer d.calls.Wait()
 	d.calls.Go(func() { d.keeper.Run(ctx) })
@@ -105,7 +105,7 @@
 		d.opts.Count(TermsBegun, 1)
 	}
 	now := time.Now()
-	if !d.reading && now.Sub(d.readAt) >= d.opts.PlansEvery {
+	if !d.reading && now.Sub(d.readAt) >= d.opts.PlanPollInterval {
 		d.readPlans(ctx)
 	}
 	for _, s := range d.planner.Tick(now, d.Status()) {
--- a/adapter/orders/options.go
+++ b/adapter/orders/options.go
@@ -19,7 +19,7 @@
 	"mimosaarch.example/decide/order"
 )
 
-// Platform is the part of the platform's client that a Duty needs.
+// Platform is the part of the platform's client that a Controller needs.
 type Platform interface {
 	Get(ctx context.Context, key string) (platformapi.Object, error)
 	Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error)
@@ -37,8 +37,8 @@
 const (
 	// TermsBegun counts the terms of the lease that this node has held.
 	TermsBegun Counter = "orders_terms_begun"
-	// CallsFailed counts calls of the platform that failed.
-	CallsFailed Counter = "orders_platform_failed"
+	// PlatformCallsFailed counts calls of the platform that failed.
+	PlatformCallsFailed Counter = "orders_platform_failed"
 	// PlansRefused counts plans that are not valid.
 	PlansRefused Counter = "orders_plans_refused"
 	// The results of orders.
@@ -57,14 +57,14 @@
 // LeasePrefix is the prefix of lease objects' keys.
 const LeasePrefix = "lease/"
 
-// DefaultName is the name of the lease.
-const DefaultName = "orders"
+// DefaultLeaseName is the name of the lease.
+const DefaultLeaseName = "orders"
 
-// Options set up a Duty. Lease.Holder, Platform and Address are required;
+// Options set up a Controller. Lease.Holder, Platform and Address are required;
 // zero values of the rest stand for the defaults.
 type Options struct {
-	// Name is the lease's. Default "orders".
-	Name string
+	// LeaseName is the lease's. Default "orders".
+	LeaseName string
 	// Lease and Order set up the decisions. An Order.MinLeaseRemaining of 0 stands for
 	// a third of the lease's duration.
 	Lease    lease.Options
@@ -81,36 +81,36 @@
 	Send SendFunc
 	// Count is told of events; may be nil. Any goroutine calls it.
 	Count func(counter Counter, n int64)
-	// TickEvery is the pace of decisions. Default 100ms.
-	TickEvery time.Duration
-	// PlansEvery is how often the holder reads the plans. Default 5s.
-	PlansEvery time.Duration
+	// TickInterval is the pace of decisions. Default 100ms.
+	TickInterval time.Duration
+	// PlanPollInterval is how often the holder reads the plans. Default 5s.
+	PlanPollInterval time.Duration
 	// CallTimeout bounds a call of the platform. Default 2s.
 	CallTimeout time.Duration
-	// MaxSends bounds the orders under way. Default 16.
-	MaxSends int
-	// Ring is the capacity of the ring of events. Default 1024.
-	Ring int
+	// MaxInFlight bounds the orders under way. Default 16.
+	MaxInFlight int
+	// RingCapacity is the capacity of the ring of events. Default 1024.
+	RingCapacity int
 }
 
 // Defaults of Options.
 const (
-	DefaultTickEvery   = 100 * time.Millisecond
-	DefaultPlansEvery  = 5 * time.Second
-	DefaultCallTimeout = 2 * time.Second
-	DefaultMaxSends    = 16
-	DefaultRing        = 1024
-	minLeftPart        = 3
+	DefaultTickInterval     = 100 * time.Millisecond
+	DefaultPlanPollInterval = 5 * time.Second
+	DefaultCallTimeout      = 2 * time.Second
+	DefaultMaxInFlight      = 16
+	DefaultRingCapacity     = 1024
+	minLeftPart             = 3
 )
 
 // withDefaults fills in unset options.
 func (o Options) withDefaults() Options {
-	o.Name = cmp.Or(o.Name, DefaultName)
-	o.TickEvery = cmp.Or(o.TickEvery, DefaultTickEvery)
-	o.PlansEvery = cmp.Or(o.PlansEvery, DefaultPlansEvery)
+	o.LeaseName = cmp.Or(o.LeaseName, DefaultLeaseName)
+	o.TickInterval = cmp.Or(o.TickInterval, DefaultTickInterval)
+	o.PlanPollInterval = cmp.Or(o.PlanPollInterval, DefaultPlanPollInterval)
 	o.CallTimeout = cmp.Or(o.CallTimeout, DefaultCallTimeout)
-	o.MaxSends = cmp.Or(o.MaxSends, DefaultMaxSends)
-	o.Ring = cmp.Or(o.Ring, DefaultRing)
+	o.MaxInFlight = cmp.Or(o.MaxInFlight, DefaultMaxInFlight)
+	o.RingCapacity = cmp.Or(o.RingCapacity, DefaultRingCapacity)
 	o.Lease.Duration = cmp.Or(o.Lease.Duration, lease.DefaultDuration)
 	o.Order.MinLeaseRemaining = cmp.Or(o.Order.MinLeaseRemaining, o.Lease.Duration/minLeftPart)
 	if o.Send == nil {
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -76,8 +76,8 @@
 	// have seen. Orders then go on while the store is away and the lease cannot
 	// be renewed.
 	ChecksFence bool
-	Now    func() time.Time
-	Log    zerolog.Logger
+	Now         func() time.Time
+	Log         zerolog.Logger
 	// Count adds to a counter.
 	Count func(name string, n int64)
 	// SilentFor tells how long an engine has not answered this node's requests.
--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -41,7 +41,7 @@
 	Layers int `json:"layers"`
 	// ChecksFence tells that the service's engines refuse orders with an old
 	// fencing number. Default false.
-	ChecksFence bool     `json:"checks_fence,omitempty"`
+	ChecksFence bool         `json:"checks_fence,omitempty"`
 	Engines     []Assignment `json:"engines"`
 }
 
@@ -76,14 +76,14 @@
 
 // Defaults of Options.
 const (
-	DefaultMinLeaseRemaining      = lease.DefaultDuration / 3
-	DefaultOrderTimeout = 2 * time.Second
-	DefaultRetryInterval  = 10 * time.Second
-	DefaultLoadTimeout  = 10 * time.Minute
-	DefaultLoadsPerMinute         = 6
-	DefaultMaxConcurrentLoads       = 2
-	DefaultReportTTL    = 10 * time.Second
-	DefaultMaxEngines   = 4096
+	DefaultMinLeaseRemaining  = lease.DefaultDuration / 3
+	DefaultOrderTimeout       = 2 * time.Second
+	DefaultRetryInterval      = 10 * time.Second
+	DefaultLoadTimeout        = 10 * time.Minute
+	DefaultLoadsPerMinute     = 6
+	DefaultMaxConcurrentLoads = 2
+	DefaultReportTTL          = 10 * time.Second
+	DefaultMaxEngines         = 4096
 )
 
 // rateWindow is the window of LoadsPerMinute.
--- a/decide/order/tick.go
+++ b/decide/order/tick.go
@@ -136,7 +136,7 @@
 			Last:    e.wanted.Last,
 			Version: e.wanted.Version,
 		},
-		Timeout: p.opts.OrderTimeout,
+		Timeout:           p.opts.OrderTimeout,
 		MinLeaseRemaining: p.opts.MinLeaseRemaining,
 	}
 }
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -160,17 +160,17 @@
 		Log:       log,
 	})
 	n.placer = placer.New(placer.Options{
-		Table:     n.configs.table.Load,
-		View:      n.upstreams.view.Load,
-		Engines:   ports.Engines,
-		Lease:     n.keeper,
-		Plan:      settings.Plan,
-		ChecksFence:    settings.Fenced,
-		Now:       boottime.Now,
-		Log:       log,
-		Count:     n.metrics.Add,
-		SilentFor: n.server.SilentFor,
-		Restarted: n.upstreams.restarted,
+		Table:       n.configs.table.Load,
+		View:        n.upstreams.view.Load,
+		Engines:     ports.Engines,
+		Lease:       n.keeper,
+		Plan:        settings.Plan,
+		ChecksFence: settings.Fenced,
+		Now:         boottime.Now,
+		Log:         log,
+		Count:       n.metrics.Add,
+		SilentFor:   n.server.SilentFor,
+		Restarted:   n.upstreams.restarted,
 	})
 	n.gauges()
 	return n
