--- a/decide/placement/compare_test.go
+++ b/decide/placement/compare_test.go
@@ -9,15 +9,15 @@
 	"mimosaarch.example/core/layered"
 )
 
-// evenSplit gives each zone's engines equal parts of the model, as far as their
-// cards hold them.
+// evenSplit is a baseline for BenchmarkPlacements: it gives each engine of a zone
+// an equal part of the model, if its card can hold it.
 func evenSplit(m *layered.Model, engines []Engine) []Order {
 	var orders []Order
-	for _, of := range byZone(engines) {
-		part := (m.Layers + len(of) - 1) / len(of)
-		for i, e := range of {
-			from := i * part
-			r := layered.Range{From: from, To: min(from+part, m.Layers)}
+	for _, members := range groupByZone(engines) {
+		share := (m.Layers + len(members) - 1) / len(members)
+		for i, e := range members {
+			from := i * share
+			r := layered.Range{From: from, To: min(from+share, m.Layers)}
 			if !r.Empty() && m.Fits(m.Cards[e.Card], r.Len()) {
 				orders = append(orders, Order{Engine: e.ID, Layers: r})
 			}
@@ -26,14 +26,14 @@
 	return orders
 }
 
-// byCard fills each card to the same part of its memory, one engine after the
-// other, with no regard to speed.
-func byCard(m *layered.Model, engines []Engine) []Order {
+// fillByCard is a baseline for BenchmarkPlacements: it fills the same fraction of each
+// card's memory, one engine after the other, regardless of speed.
+func fillByCard(m *layered.Model, engines []Engine) []Order {
 	var orders []Order
-	for _, of := range byZone(engines) {
+	for _, members := range groupByZone(engines) {
 		at := 0
-		for _, e := range of {
-			size := capacity(m, e, Options{part: DefaultWeightFraction})
+		for _, e := range members {
+			size := capacity(m, e, Options{groupFraction: DefaultWeightFraction})
 			r := layered.Range{From: at, To: min(at+size, m.Layers)}
 			if at = r.To; at >= m.Layers {
 				at = 0
@@ -46,8 +46,8 @@
 	return orders
 }
 
-// byZone groups engines, in the order of zones and names.
-func byZone(engines []Engine) [][]Engine {
+// groupByZone groups the engines by zone, sorted by zone name.
+func groupByZone(engines []Engine) [][]Engine {
 	var zones []ids.Zone
 	for _, e := range engines {
 		if !slices.Contains(zones, e.Zone) {
@@ -63,9 +63,9 @@
 	return groups
 }
 
-// rate is the passes a ms that engines can make together, each for all that it
-// holds: no more than pass the layer that is served least.
-func rate(m *layered.Model, engines []Engine) float64 {
+// passRate returns the passes per ms that the engines can make together, each through
+// all the layers it holds. The layer with the lowest total rate is the limit.
+func passRate(m *layered.Model, engines []Engine) float64 {
 	least := math.Inf(1)
 	for layer := range m.Layers {
 		sum := 0.0
@@ -79,8 +79,9 @@
 	return least
 }
 
-// bound is the passes a ms if work could be cut as finely as wanted.
-func bound(m *layered.Model, engines []Engine) float64 {
+// passRateBound returns the passes per ms that the engines could make if the layers could
+// be divided among them at will: an upper bound of passRate.
+func passRateBound(m *layered.Model, engines []Engine) float64 {
 	sum := 0.0
 	for _, e := range engines {
 		sum += 1 / m.PassMs(m.Cards[e.Card], 1, 1, m.Prompt)
@@ -88,8 +89,9 @@
 	return sum / float64(m.Layers)
 }
 
-// room is the least room for requests, in tokens, of an engine that holds layers.
-func room(m *layered.Model, engines []Engine) float64 {
+// minKVTokens returns the KV cache, in tokens, of the engine with the least of it among
+// those that hold layers.
+func minKVTokens(m *layered.Model, engines []Engine) float64 {
 	least := math.Inf(1)
 	for _, e := range engines {
 		if !e.Holds.Empty() {
@@ -99,7 +101,8 @@
 	return least
 }
 
-// fleets are today's two, which have the same cards, and two invented ones.
+// fleets lists fleets by name. "today" and "today, one zone" have the same cards,
+// in three zones and in one; the others have only large or mostly small cards.
 func fleets() map[string][]Engine {
 	return map[string][]Engine{
 		"today":           slices.Concat(zone("a", 1, 3, 8), zone("b", 1, 6, 5), zone("c", 2, 2, 5)),
@@ -109,36 +112,36 @@
 	}
 }
 
-// BenchmarkPlacements compares ways to place a model: passes as a part of the
-// bound, and the least room for requests.
+// BenchmarkPlacements compares Plan with the baselines: the pass rate as a fraction
+// of the bound, the slowest zone's chain, and the smallest KV cache.
 func BenchmarkPlacements(b *testing.B) {
 	m := model()
 	for name, engines := range fleets() {
 		for way, plan := range map[string]func() []Order{
 			"even":    func() []Order { return evenSplit(m, engines) },
-			"by card": func() []Order { return byCard(m, engines) },
+			"by card": func() []Order { return fillByCard(m, engines) },
 			"ours":    func() []Order { return Plan(m, engines, Options{}) },
 		} {
 			b.Run(name+"/"+way, func(b *testing.B) {
 				var after []Engine
 				for b.Loop() {
-					after = apply(engines, plan())
+					after = applyOrders(engines, plan())
 				}
-				zones := byZone(after)
+				zones := groupByZone(after)
 				slowest := 0.0
-				for _, of := range zones {
-					slowest = max(slowest, chainMs(m, of))
+				for _, members := range zones {
+					slowest = max(slowest, chainMs(m, members))
 				}
-				b.ReportMetric(rate(m, after)/bound(m, after), "of-bound")
+				b.ReportMetric(passRate(m, after)/passRateBound(m, after), "of-bound")
 				b.ReportMetric(slowest, "slowest-chain-ms")
-				b.ReportMetric(room(m, after), "least-room-tokens")
+				b.ReportMetric(minKVTokens(m, after), "least-room-tokens")
 			})
 		}
 	}
 }
 
-// chainMs is the time of a pass through the fastest whole chain of one zone, with
-// the wait at each stage; infinite where there is none.
+// chainMs returns the time of a pass through the fastest complete chain of one
+// zone, in ms, with the wait at each stage; +Inf if there is no complete chain.
 func chainMs(m *layered.Model, engines []Engine) float64 {
 	best := make([]float64, m.Layers+1)
 	for i := range best[1:] {
--- a/decide/placement/group.go
+++ b/decide/placement/group.go
@@ -8,26 +8,27 @@
 	"mimosaarch.example/core/layered"
 )
 
-// groups gives the engines that hold copies of the model together: those of each zone,
-// as zones may be cut off from each other, or those of all zones where none has memory
-// for a copy of its own. The engines of a group are in the order in which they take
-// layers: zone by zone, so that chains change zones seldom, and the fastest first.
+// groups partitions the engines into groups that hold copies of the model together.
+// Each zone is a group, because zones may be cut off from each other; if no zone
+// has memory for a full copy but the fleet has, all engines are one group. A
+// group's engines are in the order in which they are assigned layers: zone by zone,
+// so that chains rarely cross zones, and the fastest first.
 func groups(m *layered.Model, engines []Engine) [][]Engine {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(m.Cards[a.Card].StepFactor, m.Cards[b.Card].StepFactor), a.ID.Compare(b.ID))
 	})
-	zones := chunk(engines)
-	most := fullest(m).part
-	able := func(zone []Engine) bool { return layersAt(m, zone, most) >= m.Layers }
-	if len(zones) > 1 && !slices.ContainsFunc(zones, able) && able(engines) {
+	zones := splitByZone(engines)
+	most := minReserveOptions(m).groupFraction
+	fits := func(zone []Engine) bool { return groupCapacity(m, zone, most) >= m.Layers }
+	if len(zones) > 1 && !slices.ContainsFunc(zones, fits) && fits(engines) {
 		return [][]Engine{engines}
 	}
 	return zones
 }
 
-// chunk splits engines that are in order of their zones by these.
-func chunk(engines []Engine) [][]Engine {
+// splitByZone splits engines that are sorted by zone into one slice for each zone.
+func splitByZone(engines []Engine) [][]Engine {
 	var zones [][]Engine
 	last := ids.Zone("")
 	for i, e := range engines {
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -1,15 +1,17 @@
-// Package placement decides which layers of a model unlike engines hold.
+// Package placement decides which layers of a model each engine of a heterogeneous
+// fleet holds.
 //
-// Each availability zone gets whole copies of its own, since zones are cut off
-// from each other. Fast engines come first and tile the model from the front;
-// the rest lay further copies over the layers that are least covered, so that
-// every part has a stand-in in its zone where the memory allows it. A part of
-// each card's memory stays free for the KV cache of requests.
+// Each availability zone gets complete copies of its own, because zones can be cut
+// off from each other. The fastest engines are assigned first and tile the model
+// from the front. The remaining engines hold further copies of the least covered
+// layers, so that every layer has a second engine in its zone if the memory allows
+// it. A fraction of each card's memory stays free for the KV cache of requests.
 //
-// What engines hold already stays: only empty engines get layers, and, where
-// a zone lost a part that no empty engine can fill, others of it. None of these gives
-// up a layer that no other engine of its zone serves, so an order never makes a zone
-// serve less than before. The package is pure: the same input gives the same plan.
+// Layers that are already loaded stay where they are. Only empty engines are
+// assigned layers, unless a zone lost layers that no empty engine can take over;
+// then other engines of the zone are reassigned. No engine gives up a layer that no
+// other engine of its zone serves, so an order never makes a zone serve fewer
+// layers. The package is pure: the same input gives the same plan.
 package placement
 
 import (
@@ -20,119 +22,126 @@
 	"mimosaarch.example/core/layered"
 )
 
-// Engine is an engine as the plan sees it.
+// Engine is the planner's view of an engine.
 type Engine struct {
 	ID   ids.Life
 	Zone ids.Zone
 	Card string
-	// Slots is how many requests it works on at once, 0 where that is not told.
+	// Slots is the number of requests it runs concurrently; 0 if unknown.
 	Slots int
-	// Holds is what it holds, empty for nothing.
+	// Holds is the range of layers it holds; empty if it holds none.
 	Holds layered.Range
-	// Target is what an order under way has it hold, empty where there is none.
+	// Target is the range that a pending order tells it to hold; empty if no order
+	// is pending.
 	Target layered.Range
-	// Fixed engines are counted but get no order now.
+	// Fixed engines count as coverage but get no order in this plan.
 	Fixed bool
 }
 
-// underWay reports whether the engine carries out an order.
-func (e Engine) underWay() bool { return !e.Target.Empty() }
+// hasPendingOrder reports whether the engine is carrying out an order.
+func (e Engine) hasPendingOrder() bool { return !e.Target.Empty() }
 
-// will gives what the engine holds once it has carried out its order.
-func (e Engine) will() layered.Range {
+// heldAfterOrder returns the layers that the engine holds once it has carried out
+// its pending order, if any.
+func (e Engine) heldAfterOrder() layered.Range {
 	if e.Target.Empty() {
 		return e.Holds
 	}
 	return e.Target
 }
 
-// serves gives what it holds and goes on holding.
-func (e Engine) serves() layered.Range { return e.Holds.Common(e.will()) }
+// retained returns the layers that the engine holds now and keeps through its
+// pending order.
+func (e Engine) retained() layered.Range { return e.Holds.Common(e.heldAfterOrder()) }
 
-// Order tells an engine what to hold.
+// Order tells an engine which layers to hold.
 type Order struct {
 	Engine ids.Life
 	Layers layered.Range
 }
 
-// Options set up Plan.
+// Options configure Plan.
 type Options struct {
-	// WeightFraction is the part of a card's memory that weights usually take, 0 to 1; where it
-	// is 0 it follows from the requests that engines may work on at once.
+	// WeightFraction is the usual fraction of a card's memory for weights, 0 to 1.
+	// 0 means to derive it from the engines' slots.
 	WeightFraction float64
-	// Reassign names the zones in which an engine whose layers others there serve too
-	// may be told to hold missing ones instead.
+	// Reassign names the zones in which an engine may be told to hold missing
+	// layers instead of its own, if other engines of the zone serve all of its
+	// layers.
 	Reassign map[ids.Zone]bool
-	// Move names the zones in which all engines may be told to move along the model
-	// to fill holes. Each loads nothing until what passes through the layers that it
-	// gives up has ended, so an engine that comes back empty is the better filling.
+	// Move names the zones in which every engine may be told to shift its range
+	// along the model to close gaps. An engine that gives up layers loads nothing
+	// until the streams through them have ended, so an empty engine closes a gap
+	// sooner.
 	Move map[ids.Zone]bool
-	// part is the part of a card's memory that weights may take in one group.
-	part float64
-	// fromBack has further copies begin at the last layer, once the first stage
-	// has a stand-in. Zones take turns, so that they do not all hold the same
-	// layers only once.
+	// groupFraction is the fraction of a card's memory that weights may take in the
+	// group being planned.
+	groupFraction float64
+	// fromBack assigns further copies from the last layer backwards once the first
+	// layer has a second engine. Zones alternate, so that the layers with a single
+	// copy differ between zones.
 	fromBack bool
 }
 
-// CompleteZones reports for each zone whether its engines hold every layer.
+// CompleteZones reports for each zone whether its engines hold every layer,
+// counting pending orders as carried out.
 func CompleteZones(m *layered.Model, engines []Engine) map[ids.Zone]bool {
 	byZone := make(map[ids.Zone][]Engine)
 	for _, e := range engines {
 		byZone[e.Zone] = append(byZone[e.Zone], e)
 	}
-	whole := make(map[ids.Zone]bool, len(byZone))
-	for zone, of := range byZone {
-		whole[zone] = len(holes(coverage(m, of))) == 0
+	complete := make(map[ids.Zone]bool, len(byZone))
+	for zone, members := range byZone {
+		complete[zone] = len(findGaps(coverage(m, members))) == 0
 	}
-	return whole
+	return complete
 }
 
-// Plan gives the orders for a model. Engines may come in any order.
+// Plan returns the orders for a model's engines, at most one for each. The result
+// does not depend on the order of the engines.
 func Plan(m *layered.Model, engines []Engine, o Options) []Order {
 	var orders []Order
 	for i, group := range groups(m, engines) {
 		o.fromBack = i%2 == 1
 		usual := o.WeightFraction
 		if usual <= 0 || usual > 1 {
-			usual = usualPart(m, group)
+			usual = usualFraction(m, group)
 		}
-		o.part = groupPart(m, group, usual)
+		o.groupFraction = fittingFraction(m, group, usual)
 		orders = append(orders, planGroup(m, group, o)...)
 	}
 	return orders
 }
 
 const (
-	// stretch is by how much a zone's part of memory for weights may be above
-	// the usual, if its first chain gets faster by that; stretchStep is the
-	// step of the search. One layer more on each card can save a chain its last
-	// stage.
-	stretch     = 0.08
-	stretchStep = 0.01
-	// stretchGain is the part of the usual chain's time that each step must
-	// save, since it costs room for requests.
-	stretchGain = 0.02
+	// maxWeightFractionIncrease limits how far a group's weight fraction may rise above
+	// the usual one to make its first chain faster: one more layer on each card can
+	// save a stage. The search goes in steps of weightFractionIncreaseStep.
+	maxWeightFractionIncrease  = 0.08
+	weightFractionIncreaseStep = 0.01
+	// minTimeSavingPerStep is the fraction of the first chain's time that each step must
+	// save, because each step takes KV cache from requests.
+	minTimeSavingPerStep = 0.02
 )
 
-// planGroup gives the orders for the engines of one group. Where they hold nothing
-// yet, the part of memory for weights is the one with the fastest first chain.
+// planGroup returns the orders for the engines of one group. If none of them holds
+// layers yet, it picks the weight fraction with the fastest first chain.
 func planGroup(m *layered.Model, engines []Engine, o Options) []Order {
-	best := fill(m, engines, o)
+	best := planWithFraction(m, engines, o)
 	if slices.ContainsFunc(engines, func(e Engine) bool { return !e.Holds.Empty() }) {
 		return best
 	}
 	usual := firstChainMs(m, engines, best)
 	bestMs := usual
-	most := fullest(m).part
-	for step := 1; float64(step)*stretchStep <= stretch; step++ {
+	most := minReserveOptions(m).groupFraction
+	for step := 1; float64(step)*weightFractionIncreaseStep <= maxWeightFractionIncrease; step++ {
 		wider := o
-		wider.part += float64(step) * stretchStep
-		if wider.part > most {
+		wider.groupFraction += float64(step) * weightFractionIncreaseStep
+		if wider.groupFraction > most {
 			break
 		}
-		orders := fill(m, engines, wider)
-		ms := firstChainMs(m, engines, orders) + usual*stretchGain*float64(step)
+		orders := planWithFraction(m, engines, wider)
+		ms := firstChainMs(m, engines, orders) + usual*minTimeSavingPerStep*float64(step)
 		if ms < bestMs {
 			best, bestMs = orders, ms
 		}
@@ -140,8 +149,10 @@
 	return best
 }
 
-// firstChainMs is the time of a pass through the first whole chain of a plan,
-// in ms: of the orders in their sequence, as far as they tile the model.
+// firstChainMs returns the time of a pass through the first complete chain of a
+// plan, in ms, with the wait at each stage. The chain consists of the leading
+// orders that tile the model; the result is +Inf if they do not reach the last
+// layer.
 func firstChainMs(m *layered.Model, engines []Engine, orders []Order) float64 {
 	cards := make(map[ids.Life]layered.Card, len(engines))
 	for _, e := range engines {
@@ -162,88 +173,92 @@
 	return ms
 }
 
-// fill gives the orders for the engines of one group with a fixed part of memory
-// for weights.
-func fill(m *layered.Model, engines []Engine, o Options) []Order {
+// planWithFraction returns the orders for the engines of one group with the weight
+// fraction o.groupFraction.
+func planWithFraction(m *layered.Model, engines []Engine, o Options) []Order {
 	covered := coverage(m, engines)
 	var orders []Order
 	for _, e := range engines {
 		if e.Fixed || !e.Holds.Empty() {
 			continue
 		}
-		layers := pick(covered, capacity(m, e, o))
+		layers := pickForward(covered, capacity(m, e, o))
 		if o.fromBack && len(covered) > 0 && slices.Min(covered) > 0 && covered[0] > 1 {
-			layers = pickBack(covered, capacity(m, e, o))
+			layers = pickBackward(covered, capacity(m, e, o))
 		}
 		if layers.Empty() {
 			continue
 		}
-		add(covered, layers, 1)
+		addToRange(covered, layers, 1)
 		orders = append(orders, Order{Engine: e.ID, Layers: layers})
 	}
 	engines = slices.Clone(engines)
-	orders = append(orders, widen(m, engines, covered)...)
+	orders = append(orders, extendNeighbours(m, engines, covered)...)
 	if len(engines) == 0 || len(covered) == 0 {
 		return orders
 	}
-	if len(holes(covered)) > 0 && allowed(o.Reassign, engines) {
+	if len(findGaps(covered)) > 0 && allZonesIn(o.Reassign, engines) {
 		orders = append(orders, reassign(m, engines, covered, o)...)
 	}
 	switch {
 	case len(orders) > 0:
 		return orders
-	case len(holes(covered)) == 0:
+	case len(findGaps(covered)) == 0:
 		return trim(m, engines, o)
-	case allowed(o.Move, engines):
-		return shift(m, engines)
+	case allZonesIn(o.Move, engines):
+		return repair(m, engines)
 	}
 	return nil
 }
 
-// allowed reports whether a map allows something in all zones of engines.
-func allowed(in map[ids.Zone]bool, engines []Engine) bool {
-	return !slices.ContainsFunc(engines, func(e Engine) bool { return !in[e.Zone] })
+// allZonesIn reports whether the set contains the zones of all engines.
+func allZonesIn(zones map[ids.Zone]bool, engines []Engine) bool {
+	return !slices.ContainsFunc(engines, func(e Engine) bool { return !zones[e.Zone] })
 }
 
-// coverage counts for each layer the engines that hold it or were told to.
+// coverage counts for each layer the engines that hold it once pending orders are
+// carried out.
 func coverage(m *layered.Model, engines []Engine) []int {
-	return count(m, engines, Engine.will)
+	return countEnginesByLayer(m, engines, Engine.heldAfterOrder)
 }
 
-// served counts for each layer the engines that hold it and go on holding it.
-func served(m *layered.Model, engines []Engine) []int {
-	return count(m, engines, Engine.serves)
+// retainedCoverage counts for each layer the engines that hold it and keep it through pending
+// orders.
+func retainedCoverage(m *layered.Model, engines []Engine) []int {
+	return countEnginesByLayer(m, engines, Engine.retained)
 }
 
-// count counts for each layer the engines whose range has it.
-func count(m *layered.Model, engines []Engine, rangeOf func(Engine) layered.Range) []int {
+// countEnginesByLayer counts for each layer the engines whose range contains it.
+func countEnginesByLayer(m *layered.Model, engines []Engine, rangeOf func(Engine) layered.Range) []int {
 	counts := make([]int, max(m.Layers, 0))
 	for _, e := range engines {
-		add(counts, rangeOf(e), 1)
+		addToRange(counts, rangeOf(e), 1)
 	}
 	return counts
 }
 
-// add changes the count of a range's layers.
-func add(covered []int, r layered.Range, by int) {
+// addToRange adds by to the count of each layer of the range. Layers outside the
+// model are ignored.
+func addToRange(covered []int, r layered.Range, by int) {
 	for i := max(r.From, 0); i < min(r.To, len(covered)); i++ {
 		covered[i] += by
 	}
 }
 
-// capacity is the most layers that an engine should hold.
+// capacity returns the most layers that the engine may hold with the weight
+// fraction o.groupFraction; 0 if its card is unknown.
 func capacity(m *layered.Model, e Engine, o Options) int {
 	card, known := m.Cards[e.Card]
 	if !known || m.LayerMB <= 0 {
 		return 0
 	}
-	layers := int(card.MemoryMB * o.part / m.LayerMB)
+	layers := int(card.MemoryMB * o.groupFraction / m.LayerMB)
 	return min(layers, m.Layers)
 }
 
-// pick gives the range of at most size layers that begins where the model is
-// least covered, and goes on as far as it is no better covered.
-func pick(covered []int, size int) layered.Range {
+// pickForward returns a range of at most size layers: it starts at the first of the
+// least covered layers and ends before the next layer with more coverage.
+func pickForward(covered []int, size int) layered.Range {
 	if size <= 0 || len(covered) == 0 {
 		return layered.Range{}
 	}
@@ -256,8 +271,8 @@
 	return layered.Range{From: from, To: to}
 }
 
-// pickBack is pick from the last layer backwards.
-func pickBack(covered []int, size int) layered.Range {
+// pickBackward is pickForward from the last layer backwards.
+func pickBackward(covered []int, size int) layered.Range {
 	least := slices.Min(covered)
 	to := len(covered)
 	for covered[to-1] != least {
@@ -270,37 +285,37 @@
 	return layered.Range{From: from, To: to}
 }
 
-// widen fills holes of a zone by engines that hold the layers next to them:
-// they load a few more, while what they hold goes on serving. It gives the
-// orders for the holes that can be filled whole, and marks the engines as fixed,
-// so that none gets a second order.
-func widen(m *layered.Model, engines []Engine, covered []int) []Order {
+// extendNeighbours closes gaps by extending the ranges of the engines next to them,
+// which go on serving the layers they hold. It returns the orders for the gaps that
+// can be closed completely, and marks the engines as fixed so that none gets a
+// second order.
+func extendNeighbours(m *layered.Model, engines []Engine, covered []int) []Order {
 	var orders []Order
-	for _, hole := range holes(covered) {
-		left, leftMost := neighbour(m, engines, func(e Engine) bool { return e.Holds.To == hole.From })
-		right, rightMost := neighbour(m, engines, func(e Engine) bool { return e.Holds.From == hole.To })
-		if leftMost+rightMost < hole.Len() {
+	for _, gap := range findGaps(covered) {
+		left, leftMost := bestNeighbour(m, engines, func(e Engine) bool { return e.Holds.To == gap.From })
+		right, rightMost := bestNeighbour(m, engines, func(e Engine) bool { return e.Holds.From == gap.To })
+		if leftMost+rightMost < gap.Len() {
 			continue
 		}
-		fromLeft := min(leftMost, hole.Len())
-		if rightMost >= hole.Len() && rightMost > leftMost {
+		fromLeft := min(leftMost, gap.Len())
+		if rightMost >= gap.Len() && rightMost > leftMost {
 			fromLeft = 0
 		}
 		if fromLeft > 0 {
-			orders = append(orders, Order{Engine: left.ID, Layers: layered.Range{From: left.Holds.From, To: hole.From + fromLeft}})
+			orders = append(orders, Order{Engine: left.ID, Layers: layered.Range{From: left.Holds.From, To: gap.From + fromLeft}})
 			left.Fixed = true
 		}
-		if fromLeft < hole.Len() {
-			orders = append(orders, Order{Engine: right.ID, Layers: layered.Range{From: hole.From + fromLeft, To: right.Holds.To}})
+		if fromLeft < gap.Len() {
+			orders = append(orders, Order{Engine: right.ID, Layers: layered.Range{From: gap.From + fromLeft, To: right.Holds.To}})
 			right.Fixed = true
 		}
-		add(covered, hole, 1)
+		addToRange(covered, gap, 1)
 	}
 	return orders
 }
 
-// holes gives the ranges that no engine holds.
-func holes(covered []int) []layered.Range {
+// findGaps returns the ranges of layers that no engine holds.
+func findGaps(covered []int) []layered.Range {
 	var all []layered.Range
 	for i, n := range covered {
 		switch {
@@ -314,15 +329,15 @@
 	return all
 }
 
-// neighbour gives the engine of those that fit which can hold the most further
-// layers, and how many.
-func neighbour(m *layered.Model, engines []Engine, fits func(Engine) bool) (best *Engine, most int) {
+// bestNeighbour returns the engine with the most spare capacity among those that
+// fit, and that capacity in layers; nil and 0 if there is none.
+func bestNeighbour(m *layered.Model, engines []Engine, fits func(Engine) bool) (best *Engine, most int) {
 	for i := range engines {
 		e := &engines[i]
 		if e.Fixed || e.Holds.Empty() || !fits(*e) {
 			continue
 		}
-		if spare := capacity(m, *e, widest(m)) - e.Holds.Len(); spare > most {
+		if spare := capacity(m, *e, repairOptions(m)) - e.Holds.Len(); spare > most {
 			best, most = e, spare
 		}
 	}
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -12,7 +12,7 @@
 	"mimosaarch.example/core/layered"
 )
 
-// model has 80 layers on three kinds of cards.
+// model returns a model of 80 layers on three kinds of cards.
 func model() *layered.Model {
 	return &layered.Model{
 		Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, StepMs: 1, PerSequenceMs: 0.007, PerContextMs: 0.01,
@@ -25,7 +25,8 @@
 	}
 }
 
-// zone makes the engines of a zone.
+// zone returns the engines of a zone: the given numbers of large, medium and small
+// cards.
 func zone(name string, large, medium, small int) []Engine {
 	var out []Engine
 	for _, k := range []struct {
@@ -39,8 +40,8 @@
 	return out
 }
 
-// apply gives the engines as they are once orders are done.
-func apply(engines []Engine, orders []Order) []Engine {
+// applyOrders returns the engines as they are after they have carried out the orders.
+func applyOrders(engines []Engine, orders []Order) []Engine {
 	out := append([]Engine(nil), engines...)
 	for _, o := range orders {
 		for i := range out {
@@ -55,9 +56,9 @@
 func TestEachZoneIsWhole(t *testing.T) {
 	m := model()
 	engines := append(append(zone("a", 1, 3, 8), zone("b", 1, 6, 5)...), zone("c", 2, 2, 5)...)
-	after := apply(engines, Plan(m, engines, Options{}))
-	for name, whole := range CompleteZones(m, after) {
-		if !whole {
+	after := applyOrders(engines, Plan(m, engines, Options{}))
+	for name, complete := range CompleteZones(m, after) {
+		if !complete {
 			t.Errorf("zone %s lacks layers", name)
 		}
 	}
@@ -66,7 +67,7 @@
 	}
 }
 
-// TestPlansFitAndDoNotDependOnOrder draws fleets and states.
+// TestPlansFitAndDoNotDependOnOrder checks random fleets with random ranges held.
 func TestPlansFitAndDoNotDependOnOrder(t *testing.T) {
 	m := model()
 	for seed := range uint64(300) {
@@ -96,7 +97,7 @@
 			case seen[o.Engine]:
 				t.Errorf("seed %d: two orders for %s", seed, o.Engine)
 			case e.Fixed:
-				t.Errorf("seed %d: an order for %s, which is busy", seed, o.Engine)
+				t.Errorf("seed %d: an order for %s, which is fixed", seed, o.Engine)
 			case o.Layers.Empty() || o.Layers.From < 0 || o.Layers.To > m.Layers:
 				t.Errorf("seed %d: %s is told to hold %s", seed, o.Engine, o.Layers)
 			case !m.Fits(m.Cards[e.Card], o.Layers.Len()):
@@ -108,7 +109,7 @@
 		}
 		r.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
 		if diff := cmp.Diff(orders, Plan(m, engines, o)); diff != "" {
-			t.Errorf("seed %d: the plan depends on the order of engines: %s", seed, diff)
+			t.Errorf("seed %d: the plan depends on the order of the engines: %s", seed, diff)
 		}
 	}
 }
@@ -122,10 +123,10 @@
 	return Engine{}
 }
 
-func TestHoleIsFilledByWhoStandsEmpty(t *testing.T) {
+func TestEmptyEngineFillsGap(t *testing.T) {
 	m := model()
 	engines := zone("a", 1, 3, 8)
-	held := apply(engines, Plan(m, engines, Options{}))
+	held := applyOrders(engines, Plan(m, engines, Options{}))
 	var lost layered.Range
 	for i := range held {
 		if held[i].Card == "medium" {
@@ -139,7 +140,7 @@
 	}
 }
 
-func TestNeighboursWidenOverASmallHole(t *testing.T) {
+func TestNeighboursExtendOverSmallGap(t *testing.T) {
 	m := model()
 	engines := []Engine{
 		{ID: ids.Life{Upstream: "l"}, Zone: "a", Card: "large", Holds: layered.Range{From: 0, To: 24}},
@@ -159,7 +160,7 @@
 		engines = append(engines, Engine{ID: ids.Life{Upstream: ids.Upstream(fmt.Sprint(i))}, Zone: "a", Card: "small", Holds: r})
 	}
 	if orders := Plan(m, engines, Options{}); len(orders) > 0 {
-		t.Errorf("moved without leave: %v", orders)
+		t.Errorf("orders in a zone that allows none: %v", orders)
 	}
 	orders := Plan(m, engines, Options{Reassign: map[ids.Zone]bool{"a": true}})
 	if len(orders) != 1 || orders[0].Layers.From != 12 {
@@ -173,11 +174,11 @@
 		t.Errorf("orders %v", orders)
 	}
 	if orders := Plan(&layered.Model{}, engines, Options{}); len(orders) > 0 {
-		t.Errorf("orders for no model: %v", orders)
+		t.Errorf("orders for an empty model: %v", orders)
 	}
 }
 
-// BenchmarkPlan tells what a plan costs at the size of one zone after another.
+// BenchmarkPlan measures a plan for fleets of increasing size with up to 15 zones.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []int{33, 90, 3100} {
 		var engines []Engine
@@ -199,12 +200,13 @@
 func TestZonesLayFurtherCopiesFromDifferentEnds(t *testing.T) {
 	m := model()
 	engines := append(append(zone("a", 1, 3, 8), zone("b", 1, 6, 5)...), zone("c", 2, 2, 5)...)
-	after := apply(engines, Plan(m, engines, Options{}))
-	// An engine of each zone may leave while no order can be given.
+	after := applyOrders(engines, Plan(m, engines, Options{}))
+	// One engine of each zone may leave while no order can be given, so one copy
+	// more than there are zones is needed.
 	if least := slices.Min(coverage(m, after)); least < 4 {
 		t.Errorf("some layers are held by %d engines of three zones, want one more than zones", least)
 	}
 }
 
-// life is the one life of an upstream whose start is not told.
+// life returns the life of an upstream whose start time is unknown.
 func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
--- a/decide/placement/relocate.go
+++ b/decide/placement/relocate.go
@@ -8,29 +8,29 @@
 	"mimosaarch.example/core/layered"
 )
 
-// Bounds of the search for engines that go elsewhere.
+// Limits of the search for engines to move to a gap.
 const (
-	// maxRelocatable engines are tried.
-	maxRelocatable = 12
-	// maxRelocated of them go.
-	maxRelocated = 3
+	// maxMoveCandidates is the number of engines that are tried.
+	maxMoveCandidates = 12
+	// maxMovedEngines is the number of engines that may move.
+	maxMovedEngines = 3
 )
 
-// relocating finds the cheapest way to run every layer once, where some engines may go to
-// where layers are missing; nil if there is none. It gives the engines in the order in which
-// they come to lie along the model, too.
-func relocating(m *layered.Model, engines []Engine, room Options) ([]Engine, *tile) {
-	along := alongModel(engines)
-	ending := endingLayers(m, along)
-	best := tiling(m, along, room, ending)
-	gaps := holes(coverage(m, along))
-	free := relocatable(along)
-	for range maxRelocated {
-		moved, last := along, best
+// tilingWithRelocation returns the cheapest tiling if up to maxMovedEngines engines
+// may move to gaps, and the engines in the order of their segments. It returns nil
+// if no such tiling covers all layers.
+func tilingWithRelocation(m *layered.Model, engines []Engine, opts Options) ([]Engine, *segment) {
+	ordered := inModelOrder(engines)
+	drainCost := drainCostOf(m, ordered)
+	best := cheapestTiling(m, ordered, opts, drainCost)
+	gaps := findGaps(coverage(m, ordered))
+	free := relocatable(ordered)
+	for range maxMovedEngines {
+		moved, last := ordered, best
 		for _, id := range free {
 			for _, gap := range gaps {
-				other := relocate(along, id, gap)
-				if t := tiling(m, other, room, ending); t.cost < last.cost {
+				other := withRelocated(ordered, id, gap)
+				if t := cheapestTiling(m, other, opts, drainCost); t.cost < last.cost {
 					moved, last = other, t
 				}
 			}
@@ -38,33 +38,35 @@
 		if last == best {
 			break
 		}
-		along, best = moved, last
+		ordered, best = moved, last
 	}
 	if best.missing > 0 {
 		return nil, nil
 	}
-	return along, best
+	return ordered, best
 }
 
-// relocatable gives engines that may go elsewhere: those with the fewest layers first. The
-// first stage of streams is none: they cannot change it.
-func relocatable(along []Engine) []ids.Life {
-	free := slices.DeleteFunc(slices.Clone(along), func(e Engine) bool { return e.Fixed || e.Holds.From == 0 })
+// relocatable returns the engines that may move to a gap, those with the fewest
+// layers first. First-stage engines are excluded, because a stream cannot change
+// its first stage.
+func relocatable(ordered []Engine) []ids.Life {
+	free := slices.DeleteFunc(slices.Clone(ordered), func(e Engine) bool { return e.Fixed || e.Holds.From == 0 })
 	slices.SortStableFunc(free, func(a, b Engine) int { return cmp.Compare(a.Holds.Len(), b.Holds.Len()) })
 	var some []ids.Life
-	for _, e := range free[:min(len(free), maxRelocatable)] {
+	for _, e := range free[:min(len(free), maxMoveCandidates)] {
 		some = append(some, e.ID)
 	}
 	return some
 }
 
-// relocate gives the engines along the model with one of them where layers are missing.
-func relocate(along []Engine, id ids.Life, gap layered.Range) []Engine {
-	from := slices.IndexFunc(along, func(e Engine) bool { return e.ID == id })
-	moved := slices.Delete(slices.Clone(along), from, from+1)
-	to := slices.IndexFunc(moved, func(e Engine) bool { return e.will().From+e.will().To > gap.From+gap.To })
+// withRelocated returns the ordered engines with one of them moved to the position
+// of the gap.
+func withRelocated(ordered []Engine, id ids.Life, gap layered.Range) []Engine {
+	from := slices.IndexFunc(ordered, func(e Engine) bool { return e.ID == id })
+	moved := slices.Delete(slices.Clone(ordered), from, from+1)
+	to := slices.IndexFunc(moved, func(e Engine) bool { return e.heldAfterOrder().From+e.heldAfterOrder().To > gap.From+gap.To })
 	if to < 0 {
 		to = len(moved)
 	}
-	return slices.Insert(moved, to, along[from])
+	return slices.Insert(moved, to, ordered[from])
 }
--- a/decide/placement/relocate_test.go
+++ b/decide/placement/relocate_test.go
@@ -7,15 +7,15 @@
 	"mimosaarch.example/core/layered"
 )
 
-// Guards against zones that fill a hole by moving all engines between it and the room for
-// it, one after the other, while streams pass through each. One engine whose neighbours
-// take over its layers goes there instead.
-func TestEngineWhoseNeighboursTakeOverGoesToTheHole(t *testing.T) {
+// Guards against closing a gap by shifting every engine between it and the spare
+// capacity, one after the other, each of which first waits for its streams to end.
+// An engine whose neighbours can take over its layers moves to the gap instead.
+func TestEngineWhoseNeighboursTakeOverMovesToGap(t *testing.T) {
 	m := model()
 	hold := func(id ids.Upstream, card string, from, to int) Engine {
 		return Engine{ID: life(id), Zone: "a", Card: card, Holds: layered.Range{From: from, To: to}}
 	}
-	// Room is at the front, and 70 to 80 are missing.
+	// The spare capacity is at the front; layers 70 to 80 are missing.
 	engines := []Engine{
 		hold("a", "medium", 0, 15), hold("b", "small", 15, 20), hold("c", "small", 20, 25), hold("d", "small", 25, 30),
 		hold("e", "small", 30, 38), hold("f", "small", 38, 46), hold("g", "small", 46, 54), hold("h", "small", 54, 62),
@@ -24,16 +24,16 @@
 	emptied := make(map[ids.Life]bool)
 	rounds := 0
 	for ; !CompleteZones(m, engines)["a"] && rounds < 20; rounds++ {
-		orders := Plan(m, engines, moving("a"))
+		orders := Plan(m, engines, allowMoves("a"))
 		checkServed(t, m, engines, orders)
 		for _, o := range orders {
 			if !o.Layers.Covers(find(engines, o.Engine).Holds) {
 				emptied[o.Engine] = true
 			}
 		}
-		engines = apply(engines, orders)
+		engines = applyOrders(engines, orders)
 	}
 	if !CompleteZones(m, engines)["a"] || rounds > 3 || len(emptied) > 1 {
-		t.Errorf("%d rounds in which %d engines gave up layers, want 3 and one: %+v", rounds, len(emptied), engines)
+		t.Errorf("%d rounds in which %d engines gave up layers, want at most 3 and 1: %+v", rounds, len(emptied), engines)
 	}
 }
--- a/decide/placement/tiling.go
+++ b/decide/placement/tiling.go
@@ -9,135 +9,138 @@
 	"mimosaarch.example/core/layered"
 )
 
-// Bounds of a new tiling.
+// Costs of a tiling.
 const (
-	// orderLayers is the cost of an order in layers loaded, so that few engines
-	// change: each serves nothing new in the layers that it gives up until another
-	// has loaded them.
-	orderLayers = 2
+	// orderCostLayers is the cost of an order, as a number of layers loaded, so that few
+	// engines change: the layers that an engine gives up must first be loaded by
+	// another.
+	orderCostLayers = 2
 )
 
-// tile is a stretch of the model that one engine runs in a new tiling.
-type tile struct {
+// segment is a range of layers that one engine runs in a tiling, or that no engine
+// runs. It ends where the next segment begins.
+type segment struct {
 	cost int
-	// missing counts the layers before its end that no engine runs.
+	// missing counts the layers up to the segment's end that no engine runs.
 	missing int
-	// engine is an index, -1 for none; from is where its stretch begins.
+	// engine is the engine's index, -1 for none; from is the first layer.
 	engine, from int
-	// before is the stretch that ends where this one begins.
-	before *tile
+	// prev is the segment that ends where this one begins.
+	prev *segment
 }
 
-// alongModel gives the engines with layers in the order of these.
-func alongModel(engines []Engine) []Engine {
-	along := slices.Clone(engines)
-	along = slices.DeleteFunc(along, func(e Engine) bool { return e.will().Empty() })
-	slices.SortStableFunc(along, func(a, b Engine) int {
-		return cmp.Compare(a.will().From+a.will().To, b.will().From+b.will().To)
+// inModelOrder returns the engines that hold layers, or will after a pending order,
+// sorted by the middle of their range.
+func inModelOrder(engines []Engine) []Engine {
+	ordered := slices.Clone(engines)
+	ordered = slices.DeleteFunc(ordered, func(e Engine) bool { return e.heldAfterOrder().Empty() })
+	slices.SortStableFunc(ordered, func(a, b Engine) int {
+		return cmp.Compare(a.heldAfterOrder().From+a.heldAfterOrder().To, b.heldAfterOrder().From+b.heldAfterOrder().To)
 	})
-	return along
+	return ordered
 }
 
-// tiling finds the cheapest way to run each layer once by engines in the order in which
-// they lie along the model; it leaves layers out where there is none. Each engine that gives
-// up layers costs ending.
-func tiling(m *layered.Model, along []Engine, o Options, ending int) *tile {
-	// A layer that nobody runs costs more than any way to run it.
-	missing := 1 + len(along)*(m.Layers+orderLayers+ending)
-	best := make([]*tile, m.Layers+1)
-	best[0] = &tile{engine: -1}
-	withMissing(best, missing)
-	for i, e := range along {
+// cheapestTiling finds the cheapest way to run each layer exactly once, with the
+// engines in the given order, and returns the last segment. It leaves out layers
+// that no engine can run. Giving up layers costs an engine drainCost.
+func cheapestTiling(m *layered.Model, ordered []Engine, o Options, drainCost int) *segment {
+	// A missing layer costs more than any way to run it.
+	missing := 1 + len(ordered)*(m.Layers+orderCostLayers+drainCost)
+	best := make([]*segment, m.Layers+1)
+	best[0] = &segment{engine: -1}
+	allowGaps(best, missing)
+	for i, e := range ordered {
 		next := slices.Clone(best)
 		most := capacity(m, e, o)
-		for from, before := range best {
-			for to := from + 1; to <= min(from+max(most, e.will().Len()), m.Layers); to++ {
-				cost := stretchCost(e, layered.Range{From: from, To: to}, most, ending)
+		for from, prev := range best {
+			for to := from + 1; to <= min(from+max(most, e.heldAfterOrder().Len()), m.Layers); to++ {
+				cost := segmentCost(e, layered.Range{From: from, To: to}, most, drainCost)
 				if cost == math.MaxInt {
 					continue
 				}
-				if cost += before.cost; cost < next[to].cost {
-					next[to] = &tile{cost: cost, missing: before.missing, engine: i, from: from, before: before}
+				if cost += prev.cost; cost < next[to].cost {
+					next[to] = &segment{cost: cost, missing: prev.missing, engine: i, from: from, prev: prev}
 				}
 			}
 		}
-		withMissing(next, missing)
+		allowGaps(next, missing)
 		best = next
 	}
 	return best[m.Layers]
 }
 
-// withMissing adds to the ways up to each layer those that leave the last one out, at a cost.
-func withMissing(best []*tile, missing int) {
+// allowGaps extends the tilings that end one layer earlier by a missing layer,
+// where that is cheaper.
+func allowGaps(best []*segment, missing int) {
 	for to := 1; to < len(best); to++ {
-		before := best[to-1]
-		if cost := before.cost + missing; best[to] == nil || cost < best[to].cost {
-			best[to] = &tile{cost: cost, missing: before.missing + 1, engine: -1, from: to - 1, before: before}
+		prev := best[to-1]
+		if cost := prev.cost + missing; best[to] == nil || cost < best[to].cost {
+			best[to] = &segment{cost: cost, missing: prev.missing + 1, engine: -1, from: to - 1, prev: prev}
 		}
 	}
 }
 
-// stretchCost is what it costs that an engine runs a stretch, in layers loaded;
-// math.MaxInt if it cannot. One that carries out an order can get another after it.
-// It costs ending more if the engine gives up layers for it.
-func stretchCost(e Engine, r layered.Range, most, ending int) int {
-	held := e.will()
+// segmentCost returns the cost for the engine to run the range, as a number of
+// layers loaded; math.MaxInt if it cannot. An engine with a pending order can get
+// another one afterwards. Giving up layers adds drainCost.
+func segmentCost(e Engine, r layered.Range, most, drainCost int) int {
+	held := e.heldAfterOrder()
 	if held.Covers(r) {
 		return 0
 	}
-	if r.Len() > most || e.Fixed && !e.underWay() {
+	if r.Len() > most || e.Fixed && !e.hasPendingOrder() {
 		return math.MaxInt
 	}
 	cost := r.Len() - held.Common(r).Len()
-	if !e.underWay() {
-		cost += orderLayers
+	if !e.hasPendingOrder() {
+		cost += orderCostLayers
 	}
-	if !keepMore(held, r, most).Covers(held) {
-		cost += ending
+	if !keepHeld(held, r, most).Covers(held) {
+		cost += drainCost
 	}
 	return cost
 }
 
-// endingLayers gives the time in which the streams that pass through an engine end, in
-// layers loaded: an engine that gives up layers loads no others before. That is the time of
-// a usual answer on a chain of the engines.
-func endingLayers(m *layered.Model, along []Engine) int {
+// drainCostOf returns the time until the streams through an engine end, as the
+// number of layers that could be loaded meanwhile: an engine that gives up layers
+// loads no others before that. The time is that of a mean answer on a chain of the
+// engines.
+func drainCostOf(m *layered.Model, ordered []Engine) int {
 	if m.LoadSeconds <= 0 {
 		return 0
 	}
 	passMs := 0.0
-	for _, e := range along {
-		passMs += m.PassMs(m.Cards[e.Card], e.will().Len(), fewStreams, m.Prompt+m.Answer)
+	for _, e := range ordered {
+		passMs += m.PassMs(m.Cards[e.Card], e.heldAfterOrder().Len(), repairReserveStreams, m.Prompt+m.Answer)
 	}
 	answer := time.Duration(m.Answer / float64(max(m.Stride, 1)) * passMs * float64(time.Millisecond))
 	return int(answer.Seconds() / m.LoadSeconds * float64(m.Layers))
 }
 
-// ordersOf gives the orders of a tiling that may be given now, which keep what there is
-// room for.
-func ordersOf(m *layered.Model, along []Engine, last *tile, room Options) []Order {
+// tilingOrders returns the orders of a tiling that can be given now. Each engine
+// keeps as many of the layers it holds as it has memory for.
+func tilingOrders(m *layered.Model, ordered []Engine, last *segment, opts Options) []Order {
 	var orders []Order
 	to := m.Layers
-	for t := last; t.before != nil; t = t.before {
+	for t := last; t.prev != nil; t = t.prev {
 		r := layered.Range{From: t.from, To: to}
 		to = t.from
 		if t.engine < 0 {
 			continue
 		}
-		e := along[t.engine]
-		if e.will().Covers(r) || e.Fixed {
+		e := ordered[t.engine]
+		if e.heldAfterOrder().Covers(r) || e.Fixed {
 			continue
 		}
-		layers := keepMore(e.Holds, r, capacity(m, e, room))
+		layers := keepHeld(e.Holds, r, capacity(m, e, opts))
 		orders = append(orders, Order{Engine: e.ID, Layers: layers})
 	}
 	slices.Reverse(orders)
 	return orders
 }
 
-// keepMore widens a range towards what an engine holds, as far as it may hold so
-// many layers.
-func keepMore(holds, r layered.Range, most int) layered.Range {
+// keepHeld extends the range towards what the engine holds, up to most layers.
+func keepHeld(holds, r layered.Range, most int) layered.Range {
 	if holds.To < r.From || holds.From > r.To {
 		return r
 	}
@@ -148,21 +151,21 @@
 	return r
 }
 
-// trim gives the order by which an engine of a whole zone that holds more than
-// usual gives up layers which others there hold too, so that it has room for
-// requests again. Engines that take over layers keep their own meanwhile, as far as
-// their memory allows.
+// trim returns an order for one engine of a complete zone that holds more layers
+// than usual: it gives up layers at the ends of its range that others serve too,
+// which frees memory for KV cache. Engines that still load layers to take over do
+// not count as serving them.
 func trim(m *layered.Model, engines []Engine, o Options) []Order {
-	o.part += stretch
-	// Engines under way do not hold yet what they were told.
+	o.groupFraction += maxWeightFractionIncrease
+	// Fixed engines may still be loading the layers that they were told to hold.
 	covered := coverage(m, slices.DeleteFunc(slices.Clone(engines), func(e Engine) bool { return e.Fixed }))
 	for _, e := range engines {
 		over := e.Holds.Len() - capacity(m, e, o)
 		if e.Fixed || over <= 0 {
 			continue
 		}
-		left := sparedFrom(covered, e.Holds, e.Holds.Len())
-		right := sparedTo(covered, e.Holds, e.Holds.Len()-left)
+		left := redundantAtStart(covered, e.Holds, e.Holds.Len())
+		right := redundantAtEnd(covered, e.Holds, e.Holds.Len()-left)
 		r := e.Holds
 		r.From += min(left, over)
 		r.To -= min(right, over-min(left, over))
--- a/decide/placement/tiling_test.go
+++ b/decide/placement/tiling_test.go
@@ -9,8 +9,8 @@
 	"mimosaarch.example/core/layered"
 )
 
-// moving lets engines of a zone be told to hold other layers.
-func moving(zones ...ids.Zone) Options {
+// allowMoves allows reassignments and moves in the given zones.
+func allowMoves(zones ...ids.Zone) Options {
 	o := Options{Reassign: make(map[ids.Zone]bool), Move: make(map[ids.Zone]bool)}
 	for _, z := range zones {
 		o.Reassign[z], o.Move[z] = true, true
@@ -18,9 +18,9 @@
 	return o
 }
 
-// settle plans until nothing is left to do, each round after the orders of the one before
-// were carried out, and fails if a round has a zone serve less.
-func settle(t *testing.T, m *layered.Model, engines []Engine, o Options) (after []Engine, rounds int) {
+// converge plans and applies the orders in rounds until there are none left. It
+// fails the test if a round makes a group of engines serve fewer layers.
+func converge(t *testing.T, m *layered.Model, engines []Engine, o Options) (after []Engine, rounds int) {
 	t.Helper()
 	const most = 200
 	for rounds = range most {
@@ -29,14 +29,14 @@
 			return engines, rounds
 		}
 		checkServed(t, m, engines, orders)
-		engines = apply(engines, orders)
+		engines = applyOrders(engines, orders)
 	}
-	t.Errorf("no end after %d rounds", most)
+	t.Errorf("still orders after %d rounds", most)
 	return engines, most
 }
 
-// checkServed fails if orders under way have the engines that hold copies together serve
-// a layer no longer that one of them served.
+// checkServed fails the test if a layer that a group of engines serves is no longer
+// served while they carry out the orders.
 func checkServed(t *testing.T, m *layered.Model, engines []Engine, orders []Order) {
 	t.Helper()
 	for _, group := range groups(m, engines) {
@@ -48,18 +48,18 @@
 				}
 			}
 		}
-		before, now := served(m, group), served(m, during)
+		before, now := retainedCoverage(m, group), retainedCoverage(m, during)
 		for layer := range before {
 			if before[layer] > 0 && now[layer] == 0 {
-				t.Errorf("the engines of zone %s and others with them no longer serve layer %d while they carry out %v", group[0].Zone, layer, orders)
+				t.Errorf("zone %s and the zones that share its copy no longer serve layer %d while they carry out %v", group[0].Zone, layer, orders)
 				return
 			}
 		}
 	}
 }
 
-// grouped gives the engines of each zone.
-func grouped(engines []Engine) map[ids.Zone][]Engine {
+// enginesByZone groups the engines by zone.
+func enginesByZone(engines []Engine) map[ids.Zone][]Engine {
 	out := make(map[ids.Zone][]Engine)
 	for _, e := range engines {
 		out[e.Zone] = append(out[e.Zone], e)
@@ -67,22 +67,22 @@
 	return out
 }
 
-// A zone that lost one engine in the middle of its only copy is whole again by
-// orders that each load a few layers, and serves what it serves all the while.
+// A zone that loses any engine of its only copy becomes complete again by orders
+// that each load few layers, without serving fewer layers meanwhile.
 func TestZoneThatLostAnEngineForGoodIsWholeAgain(t *testing.T) {
 	m := model()
 	engines := zone("a", 1, 1, 8)
-	held := apply(engines, Plan(m, engines, Options{}))
+	held := applyOrders(engines, Plan(m, engines, Options{}))
 	for i := range held {
 		left := slices.Delete(slices.Clone(held), i, i+1)
 		if CompleteZones(m, left)["a"] {
 			continue
 		}
-		after, rounds := settle(t, m, left, moving("a"))
+		after, rounds := converge(t, m, left, allowMoves("a"))
 		if !CompleteZones(m, after)["a"] {
-			t.Errorf("without %s (%s) the zone is not whole after %d rounds", held[i].ID, held[i].Holds, rounds)
+			t.Errorf("without %s (%s) the zone is not complete after %d rounds", held[i].ID, held[i].Holds, rounds)
 		}
-		for _, o := range Plan(m, left, moving("a")) {
+		for _, o := range Plan(m, left, allowMoves("a")) {
 			e := find(left, o.Engine)
 			if loaded := o.Layers.Len() - overlap(o.Layers, e.Holds); loaded > m.Layers/4 {
 				t.Errorf("without %s: %s loads %d layers to hold %s", held[i].ID, o.Engine, loaded, o.Layers)
@@ -91,10 +91,11 @@
 	}
 }
 
-// wholeTiling gives the cheapest tiling that leaves no layer out; nil if there is none.
-func wholeTiling(m *layered.Model, engines []Engine) *tile {
-	along := alongModel(engines)
-	if last := tiling(m, along, widest(m), endingLayers(m, along)); last.missing == 0 {
+// completeTiling returns the cheapest tiling if it covers every layer, and nil
+// otherwise.
+func completeTiling(m *layered.Model, engines []Engine) *segment {
+	ordered := inModelOrder(engines)
+	if last := cheapestTiling(m, ordered, repairOptions(m), drainCostOf(m, ordered)); last.missing == 0 {
 		return last
 	}
 	return nil
@@ -103,26 +104,26 @@
 // overlap counts the layers in both ranges.
 func overlap(a, b layered.Range) int { return max(min(a.To, b.To)-max(a.From, b.From), 0) }
 
-// TestTilingsFit draws zones with holes, in which one engine is under way at first: orders
-// of all rounds fit, leave that one alone, never have the zone serve less, and leave it
-// whole where a tiling is there.
+// TestTilingsFit draws zones with gaps and one fixed engine. The orders must fit
+// the cards and leave that engine alone, must never make the zone serve fewer
+// layers, and must complete the zone if a complete tiling exists.
 func TestTilingsFit(t *testing.T) {
 	m := model()
 	tiled := 0
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		engines := zone("a", r.IntN(2), 1+r.IntN(5), 3+r.IntN(10))
-		engines = apply(engines, Plan(m, engines, Options{}))
+		engines = applyOrders(engines, Plan(m, engines, Options{}))
 		for range 1 + r.IntN(3) {
 			i := r.IntN(len(engines))
 			engines = slices.Delete(engines, i, i+1)
 		}
 		engines[r.IntN(len(engines))].Fixed = true
-		if CompleteZones(m, engines)["a"] || wholeTiling(m, engines) == nil {
+		if CompleteZones(m, engines)["a"] || completeTiling(m, engines) == nil {
 			continue
 		}
 		tiled++
-		orders := shift(m, engines)
+		orders := repair(m, engines)
 		seen := make(map[ids.Life]bool)
 		for _, o := range orders {
 			e := find(engines, o.Engine)
@@ -131,36 +132,36 @@
 			}
 			seen[o.Engine] = true
 		}
-		after, rounds := settle(t, m, engines, moving("a"))
+		after, rounds := converge(t, m, engines, allowMoves("a"))
 		for i := range after {
 			after[i].Fixed = false
 		}
-		if after, _ = settle(t, m, after, moving("a")); !CompleteZones(m, after)["a"] {
-			t.Errorf("seed %d: not whole after %d rounds, the first of %v: %+v", seed, rounds, orders, after)
+		if after, _ = converge(t, m, after, allowMoves("a")); !CompleteZones(m, after)["a"] {
+			t.Errorf("seed %d: not complete after %d rounds, the first of %v: %+v", seed, rounds, orders, after)
 		}
 	}
 	if tiled < 50 {
-		t.Errorf("only %d of 400 zones were tiled anew", tiled)
+		t.Errorf("only %d of 400 zones had a gap and a complete tiling", tiled)
 	}
 }
 
-// Guards against plans that move most engines of a zone while the few orders which mend it
-// are under way.
-func TestOrdersUnderWayBringNoOthers(t *testing.T) {
+// Guards against plans that move further engines of a zone while the few orders
+// that complete it are pending.
+func TestPendingOrdersCauseNoOthers(t *testing.T) {
 	m := model()
 	tiled := 0
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		engines := zone("a", r.IntN(2), 1+r.IntN(5), 3+r.IntN(10))
-		engines = apply(engines, Plan(m, engines, Options{}))
+		engines = applyOrders(engines, Plan(m, engines, Options{}))
 		i := r.IntN(len(engines))
 		engines = slices.Delete(engines, i, i+1)
-		if CompleteZones(m, engines)["a"] || wholeTiling(m, engines) == nil {
+		if CompleteZones(m, engines)["a"] || completeTiling(m, engines) == nil {
 			continue
 		}
 		next := func() []Order {
-			along := alongModel(engines)
-			return steps(m, along, wholeTiling(m, engines), widest(m))
+			ordered := inModelOrder(engines)
+			return nextOrders(m, ordered, completeTiling(m, engines), repairOptions(m))
 		}
 		orders := next()
 		for i := range engines {
@@ -176,39 +177,40 @@
 		}
 	}
 	if tiled < 50 {
-		t.Errorf("only %d of 400 zones were tiled anew", tiled)
+		t.Errorf("only %d of 400 zones had a gap and a complete tiling", tiled)
 	}
 }
 
-// BenchmarkShift is a zone of 207 engines, 15 of which hold the target's 3,100.
-func BenchmarkShift(b *testing.B) {
+// BenchmarkRepair repairs a zone of 207 engines, one of 15 zones of a fleet of
+// 3,100.
+func BenchmarkRepair(b *testing.B) {
 	m := model()
 	engines := zone("a", 14, 60, 133)
-	engines = apply(engines, Plan(m, engines, Options{}))
+	engines = applyOrders(engines, Plan(m, engines, Options{}))
 	for i := range engines {
 		if engines[i].Holds.Covers(layered.Range{From: 30, To: 31}) {
 			engines[i].Holds = layered.Range{From: 0, To: 4}
 		}
 	}
 	for b.Loop() {
-		shift(m, engines)
+		repair(m, engines)
 	}
 }
 
-// Layers are given up only once another engine of the zone holds them, by an
-// engine that holds more than usual.
+// An engine with more layers than usual gives up layers only once another engine of
+// the zone holds them.
 func TestTrimWaitsForOthersToHold(t *testing.T) {
 	m := model()
 	full := Engine{ID: life("full"), Zone: "a", Card: "small", Holds: layered.Range{From: 0, To: 10}}
 	next := Engine{ID: life("next"), Zone: "a", Card: "medium", Holds: layered.Range{From: 8, To: 18}}
-	o := Options{part: DefaultWeightFraction}
+	o := Options{groupFraction: DefaultWeightFraction}
 	want := Order{Engine: full.ID, Layers: layered.Range{From: 0, To: 8}}
 	if got := trim(m, []Engine{full, next}, o); len(got) != 1 || got[0] != want {
 		t.Errorf("orders %v, want %v", got, want)
 	}
 	next.Fixed = true
 	if got := trim(m, []Engine{full, next}, o); len(got) > 0 {
-		t.Errorf("orders %v while the other engine only loads them", got)
+		t.Errorf("orders %v while the other engine is still loading them", got)
 	}
 	next.Fixed, next.Holds.From = false, 10
 	if got := trim(m, []Engine{full, next}, o); len(got) > 0 {
