--- a/decide/order/chain.go
+++ b/decide/order/chain.go
@@ -2,32 +2,31 @@
 
 import "time"
 
-// chainStays reports whether the engines of a service still make a whole
-// chain while one more of them loads. Where even all that are present make
-// none, there is nothing to lose.
-func (p *Planner) chainStays(now time.Time, next *engine) bool {
+// chainSurvivesLoad reports whether the engines of a service still form a complete
+// chain while candidate loads too. It also reports true if not even all engines
+// that are present form one, because then a load takes nothing away.
+func (p *Planner) chainSurvivesLoad(now time.Time, candidate *engine) bool {
 	var present, working []*engine
 	for _, e := range p.engines {
-		if e.service != next.service || !p.present(now, e) {
+		if e.service != candidate.service || !p.present(now, e) {
 			continue
 		}
 		present = append(present, e)
-		if e != next && !p.loading(now, e) {
+		if e != candidate && !p.loading(now, e) {
 			working = append(working, e)
 		}
 	}
-	layers := p.plans[next.service].Layers
-	return anyChain(working, layers) || !anyChain(present, layers)
+	layers := p.plans[candidate.service].Layers
+	return hasChain(working, layers) || !hasChain(present, layers)
 }
 
-// anyChain reports whether, for some model, the engines' ranges tile all
-// layers.
-func anyChain(engines []*engine, layers int) bool {
+// hasChain reports whether the engines' ranges tile all layers for some model.
+func hasChain(engines []*engine, layers int) bool {
 	models := make(map[string]bool)
 	for _, e := range engines {
 		if !models[e.report.Model] {
 			models[e.report.Model] = true
-			if chain(engines, e.report.Model, layers) {
+			if tilesLayers(engines, e.report.Model, layers) {
 				return true
 			}
 		}
@@ -35,9 +34,9 @@
 	return false
 }
 
-// chain reports whether the ranges of one model tile all layers, without gap
-// or overlap.
-func chain(engines []*engine, model string, layers int) bool {
+// tilesLayers reports whether the ranges of engines with the given model can be
+// joined into one that covers all layers, without gap or overlap.
+func tilesLayers(engines []*engine, model string, layers int) bool {
 	reached := make([]bool, layers+1)
 	reached[0] = true
 	for at := range layers {
--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -1,18 +1,17 @@
-// Package order decides which orders a node that holds the lease gives to
-// model engines, so that they come to hold what operators want.
+// Package order decides which orders the lease holder sends to model engines, so
+// that they come to hold what the operators' plans assign.
 //
-// An order states a wanted end, never a step, so that repeating it is
-// harmless. It goes out only while enough of the lease is left for it to be
-// answered within the lease, and it is repeated until the engine's own report
-// confirms it. Loading weights keeps to a rate and to a count at once, and
-// never takes so many engines out of work that no chain of stages is left.
+// An order states the desired result, never a step, so repeating it is harmless. It
+// is sent only while enough of the lease remains for the answer to arrive within
+// the lease, and it is repeated until the engine's own report confirms it. Loads of
+// weights are limited in rate and in concurrency, and never put so many engines out
+// of service that no complete chain of stages is left.
 //
-// Orders carry the fencing number of the lease's term. Engines that ignore it
-// get none until the time for the last orders of an earlier holder has
-// passed.
+// Orders carry the fencing token of the lease's term. Engines that do not check it
+// get no order until the last orders of an earlier holder have timed out.
 //
-// The package is pure. A Planner is not safe for concurrent use. The same
-// events give the same commands.
+// The package is pure: the same events give the same commands. A Planner is not
+// safe for concurrent use.
 package order
 
 import (
@@ -24,57 +23,58 @@
 	"mimosaarch.example/decide/lease"
 )
 
-// Assignment is what one engine is to hold.
+// Assignment is the model, layers and version that one engine is to hold.
 type Assignment struct {
 	Engine ids.Upstream `json:"engine"`
 	Model  string       `json:"model"`
-	// First and Last are the layers, inclusive, counted from 0.
+	// First and Last are the first and last layer, inclusive, counted from 0.
 	First   int    `json:"first"`
 	Last    int    `json:"last"`
 	Version string `json:"version"`
 }
 
-// Plan is what the engines of one service are to hold. It is the JSON value
-// of the object at Key.
+// Plan holds the assignments of one service's engines. It is the JSON value of the
+// object at Key.
 type Plan struct {
-	// Layers is the model's count of layers.
+	// Layers is the number of layers of the model.
 	Layers int `json:"layers"`
 	// ChecksFence tells that the service's engines refuse orders with an old
-	// fencing number. Default false.
+	// fencing token. Default false.
 	ChecksFence bool         `json:"checks_fence,omitempty"`
 	Engines     []Assignment `json:"engines"`
 }
 
-// KeyPrefix is the prefix of the platform's objects that hold plans.
+// KeyPrefix is the prefix of the keys of plan objects on the platform.
 const KeyPrefix = "orders/"
 
-// Key is the key of a service's plan.
+// Key returns the key of a service's plan object.
 func Key(service ids.Service) string { return KeyPrefix + string(service) }
 
-// Options bound a Planner. Zero values stand for the defaults.
+// Options configure a Planner. Zero values select the defaults.
 type Options struct {
-	// MinLeaseRemaining is the least time of the lease left at a send. Default a third
-	// of lease.DefaultDuration. It is never below OrderTimeout.
+	// MinLeaseRemaining is the time that must remain of the lease when an order is
+	// sent. Default a third of lease.DefaultDuration; values below OrderTimeout are
+	// raised to it.
 	MinLeaseRemaining time.Duration
-	// OrderTimeout bounds the wait for the answer to an order. Default 2s.
+	// OrderTimeout limits the wait for the answer to an order. Default 2s.
 	OrderTimeout time.Duration
-	// RetryInterval is the time after which an unconfirmed order is sent
-	// again. Default 10s.
+	// RetryInterval is the time after which an unconfirmed order is sent again, and
+	// a refused one tried again. Default 10s.
 	RetryInterval time.Duration
-	// LoadTimeout is how long an engine may take to confirm before it no
-	// longer counts as loading. Default 10m.
+	// LoadTimeout is the time after which an engine that has not confirmed its
+	// order no longer counts as loading. Default 10m.
 	LoadTimeout time.Duration
-	// LoadsPerMinute is the most loads begun in a minute. Default 6.
+	// LoadsPerMinute limits the loads started within a minute. Default 6.
 	LoadsPerMinute int
-	// MaxConcurrentLoads is the most engines loading at once. Default 2.
+	// MaxConcurrentLoads limits the engines that load at the same time. Default 2.
 	MaxConcurrentLoads int
-	// ReportTTL is how long a report counts. Default 10s.
+	// ReportTTL is the age at which an engine's report expires. Default 10s.
 	ReportTTL time.Duration
-	// MaxEngines bounds the engines of all plans. Default 4096.
+	// MaxEngines limits the number of engines in all plans together. Default 4096.
 	MaxEngines int
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultMinLeaseRemaining  = lease.DefaultDuration / 3
 	DefaultOrderTimeout       = 2 * time.Second
@@ -86,10 +86,10 @@
 	DefaultMaxEngines         = 4096
 )
 
-// rateWindow is the window of LoadsPerMinute.
+// rateWindow is the period to which LoadsPerMinute applies.
 const rateWindow = time.Minute
 
-// withDefaults fills in unset options.
+// withDefaults returns the options with unset fields filled in.
 func (o Options) withDefaults() Options {
 	o.MinLeaseRemaining = cmp.Or(o.MinLeaseRemaining, DefaultMinLeaseRemaining)
 	o.OrderTimeout = cmp.Or(o.OrderTimeout, DefaultOrderTimeout)
@@ -103,66 +103,70 @@
 	return o
 }
 
-// Send is an order to give. Exactly one Ended follows each.
+// Send is a command to send an order to an engine. The caller must report its
+// result to Planner.Ended exactly once.
 type Send struct {
 	Engine ids.Upstream
 	Order  engineapi.Order
-	// Timeout bounds the call; MinLeaseRemaining is what must be left of the lease when
-	// the clock is read just before it.
+	// Timeout limits the call. The caller must skip the order if less than
+	// MinLeaseRemaining of the lease remains just before it.
 	Timeout, MinLeaseRemaining time.Duration
 }
 
-// Result is what came of an order.
+// Result is the outcome of an order.
 type Result int
 
-// Results of an order.
+// Outcomes of an order.
 const (
-	// Applied: the engine took it.
+	// Applied means that the engine accepted the order.
 	Applied Result = iota
-	// Stale: the engine has seen a higher fencing number.
+	// Stale means that the engine has seen a higher fencing token.
 	Stale
-	// Refused: the engine refused it for another reason.
+	// Refused means that the engine refused the order for another reason.
 	Refused
-	// Lost: no answer came; the order may have been taken, or may yet.
+	// Lost means that no answer arrived: the engine may have accepted the order or
+	// may still do so.
 	Lost
-	// Skipped: it was not sent.
+	// Skipped means that the order was not sent.
 	Skipped
 )
 
-// Planner plans the orders. Make it with New.
+// Planner decides which orders to send. Create it with New.
 type Planner struct {
 	opts  Options
 	plans map[ids.Service]Plan
-	// engines holds what is known of each engine named by a plan.
+	// engines holds the state of each engine listed in a plan.
 	engines map[ids.Upstream]*engine
-	// fence is the term that the sends below belong to.
+	// fence is the fencing token of the term to which the sends below belong.
 	fence int64
-	// loads are the times at which loads began, the oldest first.
-	loads []time.Time
+	// loadStarts holds the start times of recent loads, oldest first.
+	loadStarts []time.Time
 }
 
-// engine is what is known of one engine.
+// engine is the state of one engine.
 type engine struct {
 	service ids.Service
 	wanted  Assignment
 	report  engineapi.LoadReport
-	// reported is when the last report came; zero if none did.
-	reported time.Time
-	// busy tells that an order is under way.
-	busy bool
-	// sent is when the wanted end was last ordered in this term; zero if it
-	// was not.
-	sent time.Time
-	// began is when its load began, epoch the process life it began in.
-	began time.Time
-	epoch string
-	// notBefore is when an engine that refused may be asked again.
+	// reportedAt is when the last report arrived; zero if there is none.
+	reportedAt time.Time
+	// inFlight tells that an order was sent and its result is outstanding.
+	inFlight bool
+	// sentAt is when the current assignment was last ordered in this term; zero if
+	// it was not.
+	sentAt time.Time
+	// loadStart is when the load for the order started; orderEpoch is the epoch of
+	// the engine process at the last send.
+	loadStart  time.Time
+	orderEpoch string
+	// notBefore is the earliest time to try an order again after it was refused or
+	// skipped.
 	notBefore time.Time
-	// applied tells that the engine took the order, in that process life.
+	// applied tells that the engine process of orderEpoch accepted the order.
 	applied bool
 }
 
-// New makes a Planner without plans.
+// New returns a Planner without plans.
 func New(opts Options) *Planner {
 	return &Planner{
 		opts:    opts.withDefaults(),
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -17,176 +17,177 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// held is a lease held since the start.
-func held(fence int64) lease.Status {
+// heldLease returns a lease that has been held since start.
+func heldLease(fence int64) lease.Status {
 	return lease.Status{Held: true, Left: 10 * time.Second, Fence: fence, Since: start}
 }
 
-// bench is a planner with two layer ranges and some engines in each, all of
-// which hold version 1's layers.
-type bench struct {
+// harness is a planner with two layer ranges and some engines in each. All of them
+// hold their range in version 1 at first; the plan asks for version 2.
+type harness struct {
 	*Planner
 	t    *testing.T
 	plan Plan
 }
 
-func newBench(t *testing.T, opts Options, each int) *bench {
-	b := &bench{Planner: New(opts), t: t, plan: Plan{Layers: 4, ChecksFence: true}}
+func newHarness(t *testing.T, opts Options, perRange int) *harness {
+	h := &harness{Planner: New(opts), t: t, plan: Plan{Layers: 4, ChecksFence: true}}
 	for half := range 2 {
-		for i := range each {
-			b.plan.Engines = append(b.plan.Engines, Assignment{
+		for i := range perRange {
+			h.plan.Engines = append(h.plan.Engines, Assignment{
 				Engine: ids.Upstream(fmt.Sprintf("e%d%d", half, i)),
 				Model:  "m", First: 2 * half, Last: 2*half + 1, Version: "2",
 			})
 		}
 	}
-	if err := b.SetPlan("s", b.plan); err != nil {
+	if err := h.SetPlan("s", h.plan); err != nil {
 		t.Fatal(err)
 	}
-	b.report(0, "m")
-	return b
+	h.reportAll(0, "m")
+	return h
 }
 
-// report lets all engines report that they hold a model.
-func (b *bench) report(seconds int, model string) {
-	for _, w := range b.plan.Engines {
-		b.reportOne(seconds, w, model, "x")
+// reportAll makes all engines report the given model.
+func (h *harness) reportAll(seconds int, model string) {
+	for _, w := range h.plan.Engines {
+		h.reportOne(seconds, w, model, "x")
 	}
 }
 
-// broken lets the first engine report another model, so that no chain is left
-// to keep.
-func (b *bench) broken(seconds int) {
-	b.report(seconds, "m")
-	b.reportOne(seconds, b.plan.Engines[0], "old", "x")
+// breakChain makes the first engine report another model, so that the engines form
+// no chain that a load could break.
+func (h *harness) breakChain(seconds int) {
+	h.reportAll(seconds, "m")
+	h.reportOne(seconds, h.plan.Engines[0], "old", "x")
 }
 
-func (b *bench) reportOne(seconds int, w Assignment, model, epoch string) {
-	b.Reported(at(seconds), engineapi.LoadReport{Engine: string(w.Engine), Epoch: epoch, Model: model, First: w.First, Last: w.Last})
+func (h *harness) reportOne(seconds int, w Assignment, model, epoch string) {
+	h.Reported(at(seconds), engineapi.LoadReport{Engine: string(w.Engine), Epoch: epoch, Model: model, First: w.First, Last: w.Last})
 }
 
-// tick gives the names of the engines ordered.
-func (b *bench) tick(seconds int, s lease.Status) (out []string, sends []Send) {
-	sends = b.Tick(at(seconds), s)
+// tick returns the sends due and the names of their engines.
+func (h *harness) tick(seconds int, s lease.Status) (out []string, sends []Send) {
+	sends = h.Tick(at(seconds), s)
 	for _, send := range sends {
 		out = append(out, string(send.Engine))
 	}
 	return out, sends
 }
 
-func (b *bench) want(what string, got []string, want ...string) {
-	b.t.Helper()
+func (h *harness) want(what string, got []string, want ...string) {
+	h.t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
-		b.t.Errorf("%s (-want +got):\n%s", what, diff)
+		h.t.Errorf("%s (-want +got):\n%s", what, diff)
 	}
 }
 
 func TestAtOnceAndRate(t *testing.T) {
-	b := newBench(t, Options{LoadsPerMinute: 3, MaxConcurrentLoads: 2}, 3)
-	got, _ := b.tick(1, held(5))
-	b.want("the last holder's loads count", got)
-	b.report(61, "old")
-	got, sends := b.tick(61, held(5))
-	b.want("two at once", got, "e00", "e01")
+	h := newHarness(t, Options{LoadsPerMinute: 3, MaxConcurrentLoads: 2}, 3)
+	got, _ := h.tick(1, heldLease(5))
+	h.want("the last holder's loads count", got)
+	h.reportAll(61, "old")
+	got, sends := h.tick(61, heldLease(5))
+	h.want("two at once", got, "e00", "e01")
 	for _, s := range sends {
-		b.Ended(s, Applied)
-	}
-	got, _ = b.tick(62, held(5))
-	b.want("both still load", got)
-	b.report(63, "m")
-	got, sends = b.tick(63, held(5))
-	b.want("one more in the minute", got, "e02")
-	b.Ended(sends[0], Applied)
-	b.report(64, "m")
-	got, _ = b.tick(64, held(5))
-	b.want("the minute's rate is used", got)
-	b.report(121, "m")
-	got, _ = b.tick(121, held(5))
-	b.want("the next minute", got, "e10", "e11")
+		h.Ended(s, Applied)
+	}
+	got, _ = h.tick(62, heldLease(5))
+	h.want("both still load", got)
+	h.reportAll(63, "m")
+	got, sends = h.tick(63, heldLease(5))
+	h.want("one more in the minute", got, "e02")
+	h.Ended(sends[0], Applied)
+	h.reportAll(64, "m")
+	got, _ = h.tick(64, heldLease(5))
+	h.want("the minute's rate is used", got)
+	h.reportAll(121, "m")
+	got, _ = h.tick(121, heldLease(5))
+	h.want("the next minute", got, "e10", "e11")
 }
 
 func TestChainStays(t *testing.T) {
-	b := newBench(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 2)
-	b.report(60, "m")
-	got, sends := b.tick(60, held(5))
-	b.want("one of each range stays", got, "e00", "e10")
-	// One engine that remains falls silent: the others may not be touched.
+	h := newHarness(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 2)
+	h.reportAll(60, "m")
+	got, sends := h.tick(60, heldLease(5))
+	h.want("one of each range stays", got, "e00", "e10")
+	// The other engines get their orders once the first ones have confirmed theirs.
 	for _, s := range sends {
-		b.Ended(s, Applied)
+		h.Ended(s, Applied)
 	}
-	b.report(61, "m")
-	got, _ = b.tick(61, held(5))
-	b.want("the rest follows", got, "e01", "e11")
+	h.reportAll(61, "m")
+	got, _ = h.tick(61, heldLease(5))
+	h.want("the rest follows", got, "e01", "e11")
 }
 
 func TestNoLoadWithoutSpare(t *testing.T) {
-	b := newBench(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 1)
-	b.report(60, "m")
-	got, _ := b.tick(60, held(5))
-	b.want("the only chain is kept", got)
-	b.reportOne(61, b.plan.Engines[0], "other", "x")
-	got, _ = b.tick(61, held(5))
-	b.want("no chain is left to keep", got, "e00", "e10")
+	h := newHarness(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 1)
+	h.reportAll(60, "m")
+	got, _ := h.tick(60, heldLease(5))
+	h.want("the only chain is kept", got)
+	h.reportOne(61, h.plan.Engines[0], "other", "x")
+	got, _ = h.tick(61, heldLease(5))
+	h.want("no chain is left to keep", got, "e00", "e10")
 }
 
 func TestRepeatsUntilTheReportConfirms(t *testing.T) {
-	b := newBench(t, Options{LoadsPerMinute: 1, MaxConcurrentLoads: 1}, 1)
-	b.broken(60)
-	_, sends := b.tick(60, held(5))
+	h := newHarness(t, Options{LoadsPerMinute: 1, MaxConcurrentLoads: 1}, 1)
+	h.breakChain(60)
+	_, sends := h.tick(60, heldLease(5))
 	if len(sends) != 1 || sends[0].Order != (engineapi.Order{Fence: 5, Model: "m", First: 0, Last: 1, Version: "2"}) {
 		t.Fatalf("%+v", sends)
 	}
-	got, _ := b.tick(75, held(5))
-	b.want("one is under way", got)
-	b.Ended(sends[0], Lost)
-	b.broken(75)
-	got, sends = b.tick(75, held(5))
-	b.want("repeated", got, "e00")
-	b.Ended(sends[0], Applied)
-	b.broken(90)
-	got, sends = b.tick(90, held(5))
-	b.want("taken but not confirmed", got, "e00")
-	b.Ended(sends[0], Applied)
-	b.reportOne(119, b.plan.Engines[0], "m", "x")
-	got, _ = b.tick(119, held(5))
-	b.want("confirmed", got)
-	b.reportOne(130, b.plan.Engines[0], "m", "y")
-	got, _ = b.tick(130, held(5))
-	b.want("a new process life is ordered anew", got, "e00")
+	got, _ := h.tick(75, heldLease(5))
+	h.want("one is under way", got)
+	h.Ended(sends[0], Lost)
+	h.breakChain(75)
+	got, sends = h.tick(75, heldLease(5))
+	h.want("repeated", got, "e00")
+	h.Ended(sends[0], Applied)
+	h.breakChain(90)
+	got, sends = h.tick(90, heldLease(5))
+	h.want("taken but not confirmed", got, "e00")
+	h.Ended(sends[0], Applied)
+	h.reportOne(119, h.plan.Engines[0], "m", "x")
+	got, _ = h.tick(119, heldLease(5))
+	h.want("confirmed", got)
+	h.reportOne(130, h.plan.Engines[0], "m", "y")
+	got, _ = h.tick(130, heldLease(5))
+	h.want("a new process life is ordered anew", got, "e00")
 }
 
 func TestLeaseGuardsOrders(t *testing.T) {
-	b := newBench(t, Options{LoadsPerMinute: 9, MaxConcurrentLoads: 9, MinLeaseRemaining: 3 * time.Second, OrderTimeout: 2 * time.Second}, 1)
-	b.plan.ChecksFence = false
-	if err := b.SetPlan("s", b.plan); err != nil {
+	h := newHarness(t, Options{LoadsPerMinute: 9, MaxConcurrentLoads: 9, MinLeaseRemaining: 3 * time.Second, OrderTimeout: 2 * time.Second}, 1)
+	h.plan.ChecksFence = false
+	if err := h.SetPlan("s", h.plan); err != nil {
 		t.Fatal(err)
 	}
-	b.broken(60)
+	h.breakChain(60)
 	late := lease.Status{Held: true, Left: 3*time.Second - 1, Fence: 5, Since: start}
-	got, _ := b.tick(60, late)
-	b.want("little is left", got)
-	got, _ = b.tick(60, lease.Status{Fence: 5})
-	b.want("not held", got)
-	got, sends := b.tick(60, held(5))
-	b.want("held", got, "e00", "e10")
-	if b.Ended(sends[0], Refused) || !b.Ended(sends[1], Stale) {
+	got, _ := h.tick(60, late)
+	h.want("little is left", got)
+	got, _ = h.tick(60, lease.Status{Fence: 5})
+	h.want("not held", got)
+	got, sends := h.tick(60, heldLease(5))
+	h.want("held", got, "e00", "e10")
+	if h.Ended(sends[0], Refused) || !h.Ended(sends[1], Stale) {
 		t.Fatal("only a stale fence makes it step down")
 	}
-	// A new term: engines that ignore fences wait out the last holder's
-	// orders, and an answer to the earlier term's order tells nothing.
-	b.opts.LoadsPerMinute = 0
-	b.broken(70)
+	// In a new term, engines that do not check the fencing token get no order until
+	// the previous holder's orders have timed out. The answer to an order of the
+	// earlier term is ignored.
+	h.opts.LoadsPerMinute = 0
+	h.breakChain(70)
 	took := lease.Status{Held: true, Left: 10 * time.Second, Fence: 9, Since: at(70)}
-	b.tick(70, took)
-	b.opts.LoadsPerMinute = 9
-	got, _ = b.tick(71, took)
-	b.want("one second after the takeover", got)
-	if b.Ended(sends[1], Stale) {
+	h.tick(70, took)
+	h.opts.LoadsPerMinute = 9
+	got, _ = h.tick(71, took)
+	h.want("one second after the takeover", got)
+	if h.Ended(sends[1], Stale) {
 		t.Fatal("stepped down for an earlier term's order")
 	}
-	b.broken(72)
-	got, _ = b.tick(72, took)
-	b.want("after the order timeout", got, "e00", "e10")
+	h.breakChain(72)
+	got, _ = h.tick(72, took)
+	h.want("after the order timeout", got, "e00", "e10")
 }
 
 func TestPlans(t *testing.T) {
