--- a/decide/topology/bound.go
+++ b/decide/topology/bound.go
@@ -5,78 +5,80 @@
 	"gonum.org/v1/gonum/graph/simple"
 )
 
-// boundPrecision is the part of a graph's whole rate below which flow counts
-// as none.
-const boundPrecision = 1e-9
+// relativeFlowPrecision is the fraction of the engines' total rate below which flow counts
+// as zero.
+const relativeFlowPrecision = 1e-9
 
-// Bound gives the token steps a second that the graph can carry at most: the
-// maximum flow through its engines and links. 0 for a nil or empty graph. It
-// is the independent check of Flows and much slower on graphs with many
-// limited links: where decisions are made, use the total of Flows.
+// Bound returns the maximum flow through the graph's engines and links, in token
+// steps per second; 0 for a nil or empty graph. It is an independent check of Flows
+// and much slower on graphs with many limited links. Decisions should use
+// Flow.Total.
 func Bound(g *Graph) float64 {
 	if g == nil || len(g.engines) == 0 {
 		return 0
 	}
-	n := boundNet{
-		g:    g,
-		net:  simple.NewWeightedDirectedGraph(0, 0),
-		cuts: make(map[int]simple.Node),
+	n := boundNetwork{
+		g:          g,
+		net:        simple.NewWeightedDirectedGraph(0, 0),
+		boundaries: make(map[int]simple.Node),
 	}
 	for i := range g.engines {
 		n.addEngine(i)
 	}
-	source, sink := n.cut(0), n.cut(g.layers)
-	return network.MaxFlowDinic(n.net, source, sink, boundPrecision*n.whole)
+	source, sink := n.boundary(0), n.boundary(g.layers)
+	return network.MaxFlowDinic(n.net, source, sink, relativeFlowPrecision*n.totalRate)
 }
 
-// boundNet builds the flow network of a graph. An engine is an arc between
-// two nodes. Engines that meet at one cut of the layers over links without
-// limit share a node for that cut, which keeps the network small.
-type boundNet struct {
-	g     *Graph
-	net   *simple.WeightedDirectedGraph
-	whole float64
-	// cuts holds the nodes of cuts by the layer after them. The library
-	// wants nodes numbered without gaps.
-	cuts map[int]simple.Node
-	// starts counts engines by their first layer; nil until it is needed.
-	starts map[int]int
+// boundNetwork builds the flow network of a graph. An engine is an arc between two
+// nodes. Engines that meet at a layer boundary over unlimited links share a node
+// for that boundary, which keeps the network small.
+type boundNetwork struct {
+	g         *Graph
+	net       *simple.WeightedDirectedGraph
+	totalRate float64
+	// boundaries maps the layer after a boundary to its node. The library requires
+	// nodes to be numbered without gaps.
+	boundaries map[int]simple.Node
+	// startCounts counts the engines by their first layer; nil until it is needed.
+	startCounts map[int]int
 }
 
-// entry, exit and cut give the nodes of an engine and of a cut before a layer.
-func (n *boundNet) entry(i int) simple.Node { return simple.Node(2 * i) }
+// entry, exit and boundary return the nodes of an engine and of the boundary before
+// a layer.
+func (n *boundNetwork) entry(i int) simple.Node { return simple.Node(2 * i) }
 
-func (n *boundNet) exit(i int) simple.Node { return simple.Node(2*i + 1) }
+func (n *boundNetwork) exit(i int) simple.Node { return simple.Node(2*i + 1) }
 
-func (n *boundNet) cut(layer int) simple.Node {
-	node, ok := n.cuts[layer]
+func (n *boundNetwork) boundary(layer int) simple.Node {
+	node, ok := n.boundaries[layer]
 	if !ok {
-		node = simple.Node(2*len(n.g.engines) + len(n.cuts))
-		n.cuts[layer] = node
+		node = simple.Node(2*len(n.g.engines) + len(n.boundaries))
+		n.boundaries[layer] = node
 	}
 	return node
 }
 
-// addEngine adds an engine's arc and those that leave it.
-func (n *boundNet) addEngine(i int) {
+// addEngine adds an engine's arc and the arcs that leave it.
+func (n *boundNetwork) addEngine(i int) {
 	e := n.g.engines[i]
 	rate := max(e.Rate, 0)
-	n.whole += rate
-	n.arc(n.cut(e.First), n.entry(i), rate)
-	n.arc(n.entry(i), n.exit(i), rate)
-	if !n.limited(i) {
-		n.arc(n.exit(i), n.cut(e.Last+1), rate)
+	n.totalRate += rate
+	n.addArc(n.boundary(e.First), n.entry(i), rate)
+	n.addArc(n.entry(i), n.exit(i), rate)
+	if !n.needsOwnArcs(i) {
+		n.addArc(n.exit(i), n.boundary(e.Last+1), rate)
 		return
 	}
 	for _, edge := range n.g.next[i] {
-		n.arc(n.exit(i), n.entry(edge.To), edgeCapacity(edge, rate))
+		n.addArc(n.exit(i), n.entry(edge.To), edgeCapacity(edge, rate))
 	}
 }
 
-// limited reports whether an engine's links need arcs of their own: one has a
-// limit, or they do not lead to every engine that starts at the next layer.
-func (n *boundNet) limited(i int) bool {
-	if len(n.g.next[i]) < n.starting(n.g.engines[i].Last+1) {
+// needsOwnArcs reports whether an engine's links need arcs of their own, because
+// one of them is limited or because they do not lead to every engine that starts at
+// the next layer.
+func (n *boundNetwork) needsOwnArcs(i int) bool {
+	if len(n.g.next[i]) < n.startingAt(n.g.engines[i].Last+1) {
 		return true
 	}
 	for _, edge := range n.g.next[i] {
@@ -87,24 +89,24 @@
 	return false
 }
 
-// starting counts the engines whose range starts at a layer.
-func (n *boundNet) starting(layer int) int {
-	if n.starts == nil {
-		n.starts = make(map[int]int)
+// startingAt counts the engines whose range starts at a layer.
+func (n *boundNetwork) startingAt(layer int) int {
+	if n.startCounts == nil {
+		n.startCounts = make(map[int]int)
 		for _, e := range n.g.engines {
-			n.starts[e.First]++
+			n.startCounts[e.First]++
 		}
 	}
-	return n.starts[layer]
+	return n.startCounts[layer]
 }
 
-// arc adds one arc.
-func (n *boundNet) arc(from, to simple.Node, capacity float64) {
+// addArc adds an arc to the network.
+func (n *boundNetwork) addArc(from, to simple.Node, capacity float64) {
 	n.net.SetWeightedEdge(simple.WeightedEdge{F: from, T: to, W: capacity})
 }
 
-// edgeCapacity gives the steps a second an edge may carry from an engine of
-// the given rate.
+// edgeCapacity returns the token steps per second that an edge can carry from an
+// engine with the given rate.
 func edgeCapacity(e Edge, rate float64) float64 {
 	if e.Rate > 0 {
 		return min(e.Rate, rate)
--- a/decide/topology/flow.go
+++ b/decide/topology/flow.go
@@ -2,111 +2,114 @@
 
 import "time"
 
-// Flow is one maximum flow through a Graph, in token steps a second.
+// Flow is a maximum flow through a Graph, in token steps per second.
 type Flow struct {
-	// Total is the flow of the whole graph; it equals Bound.
+	// Total is the flow through the whole graph; it equals Bound.
 	Total float64
-	// Engine is the flow through each engine.
+	// Engine is the flow through each engine, by index.
 	Engine []float64
-	// Edge is the flow over each edge, in the shape of Graph.Next.
+	// Edge is the flow over each edge, indexed as Graph.Next.
 	Edge [][]float64
 }
 
-// Tuning of Flows.
+// Limits and weights used by Flows.
 const (
-	// spreadRounds is how often rates still free are filled in proportion
-	// before the rest is found path by path.
-	spreadRounds = 12
-	// spreadLeast is the part of the flow so far that another round must add.
-	spreadLeast = 0.002
-	// nearTime is the time of a step over a link at which preference is a quarter.
-	nearTime = 2 * time.Millisecond
-	// easyPart is the part of a link's limit filled in the first rounds:
-	// steps queue at a link run close to its limit.
-	easyPart = 0.6
+	// maxFillRounds limits the rounds that fill free rates in proportion.
+	// Augmenting paths find the rest.
+	maxFillRounds = 12
+	// minRoundGainFraction is the fraction of the flow so far that a round must add for
+	// another one to follow.
+	minRoundGainFraction = 0.002
+	// quarterPreferenceTime is the step time of a link at which its preference is a
+	// quarter of that of a link without delay.
+	quarterPreferenceTime = 2 * time.Millisecond
+	// firstPassLinkFraction is the fraction of a link's limit that the first pass
+	// may fill: steps queue at a link that runs close to its limit.
+	firstPassLinkFraction = 0.6
 )
 
-// Scale tells which part of each engine and link of a Graph may be used, from
-// 0 for none to 1 for all. A nil func means all.
+// Scale sets the fraction of each engine and link of a Graph that may be used, from
+// 0 for none to 1 for all. A nil function means 1.
 type Scale struct {
-	// Engine gives the part of engine i.
+	// Engine returns the fraction of engine i.
 	Engine func(i int) float64
-	// Link gives the part of the k-th edge of engine i. The edge's limit is
-	// scaled by it; an edge without limit counts as limited by its engine.
+	// Link returns the fraction of the k-th edge of engine i. It scales the edge's
+	// limit; an edge without a limit counts as limited by its engine's rate.
 	Link func(i, k int) float64
 }
 
-// Flows gives a maximum flow that loads the engines of a stage nearly in
-// proportion to their rates, with some preference for quick links.
-// The libraries at hand give the value of a maximum flow but no flow, so it
-// is built here: first by rounds that fill all engines in proportion, then by
-// augmenting paths until none is left.
+// Flows returns a maximum flow that loads the engines of a stage nearly in
+// proportion to their rates, with some preference for links with short step times.
+// It first fills the engines in proportional rounds and then adds augmenting paths
+// until none is left. The available libraries compute only the value of a maximum
+// flow, not the flow itself.
 func Flows(g *Graph) *Flow { return ScaledFlows(g, Scale{}) }
 
-// ScaledFlows is Flows for a graph of which only parts may be used.
-func ScaledFlows(g *Graph, p Scale) *Flow {
-	s := newSpread(g, p)
-	for _, s.part = range [...]float64{easyPart, 1} {
-		s.rounds()
+// ScaledFlows is Flows for a graph of which only fractions may be used.
+func ScaledFlows(g *Graph, sc Scale) *Flow {
+	s := newFlowBuilder(g, sc)
+	for _, s.linkFraction = range [...]float64{firstPassLinkFraction, 1} {
+		s.fillProportionally()
 	}
 	newAugmenter(s).run()
 	return s.result()
 }
 
-// rounds fills engines in proportion until little is added.
-func (s *spread) rounds() {
-	for range spreadRounds {
-		added := s.round()
-		if added <= spreadLeast*s.total {
+// fillProportionally runs rounds until one adds little.
+func (s *flowBuilder) fillProportionally() {
+	for range maxFillRounds {
+		added := s.fillRound()
+		if added <= minRoundGainFraction*s.total {
 			return
 		}
 	}
 }
 
-// arc is one edge of a graph in a flat list.
+// arc is an edge of the graph in a flat list.
 type arc struct {
 	from, to int
-	// capacity and flow are in token steps a second.
+	// capacity and flow are in token steps per second.
 	capacity, flow float64
-	// limited tells that the link itself has a limit.
+	// limited tells that the link itself has a rate limit.
 	limited bool
-	// preference is larger for links with less time a step.
+	// preference is between 0 and 1, larger for links with shorter step times.
 	preference float64
-	// push is the flow added by the current round.
-	push float64
+	// added is the flow that the current round adds.
+	added float64
 }
 
-// spread builds a flow by proportional rounds.
-type spread struct {
+// flowBuilder builds a flow by proportional rounds.
+type flowBuilder struct {
 	g     *Graph
 	total float64
-	// part is the part of the links' limits to fill now.
-	part float64
-	// rate and flow are each engine's.
+	// linkFraction is the fraction of the links' limits that may be filled now.
+	linkFraction float64
+	// rate and flow hold each engine's rate limit and flow.
 	rate, flow []float64
-	// in is what the current round offers each engine.
-	in []float64
-	// arcs are ordered by from; those of engine i are out[i] to out[i+1].
+	// inflow is what the current round offers each engine. accept replaces it by
+	// what the engine took.
+	inflow []float64
+	// arcs are sorted by from; those of engine i are out[i] to out[i+1].
 	arcs []arc
 	out  []int
 }
 
-// newSpread makes the empty flow of parts of a graph.
-func newSpread(g *Graph, p Scale) *spread {
+// newFlowBuilder returns an empty flow through the scaled graph.
+func newFlowBuilder(g *Graph, sc Scale) *flowBuilder {
 	n := len(g.engines)
-	s := &spread{
-		g:    g,
-		rate: make([]float64, n),
-		flow: make([]float64, n),
-		in:   make([]float64, n),
-		arcs: make([]arc, 0, g.edges),
-		out:  make([]int, n+1),
+	s := &flowBuilder{
+		g:      g,
+		rate:   make([]float64, n),
+		flow:   make([]float64, n),
+		inflow: make([]float64, n),
+		arcs:   make([]arc, 0, g.edges),
+		out:    make([]int, n+1),
 	}
 	for i, e := range g.engines {
-		s.rate[i] = max(e.Rate, 0) * p.engine(i)
+		s.rate[i] = max(e.Rate, 0) * sc.engine(i)
 		for k, edge := range g.next[i] {
 			a := newArc(i, edge, s.rate[i])
-			a.capacity *= p.link(i, k)
+			a.capacity *= sc.link(i, k)
 			s.arcs = append(s.arcs, a)
 		}
 		s.out[i+1] = len(s.arcs)
@@ -114,49 +117,50 @@
 	return s
 }
 
-// engine gives the part of an engine.
-func (p Scale) engine(i int) float64 {
-	if p.Engine == nil {
+// engine returns the fraction of an engine, limited to 0 through 1.
+func (sc Scale) engine(i int) float64 {
+	if sc.Engine == nil {
 		return 1
 	}
-	return min(max(p.Engine(i), 0), 1)
+	return min(max(sc.Engine(i), 0), 1)
 }
 
-// link gives the part of an edge.
-func (p Scale) link(i, k int) float64 {
-	if p.Link == nil {
+// link returns the fraction of an edge, limited to 0 through 1.
+func (sc Scale) link(i, k int) float64 {
+	if sc.Link == nil {
 		return 1
 	}
-	return min(max(p.Link(i, k), 0), 1)
+	return min(max(sc.Link(i, k), 0), 1)
 }
 
-// newArc makes the arc of an edge from an engine of the given rate.
+// newArc returns the arc of an edge from an engine with the given rate.
 func newArc(from int, e Edge, rate float64) arc {
-	near := nearTime.Seconds()
-	part := near / (near + e.StepTime())
+	base := quarterPreferenceTime.Seconds()
+	ratio := base / (base + e.StepTime())
 	return arc{
 		from:       from,
 		to:         e.To,
 		capacity:   edgeCapacity(e, rate),
 		limited:    e.Rate > 0,
-		preference: part * part,
+		preference: ratio * ratio,
 	}
 }
 
-// leaving lists the arcs from an engine.
-func (s *spread) leaving(i int) []arc { return s.arcs[s.out[i]:s.out[i+1]] }
+// arcsFrom returns the arcs that leave an engine.
+func (s *flowBuilder) arcsFrom(i int) []arc { return s.arcs[s.out[i]:s.out[i+1]] }
 
-// free gives an engine's rate that no flow uses.
-func (s *spread) free(i int) float64 { return max(s.rate[i]-s.flow[i], 0) }
+// freeRate returns the part of an engine's rate that carries no flow.
+func (s *flowBuilder) freeRate(i int) float64 { return max(s.rate[i]-s.flow[i], 0) }
 
-// round offers all free rate of the heads, passes it on in proportion to the
-// free rates ahead, and keeps what arrives at the end. It gives what it added.
-func (s *spread) round() float64 {
-	clear(s.in)
+// fillRound offers the free rate of the head engines, passes it on in proportion to
+// the free rates of the following engines, and keeps what reaches the last layer.
+// It returns the flow added.
+func (s *flowBuilder) fillRound() float64 {
+	clear(s.inflow)
 	for _, i := range s.g.heads {
-		s.in[i] = s.free(i)
+		s.inflow[i] = s.freeRate(i)
 	}
-	// Engines are in order of their first layers: arcs lead to later ones.
+	// Engines are sorted by their first layer, so arcs lead to later ones.
 	for i := range s.rate {
 		s.offer(i)
 	}
@@ -165,83 +169,83 @@
 	}
 	added := 0.0
 	for _, i := range s.g.heads {
-		added += s.in[i]
+		added += s.inflow[i]
 	}
 	s.total += added
 	return added
 }
 
-// offer passes an engine's share of the round on to its followers.
-func (s *spread) offer(i int) {
-	arcs := s.leaving(i)
+// offer passes what an engine was offered on to its followers.
+func (s *flowBuilder) offer(i int) {
+	arcs := s.arcsFrom(i)
 	weights := 0.0
 	for k := range arcs {
 		weights += s.weight(&arcs[k])
 	}
-	share := min(s.in[i], s.free(i))
+	share := min(s.inflow[i], s.freeRate(i))
 	for k := range arcs {
 		a := &arcs[k]
-		a.push = 0
+		a.added = 0
 		if weights > 0 {
-			a.push = min(share*s.weight(a)/weights, s.open(a)-a.flow)
+			a.added = min(share*s.weight(a)/weights, s.usable(a)-a.flow)
 		}
-		s.in[a.to] += a.push
+		s.inflow[a.to] += a.added
 	}
 }
 
-// weight gives an arc's part in its engine's offer.
-func (s *spread) weight(a *arc) float64 {
-	if a.flow >= s.open(a) {
+// weight returns the arc's weight in its engine's offer.
+func (s *flowBuilder) weight(a *arc) float64 {
+	if a.flow >= s.usable(a) {
 		return 0
 	}
-	return a.preference * s.free(a.to)
+	return a.preference * s.freeRate(a.to)
 }
 
-// open gives the flow that an arc may carry now.
-func (s *spread) open(a *arc) float64 {
+// usable returns the flow that an arc may carry in the current pass.
+func (s *flowBuilder) usable(a *arc) float64 {
 	if a.limited {
-		return s.part * a.capacity
+		return s.linkFraction * a.capacity
 	}
 	return a.capacity
 }
 
-// accept settles how much of its offer an engine takes: no more than its free
-// rate and no more than its followers took. Afterwards in is what it took.
-func (s *spread) accept(i int) {
-	arcs := s.leaving(i)
+// accept decides how much of its offer an engine takes: no more than its free rate
+// and no more than its followers took. It then replaces the engine's inflow.
+func (s *flowBuilder) accept(i int) {
+	arcs := s.arcsFrom(i)
 	taken := 0.0
 	for k := range arcs {
 		a := &arcs[k]
-		a.push *= s.in[a.to]
-		a.flow += a.push
-		taken += a.push
+		a.added *= s.inflow[a.to]
+		a.flow += a.added
+		taken += a.added
 	}
-	offered := s.in[i]
+	offered := s.inflow[i]
 	if s.g.IsTail(i) {
-		taken = min(offered, s.free(i))
+		taken = min(offered, s.freeRate(i))
 	}
 	s.flow[i] += taken
-	s.settle(i, offered, taken)
+	s.setTaken(i, offered, taken)
 }
 
-// settle replaces an engine's offer by what it took: for a head the flow, for
-// another the part of the offer.
-func (s *spread) settle(i int, offered, taken float64) {
+// setTaken replaces an engine's inflow by what it took: for a head engine the flow,
+// for another one the fraction of the offer.
+func (s *flowBuilder) setTaken(i int, offered, taken float64) {
 	switch {
 	case s.g.engines[i].First == 0:
-		s.in[i] = taken
+		s.inflow[i] = taken
 	case offered > 0:
-		s.in[i] = taken / offered
+		s.inflow[i] = taken / offered
 	default:
-		s.in[i] = 0
+		s.inflow[i] = 0
 	}
 }
 
-// result copies the flow out.
-func (s *spread) result() *Flow {
+// result returns the completed flow.
+func (s *flowBuilder) result() *Flow {
 	f := &Flow{Total: s.total, Engine: s.flow, Edge: make([][]float64, len(s.rate))}
 	for i := range s.rate {
-		arcs := s.leaving(i)
+		arcs := s.arcsFrom(i)
 		f.Edge[i] = make([]float64, len(arcs))
 		for k := range arcs {
 			f.Edge[i][k] = arcs[k].flow
--- a/decide/topology/graph.go
+++ b/decide/topology/graph.go
@@ -8,23 +8,24 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Default one-way latencies of links that no report names.
+// Default one-way latencies of links between engines that report no links.
 const (
 	DefaultSameZoneLatency  = 200 * time.Microsecond
 	DefaultCrossZoneLatency = time.Millisecond
 )
 
-// Edge is one link of a Graph, from an engine to one that may follow it.
+// Edge is a link of a Graph from one engine to a possible next one.
 type Edge struct {
-	// To is the index of the following engine.
+	// To is the index of the next engine.
 	To int
-	// Latency is the one-way time of a step.
+	// Latency is the one-way latency of a step.
 	Latency time.Duration
-	// Rate is the token steps the link carries a second; 0 means no limit known.
+	// Rate is the number of token steps per second that the link can carry; 0 if no
+	// limit is known.
 	Rate float64
 }
 
-// StepTime gives the time of a step over the link when it is free, in seconds.
+// StepTime returns the time in seconds that a step takes over the idle link.
 func (e Edge) StepTime() float64 {
 	t := max(e.Latency, 0).Seconds()
 	if e.Rate > 0 {
@@ -33,10 +34,10 @@
 	return t
 }
 
-// Graph holds the engines of one model service that lie on at least one
-// complete tiling of the model's layers, with the links between them. Engines
-// are named by their index in Engines. A Graph is never changed after
-// NewGraph and may be read from any goroutine.
+// Graph holds the engines of one model service that lie on at least one complete
+// tiling of the model's layers, and the links between them. Engines are identified
+// by their index in Engines. A Graph does not change after NewGraph, so it can be
+// read concurrently.
 type Graph struct {
 	layers  int
 	engines []Engine
@@ -46,34 +47,34 @@
 	edges   int
 }
 
-// linkKey names a link by its ends.
+// linkKey identifies a link by its two engines.
 type linkKey struct{ from, to ids.Upstream }
 
-// NewGraph builds the graph of a model with the given count of layers.
-// Engines that no complete tiling can use are left out, as are all but the
-// first of engines with the same ID. A link between engines that don't follow
-// each other is ignored. An engine that reports any link goes on over these
-// only; the links of one that reports none get a default latency and no
-// rate limit. The arguments are not kept and may be nil.
+// NewGraph builds the graph of a model with the given number of layers. It leaves
+// out engines that are part of no complete tiling, and all but the first of engines
+// with the same ID. It ignores links between engines whose ranges are not adjacent.
+// An engine that reports any link uses only its reported links; an engine that
+// reports none is linked to every possible next engine, with a default latency and
+// no rate limit. The arguments are not retained and may be nil.
 func NewGraph(layers int, engines []Engine, links []Link) *Graph {
 	g := &Graph{layers: layers}
-	kept := usable(layers, engines)
+	kept := onTilings(layers, engines)
 	reported := newLinkSet(links)
 	g.build(kept, reported)
-	if kept = g.onChains(); len(kept) < len(g.engines) {
+	if kept = g.onCompleteChains(); len(kept) < len(g.engines) {
 		g.build(kept, reported)
 	}
 	return g
 }
 
-// linkSet is what engines report of their links.
+// linkSet holds the links that engines reported.
 type linkSet struct {
 	links map[linkKey]Link
-	// from marks the engines that report any link.
+	// from contains the engines that reported at least one link.
 	from map[ids.Upstream]bool
 }
 
-// newLinkSet gathers reported links.
+// newLinkSet indexes the reported links.
 func newLinkSet(links []Link) linkSet {
 	s := linkSet{links: make(map[linkKey]Link, len(links)), from: make(map[ids.Upstream]bool)}
 	for _, l := range links {
@@ -83,8 +84,8 @@
 	return s
 }
 
-// joins reports whether an engine can go on to the other.
-func (s linkSet) joins(from, to ids.Upstream) bool {
+// connects reports whether a request can go from one engine to the other.
+func (s linkSet) connects(from, to ids.Upstream) bool {
 	if !s.from[from] {
 		return true
 	}
@@ -92,7 +93,7 @@
 	return ok
 }
 
-// build makes the graph of the engines, which are in order.
+// build sets the graph's engines, which are sorted, and the edges between them.
 func (g *Graph) build(engines []Engine, reported linkSet) {
 	g.engines = engines
 	g.index = make(map[ids.Upstream]int, len(engines))
@@ -102,7 +103,7 @@
 	g.connect(reported)
 }
 
-// connect makes the edges between following engines.
+// connect sets the edges between engines with adjacent ranges.
 func (g *Graph) connect(reported linkSet) {
 	byFirst := make(map[int][]int)
 	for i, e := range g.engines {
@@ -115,7 +116,7 @@
 		followers := byFirst[e.Last+1]
 		g.next[i] = make([]Edge, 0, len(followers))
 		for _, j := range followers {
-			if reported.joins(e.ID, g.engines[j].ID) {
+			if reported.connects(e.ID, g.engines[j].ID) {
 				g.next[i] = append(g.next[i], newEdge(j, e, g.engines[j], reported.links))
 			}
 		}
@@ -123,9 +124,9 @@
 	}
 }
 
-// onChains lists the engines that lie on some complete chain of the graph's
-// edges. Edges lead from lower to higher indices.
-func (g *Graph) onChains() []Engine {
+// onCompleteChains returns the engines that lie on a complete chain of edges. Edges
+// lead from lower to higher indices.
+func (g *Graph) onCompleteChains() []Engine {
 	fromHead := make([]bool, len(g.engines))
 	for _, i := range g.heads {
 		fromHead[i] = true
@@ -150,7 +151,8 @@
 	return kept
 }
 
-// newEdge makes the edge between two engines from its report or the defaults.
+// newEdge returns the edge between two engines, from its reported link or with the
+// defaults.
 func newEdge(to int, from, follower Engine, reported map[linkKey]Link) Edge {
 	if l, ok := reported[linkKey{from.ID, follower.ID}]; ok {
 		return Edge{To: to, Latency: l.Latency, Rate: l.Rate}
@@ -161,29 +163,29 @@
 	return Edge{To: to, Latency: DefaultCrossZoneLatency}
 }
 
-// usable gives the engines that lie on some complete tiling, in order of
-// First, Last and ID, each ID once.
-func usable(layers int, engines []Engine) []Engine {
+// onTilings returns the engines that lie on a complete tiling, sorted by First,
+// Last and ID, without duplicate IDs.
+func onTilings(layers int, engines []Engine) []Engine {
 	sorted := slices.Clone(engines)
-	slices.SortStableFunc(sorted, compareEngines)
+	slices.SortStableFunc(sorted, compareByRange)
 	fromStart := map[int]bool{0: true}
 	for _, e := range sorted {
-		if fits(e, layers) && fromStart[e.First] {
+		if withinModel(e, layers) && fromStart[e.First] {
 			fromStart[e.Last+1] = true
 		}
 	}
 	toEnd := map[int]bool{layers: true}
-	slices.SortStableFunc(sorted, compareEnds)
+	slices.SortStableFunc(sorted, compareByLast)
 	for _, e := range slices.Backward(sorted) {
-		if fits(e, layers) && toEnd[e.Last+1] {
+		if withinModel(e, layers) && toEnd[e.Last+1] {
 			toEnd[e.First] = true
 		}
 	}
-	slices.SortStableFunc(sorted, compareEngines)
+	slices.SortStableFunc(sorted, compareByRange)
 	seen := make(map[ids.Upstream]bool, len(sorted))
 	kept := sorted[:0]
 	for _, e := range sorted {
-		if !fits(e, layers) || !fromStart[e.First] || !toEnd[e.Last+1] || seen[e.ID] {
+		if !withinModel(e, layers) || !fromStart[e.First] || !toEnd[e.Last+1] || seen[e.ID] {
 			continue
 		}
 		seen[e.ID] = true
@@ -192,13 +194,13 @@
 	return kept
 }
 
-// fits reports whether the engine's range lies within the model.
-func fits(e Engine, layers int) bool {
+// withinModel reports whether the engine's range is valid and within the model.
+func withinModel(e Engine, layers int) bool {
 	return e.First >= 0 && e.First <= e.Last && e.Last < layers
 }
 
-// compareEngines orders by First, Last and ID.
-func compareEngines(a, b Engine) int {
+// compareByRange compares engines by First, Last and ID.
+func compareByRange(a, b Engine) int {
 	return cmp.Or(
 		cmp.Compare(a.First, b.First),
 		cmp.Compare(a.Last, b.Last),
@@ -206,32 +208,34 @@
 	)
 }
 
-// compareEnds orders by Last.
-func compareEnds(a, b Engine) int { return cmp.Compare(a.Last, b.Last) }
+// compareByLast compares engines by Last.
+func compareByLast(a, b Engine) int { return cmp.Compare(a.Last, b.Last) }
 
-// Layers gives the model's count of layers.
+// Layers returns the number of layers of the model.
 func (g *Graph) Layers() int { return g.layers }
 
-// Engines lists the engines by First, Last and ID. The caller must not change it.
+// Engines returns the engines, sorted by First, Last and ID. The caller must not
+// modify the slice.
 func (g *Graph) Engines() []Engine { return g.engines }
 
-// Heads lists the engines that hold layer 0. The caller must not change it.
+// Heads returns the indices of the engines that hold layer 0. The caller must not
+// modify the slice.
 func (g *Graph) Heads() []int { return g.heads }
 
-// Next lists the edges from engine i; empty when i holds the last layers. The
-// caller must not change it.
+// Next returns the edges from engine i; none if i holds the last layer. The caller
+// must not modify the slice.
 func (g *Graph) Next(i int) []Edge { return g.next[i] }
 
 // IsTail reports whether engine i holds the model's last layer.
 func (g *Graph) IsTail(i int) bool { return g.engines[i].Last == g.layers-1 }
 
-// Index gives the index of an engine, false when the graph leaves it out.
+// Index returns the index of an engine, and false if the graph does not contain it.
 func (g *Graph) Index(id ids.Upstream) (int, bool) {
 	i, ok := g.index[id]
 	return i, ok
 }
 
-// Chain makes the chain of the engines with the given indices.
+// Chain returns the chain of the engines with the given indices.
 func (g *Graph) Chain(path []int) Chain {
 	c := make(Chain, len(path))
 	for k, i := range path {
--- a/decide/topology/graph_test.go
+++ b/decide/topology/graph_test.go
@@ -13,12 +13,12 @@
 	"mimosaarch.example/core/ids"
 )
 
-// engine makes an engine whose ID names its range.
+// engine returns an engine in zone a whose ID is its layer range.
 func engine(first, last int, rate float64) Engine {
 	return Engine{ID: ids.Upstream(fmt.Sprintf("%d-%d", first, last)), Zone: "a", First: first, Last: last, Rate: rate}
 }
 
-// names gives the engines' IDs.
+// names returns the engines' IDs.
 func names(engines []Engine) []ids.Upstream {
 	var out []ids.Upstream
 	for _, e := range engines {
@@ -43,7 +43,7 @@
 		t.Errorf("a repeated ID replaced the first: rate %v", rate)
 	}
 	if g := NewGraph(48, []Engine{engine(0, 15, 1)}, nil); len(g.Heads()) != 0 || Bound(g) != 0 {
-		t.Error("half a model is a graph")
+		t.Error("an incomplete model gives a graph with engines")
 	}
 }
 
@@ -86,7 +86,8 @@
 	}
 }
 
-// drawGraph draws a small graph with unequal cuts and some limited links.
+// drawGraph draws a graph of up to 14 engines with overlapping ranges and some
+// limited links.
 func drawGraph(t *rapid.T) *Graph {
 	cuts := []int{0, 4, 6, 8, 12}
 	var engines []Engine
@@ -136,14 +137,14 @@
 			}
 		}
 		if math.Abs(ended-f.Total) > 1e-6 {
-			t.Fatalf("%v ended of %v", ended, f.Total)
+			t.Fatalf("a flow of %v reaches the last layer, total %v", ended, f.Total)
 		}
 	})
 }
 
-// fleetGraph makes three stages of n/3 engines with rates 4 to 1 and links
-// 100 to 1.
-func fleetGraph(n int) ([]Engine, []Link) {
+// threeStageFleet returns n engines in three stages and the links between adjacent
+// stages. The engines' rates differ up to 4 to 1, the links' rates 100 to 1.
+func threeStageFleet(n int) ([]Engine, []Link) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	cuts := []int{0, 12, 32, 48}
 	var engines []Engine
@@ -166,27 +167,27 @@
 }
 
 func TestFlowsSpreadInProportion(t *testing.T) {
-	engines, _ := fleetGraph(30)
+	engines, _ := threeStageFleet(30)
 	g := NewGraph(48, engines, nil)
 	f := Flows(g)
 	least, most := map[int]float64{}, map[int]float64{}
 	for i, e := range g.Engines() {
-		part := f.Engine[i] / e.Rate
+		used := f.Engine[i] / e.Rate
 		if _, ok := least[e.First]; !ok {
 			least[e.First] = math.Inf(1)
 		}
-		least[e.First], most[e.First] = min(least[e.First], part), max(most[e.First], part)
+		least[e.First], most[e.First] = min(least[e.First], used), max(most[e.First], used)
 	}
 	for first := range least {
 		if most[first] > 1.01*least[first] {
-			t.Errorf("stage at layer %d: parts used from %.3f to %.3f", first, least[first], most[first])
+			t.Errorf("stage at layer %d: used fractions from %.3f to %.3f", first, least[first], most[first])
 		}
 	}
 }
 
 func BenchmarkGraph(b *testing.B) {
 	for _, n := range []int{30, 90, 210} {
-		engines, links := fleetGraph(n)
+		engines, links := threeStageFleet(n)
 		g := NewGraph(48, engines, links)
 		for _, bench := range []struct {
 			name string
@@ -216,7 +217,8 @@
 	for _, e := range NewGraph(4, engines, links).Engines() {
 		got = append(got, string(e.ID))
 	}
-	// a2 leads nowhere, and b2 and b3 can only be reached from it.
+	// a2 reports only a link to an unknown engine, and b2 and b3 are reachable only
+	// from a2.
 	if diff := cmp.Diff([]string{"a1", "b1"}, got); diff != "" {
 		t.Error(diff)
 	}
--- a/decide/topology/main_test.go
+++ b/decide/topology/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests.
+// TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
