--- a/decide/balancer/flow_look.go
+++ b/decide/balancer/flow_look.go
@@ -50,7 +50,7 @@
 		s.barred = true
 		return math.Inf(1)
 	}
-	return e.StepTime() / weight
+	return e.StepSeconds() / weight
 }
 
 // favourite gives the engine to follow another for the request's prefix, and
--- a/decide/balancer/plan.go
+++ b/decide/balancer/plan.go
@@ -102,7 +102,7 @@
 		return all
 	}
 	quick := topology.ScaledFlows(p.graph, topology.Scale{Engine: engine, Link: func(i, k int) float64 {
-		if p.graph.Next(i)[k].StepTime() > slowest {
+		if p.graph.Next(i)[k].StepSeconds() > slowest {
 			return 0
 		}
 		return p.link[i][k]
@@ -151,7 +151,7 @@
 func idleTime(g *topology.Graph) float64 {
 	c := cheapest{
 		engine: func(i int) float64 { return 1 / g.Engines()[i].Rate },
-		edge:   func(_ int, e topology.Edge) float64 { return e.StepTime() },
+		edge:   func(_ int, e topology.Edge) float64 { return e.StepSeconds() },
 	}
 	path := c.find(g)
 	if path == nil {
--- a/decide/topology/flow.go
+++ b/decide/topology/flow.go
@@ -136,7 +136,7 @@
 // newArc returns the arc of an edge from an engine with the given rate.
 func newArc(from int, e Edge, rate float64) arc {
 	base := quarterPreferenceTime.Seconds()
-	ratio := base / (base + e.StepTime())
+	ratio := base / (base + e.StepSeconds())
 	return arc{
 		from:       from,
 		to:         e.To,
--- a/decide/topology/graph.go
+++ b/decide/topology/graph.go
@@ -25,8 +25,8 @@
 	Rate float64
 }
 
-// StepTime returns the time in seconds that a step takes over the idle link.
-func (e Edge) StepTime() float64 {
+// StepSeconds returns the time in seconds that a step takes over the idle link.
+func (e Edge) StepSeconds() float64 {
 	t := max(e.Latency, 0).Seconds()
 	if e.Rate > 0 {
 		t += 1 / e.Rate
