--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -1,9 +1,10 @@
-// Package placer is the duty that has engines load the layers which
-// decide/placement gives them. One node of the fleet does it at a time, the
-// holder of a lease, whose term's number goes with each order.
+// Package placer sends engines the orders of decide/placement to load layers. Only
+// one node of the fleet does so at a time: the holder of a lease, whose fencing
+// token goes with each order.
 //
-// An order is sent only after the engine's own report, with the count of orders
-// from it: one that is carried out late, after a newer one, then has no effect.
+// Before an order the engine is asked for its report. The order carries the
+// report's count of orders, so that an order that is carried out late, after a
+// newer one, has no effect.
 package placer
 
 import (
@@ -24,152 +25,159 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// Order has an engine hold a range of layers.
+// Order tells an engine to hold a range of layers.
 type Order struct {
 	Layers layered.Range
-	// Fence is the number of the lease's term.
+	// Fence is the fencing token of the lease's term.
 	Fence int64
-	// ExpectedOrderCount is the count of orders the engine had begun.
+	// ExpectedOrderCount is the number of orders that the engine must have begun
+	// since its start for this one to be valid.
 	ExpectedOrderCount int64
 }
 
-// Result is what came of an order.
+// Result is the outcome of an order.
 type Result string
 
-// Results of orders.
+// Outcomes of an order.
 const (
-	// Begun: the engine carries it out, or has done so.
+	// Begun means that the engine is carrying it out or has done so.
 	Begun Result = "begun"
-	// Unfit: it does not fit the engine's state.
+	// Unfit means that the order was not sent, or does not fit the engine's state.
 	Unfit Result = "unfit"
-	// Fenced: the engine has seen a later term.
+	// Fenced means that the engine has seen a later term.
 	Fenced Result = "fenced"
-	// Unknown: it may be carried out.
+	// Unknown means that the engine may or may not carry it out.
 	Unknown Result = "unknown"
 )
 
-// Engines gives orders to engines.
+// Engines calls engines.
 type Engines interface {
-	// Probe asks an engine for its report.
+	// Probe returns an engine's report of its state.
 	Probe(ctx context.Context, u *directory.Upstream) (layered.Report, error)
-	// Place gives an order; the error tells more of results other than Begun.
+	// Place sends an order to an engine. The error gives details of results other
+	// than Begun; it may be nil.
 	Place(ctx context.Context, u *directory.Upstream, o Order) (Result, error)
 }
 
-// Lease tells whether this node may give orders.
+// Lease is the lease for sending orders.
 type Lease interface {
 	Status() lease.Status
-	// Lapsed tells of a term whose lease has run out and that nobody is known
-	// to have followed.
+	// Lapsed returns the status of this node's last term if its lease has expired
+	// and no later holder is known.
 	Lapsed() lease.Status
 	StepDown()
 }
 
-// Options set up a Placer.
+// Options configure a Placer.
 type Options struct {
 	Table   func() *routing.Table
 	View    func() *directory.View
 	Engines Engines
 	Lease   Lease
 	Plan    placement.Options
-	// ChecksFence tells that engines refuse orders of an earlier term than one they
-	// have seen. Orders then go on while the store is away and the lease cannot
-	// be renewed.
+	// ChecksFence tells that engines refuse orders of an earlier term than the
+	// latest they have seen. Orders then continue while the store is unreachable
+	// and the lease cannot be renewed.
 	ChecksFence bool
 	Now         func() time.Time
 	Log         zerolog.Logger
-	// Count adds to a counter.
+	// Count adds n to a counter.
 	Count func(name string, n int64)
-	// SilentFor tells how long an engine has not answered this node's requests.
+	// SilentFor returns how long an engine has left this node's requests
+	// unanswered; 0 if it answers or if that is unknown.
 	SilentFor func(*directory.Upstream) time.Duration
-	// Restarted is told of an engine that says it began later than the life that
-	// the directory knows. Any goroutine calls it.
+	// Restarted is called when an engine reports a later start than the directory
+	// knows. Calls may be concurrent.
 	Restarted func(ids.Life)
 }
 
-// Times of the duty.
+// Intervals and timeouts.
 const (
-	// tick is the time between two looks at the engines.
-	tick = 100 * time.Millisecond
-	// settleFirst is how long no engine may have come before the first plan of
-	// a fleet that holds nothing: engines enter the directory over some
-	// seconds, and a plan made from a part of them is not changed later.
-	settleFirst = 1500 * time.Millisecond
-	// settle is the same once engines hold layers.
-	settle = 300 * time.Millisecond
-	// callTimeout bounds one call to an engine.
+	// planInterval is the time between two planning rounds.
+	planInterval = 100 * time.Millisecond
+	// initialSettleTime is how long no engine may have been added before the first
+	// plan for a fleet that holds no layers. Engines enter the directory over some
+	// seconds, and a plan that is made for only some of them is not changed later.
+	initialSettleTime = 1500 * time.Millisecond
+	// settleTime replaces initialSettleTime once engines hold layers.
+	settleTime = 300 * time.Millisecond
+	// callTimeout limits a call to an engine.
 	callTimeout = 400 * time.Millisecond
-	// leastLeft of the lease must remain when an order is sent, so that the
-	// order arrives within it.
-	leastLeft = callTimeout + 100*time.Millisecond
-	// loadSlack is added to the time a load should take before an order that
-	// shows no effect is given up.
-	loadSlack = 3 * time.Second
-	// loadFactor stretches that time, as loads that run at once share the
-	// weight store.
-	loadFactor = 2.0
-	// unfitPause is the wait before an engine that refused is asked again.
-	unfitPause = 700 * time.Millisecond
+	// minLeaseRemaining is the time that must remain of the lease when an order is
+	// sent, so that the order arrives within the lease.
+	minLeaseRemaining = callTimeout + 100*time.Millisecond
+	// loadTimeSlack is added to the expected load time before an order without
+	// visible effect is given up.
+	loadTimeSlack = 3 * time.Second
+	// loadTimeFactor multiplies the expected load time, because concurrent loads
+	// share the weight store.
+	loadTimeFactor = 2.0
+	// unfitBackoff is the wait before an engine is tried again after an Unfit or
+	// Fenced result.
+	unfitBackoff = 700 * time.Millisecond
 )
 
-// Placer does the duty. Make it with New, and let Run run.
+// Placer sends engines the orders to load layers. Create it with New and start it
+// with Run.
 type Placer struct {
 	opts  Options
 	calls sync.WaitGroup
 
 	mu sync.Mutex
-	// under is what engines were told and have not shown yet.
-	under map[ids.Life]pending
-	// known are the engines of each service at the last look; grownAt is when
-	// one was new.
-	known   map[ids.Service]map[ids.Life]bool
-	grownAt time.Time
-	// holeSince tells since when zones lack layers. Run's alone.
-	holeSince map[zoneOf]time.Time
-	// leftAt tells when an engine of a zone was last seen to leave; answering are
-	// those that were not silent at the last look. Run's alone.
-	leftAt    map[zoneOf]time.Time
-	answering map[ids.Service]map[ids.Life]ids.Zone
-	// rest holds, for services whose last plan found nothing to do, what that
-	// was made for. Run's alone.
-	rest map[ids.Service]question
+	// pending holds the orders whose effect the directory does not show yet.
+	pending map[ids.Life]pendingOrder
+	// knownEngines holds the engines of each service in the last round;
+	// lastAddition is when one was added.
+	knownEngines map[ids.Service]map[ids.Life]bool
+	lastAddition time.Time
+	// gapSince is when a zone was first found to lack layers. Only Run's goroutine
+	// uses it.
+	gapSince map[serviceZone]time.Time
+	// lastDeparture is when an engine of a zone was last seen to leave as planned;
+	// responsive holds the engines that were not silent in the last round. Only
+	// Run's goroutine uses them.
+	lastDeparture map[serviceZone]time.Time
+	responsive    map[ids.Service]map[ids.Life]ids.Zone
+	// emptyPlans holds, for services whose last plan gave no orders, the input of
+	// that plan. Only Run's goroutine uses it.
+	emptyPlans map[ids.Service]planInput
 }
 
-// zoneOf is a zone as far as one service is concerned.
-type zoneOf struct {
+// serviceZone identifies the engines of one service in one zone.
+type serviceZone struct {
 	service ids.Service
 	zone    ids.Zone
 }
 
-// pending is an order under way.
-type pending struct {
-	layers layered.Range
-	until  time.Time
-	// sending is true until its answer is there.
-	sending bool
+// pendingOrder is an order that is being sent or carried out.
+type pendingOrder struct {
+	layers    layered.Range
+	expiresAt time.Time
+	// inFlight is true until the call returns.
+	inFlight bool
 }
 
-// New makes a Placer.
+// New returns a Placer.
 func New(o Options) *Placer {
 	return &Placer{
-		opts:      o,
-		under:     make(map[ids.Life]pending),
-		known:     make(map[ids.Service]map[ids.Life]bool),
-		holeSince: make(map[zoneOf]time.Time),
-		leftAt:    make(map[zoneOf]time.Time),
-		answering: make(map[ids.Service]map[ids.Life]ids.Zone),
-		rest:      make(map[ids.Service]question),
+		opts:          o,
+		pending:       make(map[ids.Life]pendingOrder),
+		knownEngines:  make(map[ids.Service]map[ids.Life]bool),
+		gapSince:      make(map[serviceZone]time.Time),
+		lastDeparture: make(map[serviceZone]time.Time),
+		responsive:    make(map[ids.Service]map[ids.Life]ids.Zone),
+		emptyPlans:    make(map[ids.Service]planInput),
 	}
 }
 
-// Run does the duty until ctx ends, and waits for its calls.
+// Run plans and sends orders until ctx ends, and then waits for its calls.
 func (p *Placer) Run(ctx context.Context) {
 	defer p.calls.Wait()
-	every.Do(ctx, tick, func() { p.turn(ctx) })
+	every.Do(ctx, planInterval, func() { p.planAll(ctx) })
 }
 
-// turn looks at the engines of every model.
-func (p *Placer) turn(ctx context.Context) {
+// planAll plans for every service with a model.
+func (p *Placer) planAll(ctx context.Context) {
 	table, view := p.opts.Table(), p.opts.View()
 	if table == nil || view == nil {
 		return
@@ -177,79 +185,80 @@
 	for i := range table.Services() {
 		service := &table.Services()[i]
 		if service.Model != nil {
-			p.place(ctx, service, view.Of(service.Name))
+			p.planService(ctx, service, view.Of(service.Name))
 		}
 	}
 }
 
-// place gives the orders that one model's engines need.
-func (p *Placer) place(ctx context.Context, service *routing.Service, engines []*directory.Upstream) {
+// planService plans for the engines of one service and sends the orders.
+func (p *Placer) planService(ctx context.Context, service *routing.Service, engines []*directory.Upstream) {
 	now := p.opts.Now()
 	m := service.Model
 	settled := p.settled(now, service.Name, engines)
-	if _, ok := p.term(); !ok || !settled {
+	if _, ok := p.fenceToken(); !ok || !settled {
 		return
 	}
-	state, whole, urgent := p.situation(now, m, engines)
+	state, complete, urgent := p.assess(now, m, engines)
 	plan := p.opts.Plan
-	p.notePlanned(now, service.Name, engines)
-	left := leftZones(m, engines)
-	plan.Move = p.movable(now, service.Name, whole, left, urgent)
-	plan.Reassign = p.reassignable(now, service.Name, whole, left, plan.Move)
-	q := question{m, state, plan.Reassign, plan.Move}
-	if p.atRest(service.Name, q) {
+	p.recordDepartures(now, service.Name, engines)
+	leaving := leavingZones(m, engines)
+	plan.Move = p.movableZones(now, service.Name, complete, leaving, urgent)
+	plan.Reassign = p.reassignableZones(now, service.Name, complete, leaving, plan.Move)
+	input := planInput{m, state, plan.Reassign, plan.Move}
+	if p.planWasEmpty(service.Name, input) {
 		return
 	}
 	orders := placement.Plan(m, state, plan)
 	if len(orders) == 0 {
-		p.rest[service.Name] = q
+		p.emptyPlans[service.Name] = input
 	}
 	for _, order := range orders {
 		for _, u := range engines {
 			if u.ID == order.Engine {
-				p.send(ctx, m, u, order.Layers)
+				p.sendOrder(ctx, m, u, order.Layers)
 			}
 		}
 	}
 }
 
-// question is what a plan was made for.
-type question struct {
+// planInput is the input of a plan.
+type planInput struct {
 	model          *layered.Model
 	state          []placement.Engine
 	reassign, move map[ids.Zone]bool
 }
 
-// atRest reports whether the last plan for the same found nothing to do. A plan
-// takes 8 ms for 3,100 engines, and a look is due ten times a second.
-func (p *Placer) atRest(service ids.Service, q question) bool {
-	last, ok := p.rest[service]
-	return ok && last.model == q.model && slices.Equal(last.state, q.state) &&
-		maps.Equal(last.reassign, q.reassign) && maps.Equal(last.move, q.move)
+// planWasEmpty reports whether the last plan with the same input gave no orders. A
+// plan takes 8 ms for 3,100 engines, and a round is due ten times a second.
+func (p *Placer) planWasEmpty(service ids.Service, input planInput) bool {
+	last, ok := p.emptyPlans[service]
+	return ok && last.model == input.model && slices.Equal(last.state, input.state) &&
+		maps.Equal(last.reassign, input.reassign) && maps.Equal(last.move, input.move)
 }
 
-// settled reports whether the list of engines has come to rest.
+// settled reports whether no engine has been added recently.
 func (p *Placer) settled(now time.Time, service ids.Service, engines []*directory.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	wait := settleFirst
+	wait := initialSettleTime
 	known := make(map[ids.Life]bool, len(engines))
 	for _, u := range engines {
 		known[u.ID] = true
-		if !p.known[service][u.ID] {
-			p.grownAt = now
+		if !p.knownEngines[service][u.ID] {
+			p.lastAddition = now
 		}
 		if !u.Layers.Empty() {
-			wait = settle
+			wait = settleTime
 		}
 	}
-	p.known[service] = known
-	return now.Sub(p.grownAt) >= wait
+	p.knownEngines[service] = known
+	return now.Sub(p.lastAddition) >= wait
 }
 
-// state gives the engines as the plan sees them: with what they were told to
-// hold, and without those that are leaving.
-func (p *Placer) state(now time.Time, engines []*directory.Upstream) []placement.Engine {
+// engineStates returns the planner's view of the engines, with their pending orders
+// and without engines that are leaving. It forgets pending orders that have taken
+// effect or expired.
+func (p *Placer) engineStates(now time.Time, engines []*directory.Upstream) []placement.Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var state []placement.Engine
@@ -258,62 +267,63 @@
 			continue
 		}
 		e := placement.Engine{ID: u.ID, Zone: u.Zone, Card: u.Card, Slots: u.Slots, Holds: u.Layers, Fixed: u.Busy}
-		told, underway := p.under[u.ID]
+		order, found := p.pending[u.ID]
 		switch {
-		case underway && !told.sending && (u.Layers == told.layers || !now.Before(told.until)):
-			delete(p.under, u.ID)
-		case underway:
-			e.Target, e.Fixed = told.layers, true
+		case found && !order.inFlight && (u.Layers == order.layers || !now.Before(order.expiresAt)):
+			delete(p.pending, u.ID)
+		case found:
+			e.Target, e.Fixed = order.layers, true
 		}
 		state = append(state, e)
 	}
 	return state
 }
 
-// send gives one order in a goroutine of its own.
-func (p *Placer) send(ctx context.Context, m *layered.Model, u *directory.Upstream, layers layered.Range) {
+// sendOrder sends one order in its own goroutine.
+func (p *Placer) sendOrder(ctx context.Context, m *layered.Model, u *directory.Upstream, layers layered.Range) {
 	if !m.Fits(m.Cards[u.Card], layers.Len()) {
 		p.opts.Log.Error().Str("event", "order_too_large").Str("upstream", u.ID.String()).Str("layers", layers.String()).Send()
 		return
 	}
-	p.set(u.ID, pending{layers: layers, sending: true})
+	p.setPending(u.ID, pendingOrder{layers: layers, inFlight: true})
 	p.calls.Go(func() {
-		result, err := p.give(ctx, u, layers)
+		result, err := p.probeAndPlace(ctx, u, layers)
 		p.opts.Count("orders."+string(result), 1)
 		p.opts.Log.Info().Str("event", "order").Str("upstream", u.ID.String()).Str("address", u.Address).
 			Str("layers", layers.String()).Str("held", u.Layers.String()).
 			Int64("entry_revision", u.Revision).Str("result", string(result)).AnErr("error", err).Send()
-		wait := unfitPause
+		wait := unfitBackoff
 		if result == Begun || result == Unknown {
 			share := float64(layers.Len()) / float64(max(m.Layers, 1))
-			wait = time.Duration(m.LoadSeconds*share*loadFactor*float64(time.Second)) + loadSlack
+			wait = time.Duration(m.LoadSeconds*share*loadTimeFactor*float64(time.Second)) + loadTimeSlack
 		}
 		if result == Fenced {
 			p.opts.Lease.StepDown()
 		}
-		p.set(u.ID, pending{layers: layers, until: p.opts.Now().Add(wait)})
+		p.setPending(u.ID, pendingOrder{layers: layers, expiresAt: p.opts.Now().Add(wait)})
 	})
 }
 
-// set notes an order.
-func (p *Placer) set(id ids.Life, o pending) {
+// setPending records an order as pending.
+func (p *Placer) setPending(id ids.Life, o pendingOrder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.under[id] = o
+	p.pending[id] = o
 }
 
-// LeaseError tells that an order was not sent since the lease had ended, or had
-// too little time left.
+// LeaseError reports that an order was not sent because the lease had expired or
+// too little of it remained.
 type LeaseError struct{}
 
 // Error implements error.
-func (*LeaseError) Error() string { return "the lease has ended or is about to" }
+func (*LeaseError) Error() string { return "lease not held or too little time left on it" }
 
-// give asks the engine and sends it the order, if the lease allows it then.
-func (p *Placer) give(ctx context.Context, u *directory.Upstream, layers layered.Range) (Result, error) {
-	limit, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
-	report, err := p.opts.Engines.Probe(limit, u)
+// probeAndPlace asks the engine for its report and then sends it the order, if the
+// lease still allows it.
+func (p *Placer) probeAndPlace(ctx context.Context, u *directory.Upstream, layers layered.Range) (Result, error) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	report, err := p.opts.Engines.Probe(callCtx, u)
 	if err != nil {
 		return Unfit, err
 	}
@@ -324,19 +334,20 @@
 	if report.Busy {
 		return Unfit, nil
 	}
-	limit, done = context.WithTimeout(ctx, callTimeout)
-	defer done()
-	fence, ok := p.term()
+	callCtx, cancel = context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	fence, ok := p.fenceToken()
 	if !ok {
 		return Unfit, &LeaseError{}
 	}
-	return p.opts.Engines.Place(limit, u, Order{Layers: layers, Fence: fence, ExpectedOrderCount: report.Orders})
+	return p.opts.Engines.Place(callCtx, u, Order{Layers: layers, Fence: fence, ExpectedOrderCount: report.Orders})
 }
 
-// term gives the number of the own term, if orders may be given in it now.
-func (p *Placer) term() (fence int64, ok bool) {
+// fenceToken returns the fencing token of this node's term; ok is false if orders
+// may not be sent now.
+func (p *Placer) fenceToken() (fence int64, ok bool) {
 	status := p.opts.Lease.Status()
-	if status.Held && status.Left >= leastLeft {
+	if status.Held && status.Left >= minLeaseRemaining {
 		return status.Fence, true
 	}
 	if !p.opts.ChecksFence {
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -20,22 +20,22 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// fleet stands for the engines, the directory and the lease.
+// fleet is a fake of the engines, the directory and the lease.
 type fleet struct {
-	mu     sync.Mutex
-	dir    *directory.Directory
-	rev    int64
-	orders []string
-	busy   map[ids.Life]bool
-	result Result
-	status lease.Status
-	lapsed lease.Status
-	downs  int
-	// hangs makes reports fail.
-	hangs bool
-	// born are the starts that engines report.
-	born map[ids.Upstream]int64
-	// silent is for how long engines have not answered.
+	mu        sync.Mutex
+	dir       *directory.Directory
+	rev       int64
+	orders    []string
+	busy      map[ids.Life]bool
+	result    Result
+	status    lease.Status
+	lapsed    lease.Status
+	stepDowns int
+	// probeFails makes Probe fail.
+	probeFails bool
+	// startTimes holds the start times that engines report.
+	startTimes map[ids.Upstream]int64
+	// silent is how long engines have left requests unanswered.
 	silent map[ids.Upstream]time.Duration
 }
 
@@ -46,11 +46,11 @@
 	}
 }
 
-// engine adds an engine or changes what it holds.
-func (f *fleet) engine(id string, from, to int) { f.life(id, 0, from, to) }
+// engine adds an engine or changes the layers it holds.
+func (f *fleet) engine(id string, from, to int) { f.engineLife(id, 0, from, to) }
 
-// life is engine for a process whose start is told.
-func (f *fleet) life(id string, born int64, from, to int) {
+// engineLife is engine for a process with a known start time.
+func (f *fleet) engineLife(id string, born int64, from, to int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev++
@@ -59,14 +59,14 @@
 	})
 }
 
-// silentFor tells for how long an engine has been silent.
+// silentFor returns how long an engine has been silent.
 func (f *fleet) silentFor(u *directory.Upstream) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.silent[u.ID.Upstream]
 }
 
-// restarted takes what an engine says of its start.
+// restarted records the start time that an engine reported.
 func (f *fleet) restarted(life ids.Life) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,10 +76,10 @@
 func (f *fleet) Probe(_ context.Context, u *directory.Upstream) (layered.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.hangs {
+	if f.probeFails {
 		return layered.Report{}, &LeaseError{}
 	}
-	return layered.Report{Born: f.born[u.ID.Upstream], Orders: 4}, nil
+	return layered.Report{Born: f.startTimes[u.ID.Upstream], Orders: 4}, nil
 }
 
 func (f *fleet) Place(_ context.Context, u *directory.Upstream, o Order) (Result, error) {
@@ -105,12 +105,12 @@
 func (f *fleet) StepDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.downs++
+	f.stepDowns++
 	f.status = lease.Status{}
 }
 
-// given takes the orders given so far.
-func (f *fleet) given() []string {
+// takeOrders returns the orders since the last call.
+func (f *fleet) takeOrders() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.orders
@@ -118,22 +118,23 @@
 	return out
 }
 
-// playModel has 10 layers on one kind of card.
-var playModel = &layered.Model{
+// testModel has 10 layers on one kind of card.
+var testModel = &layered.Model{
 	Layers: 10, LayerMB: 10, KVTokenBytes: 10, StepMs: 1, Stride: 1, LoadSeconds: 10,
 	Cards: map[string]layered.Card{"card": {MemoryMB: 100, StepFactor: 1, ReadFactor: 1}},
 }
 
-// play runs the duty over a fleet, in a bubble of its own clock.
-func play(t *testing.T, f *fleet, fenced bool, story func()) {
+// runPlacer runs a placer over a fleet in a synctest bubble while the scenario
+// runs.
+func runPlacer(t *testing.T, f *fleet, fenced bool, scenario func()) {
 	t.Helper()
 	o := Options{Engines: f, Lease: f, ChecksFence: fenced, Restarted: f.restarted, SilentFor: f.silentFor}
-	playPlacer(t, playModel, &f.mu, f.dir, o, func(context.Context) { story() })
+	runPlacerOver(t, testModel, &f.mu, f.dir, o, func(context.Context) { scenario() })
 }
 
-// playPlacer runs the duty over the engines of one model until the story ends, in a bubble of
-// its own clock; mu guards the directory.
-func playPlacer(t *testing.T, m *layered.Model, mu *sync.Mutex, dir *directory.Directory, o Options, story func(context.Context)) {
+// runPlacerOver runs a placer over the engines of one model until the scenario
+// returns, in a synctest bubble. mu guards the directory.
+func runPlacerOver(t *testing.T, m *layered.Model, mu *sync.Mutex, dir *directory.Directory, o Options, scenario func(context.Context)) {
 	t.Helper()
 	table, err := routing.Build(routing.Config{Services: []routing.Service{{Name: "s", Model: m}}})
 	if err != nil {
@@ -149,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		go New(o).Run(ctx)
-		story(ctx)
+		scenario(ctx)
 		cancel()
 		synctest.Wait()
 	})
@@ -157,37 +158,37 @@
 
 func TestWaitsForTheFleetThenPlaces(t *testing.T) {
 	f := newFleet()
-	play(t, f, true, func() {
+	runPlacer(t, f, true, func() {
 		f.engine("a", 0, 0)
 		time.Sleep(time.Second)
 		f.engine("b", 0, 0)
 		time.Sleep(time.Second)
-		if got := f.given(); len(got) > 0 {
-			t.Errorf("orders before the list has settled: %v", got)
+		if got := f.takeOrders(); len(got) > 0 {
+			t.Errorf("orders before the list of engines has settled: %v", got)
 		}
 		time.Sleep(time.Second)
 		want := []string{"a 0-6 fence 9 after 4", "b 6-10 fence 9 after 4"}
-		if diff := cmp.Diff(want, f.given()); diff != "" {
+		if diff := cmp.Diff(want, f.takeOrders()); diff != "" {
 			t.Error(diff)
 		}
 		f.engine("a", 0, 6)
 		f.engine("b", 6, 10)
 		time.Sleep(time.Minute)
-		if got := f.given(); len(got) > 0 {
-			t.Errorf("orders to a fleet that is whole: %v", got)
+		if got := f.takeOrders(); len(got) > 0 {
+			t.Errorf("orders to a complete fleet: %v", got)
 		}
 	})
 }
 
 func TestNoOrderWithoutTheLease(t *testing.T) {
-	for name, status := range map[string]lease.Status{"none": {}, "about to end": {Held: true, Left: leastLeft / 2, Fence: 9}} {
+	for name, status := range map[string]lease.Status{"none": {}, "about to end": {Held: true, Left: minLeaseRemaining / 2, Fence: 9}} {
 		f := newFleet()
 		f.status = status
-		play(t, f, false, func() {
+		runPlacer(t, f, false, func() {
 			f.engine("a", 0, 0)
 			time.Sleep(time.Minute)
 		})
-		if got := f.given(); len(got) > 0 {
+		if got := f.takeOrders(); len(got) > 0 {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -198,11 +199,11 @@
 		f := newFleet()
 		f.status = lease.Status{}
 		f.lapsed = lease.Status{Held: true, Fence: 8}
-		play(t, f, fenced, func() {
+		runPlacer(t, f, fenced, func() {
 			f.engine("a", 0, 0)
 			time.Sleep(5 * time.Second)
 		})
-		if got := f.given(); (len(got) > 0) != fenced {
+		if got := f.takeOrders(); (len(got) > 0) != fenced {
 			t.Errorf("fenced %v: orders %v", fenced, got)
 		}
 	}
@@ -211,65 +212,65 @@
 func TestFencedOrderEndsTheTerm(t *testing.T) {
 	f := newFleet()
 	f.result = Fenced
-	play(t, f, true, func() {
+	runPlacer(t, f, true, func() {
 		f.engine("a", 0, 0)
 		time.Sleep(time.Minute)
 	})
-	if got := f.given(); len(got) != 1 || f.downs != 1 {
-		t.Errorf("orders %v, stepped down %d times", got, f.downs)
+	if got := f.takeOrders(); len(got) != 1 || f.stepDowns != 1 {
+		t.Errorf("orders %v, stepped down %d times", got, f.stepDowns)
 	}
 }
 
-func TestOrderWithoutEffectComesAgain(t *testing.T) {
+func TestOrderWithoutEffectIsRepeated(t *testing.T) {
 	f := newFleet()
 	f.result = Unknown
-	play(t, f, true, func() {
+	runPlacer(t, f, true, func() {
 		f.engine("a", 0, 0)
 		time.Sleep(4 * time.Second)
-		if got := f.given(); len(got) != 1 {
+		if got := f.takeOrders(); len(got) != 1 {
 			t.Errorf("orders %v, want one while it may still take effect", got)
 		}
 		time.Sleep(time.Minute)
-		if got := f.given(); len(got) == 0 {
-			t.Error("an order that never took effect is not given again")
+		if got := f.takeOrders(); len(got) == 0 {
+			t.Error("an order that never took effect is not sent again")
 		}
 	})
 }
 
 func TestEngineThatDoesNotReportGetsNoOrder(t *testing.T) {
 	f := newFleet()
-	f.hangs = true
-	play(t, f, true, func() {
+	f.probeFails = true
+	runPlacer(t, f, true, func() {
 		f.engine("a", 0, 0)
 		time.Sleep(10 * time.Second)
 	})
-	if got := f.given(); len(got) > 0 {
+	if got := f.takeOrders(); len(got) > 0 {
 		t.Errorf("orders %v", got)
 	}
 }
 
-func TestNoPlanIsMadeTwiceForTheSame(t *testing.T) {
+func TestUnchangedInputIsNotPlannedAgain(t *testing.T) {
 	m := &layered.Model{Layers: 8}
-	q := func(to int, move bool) question {
-		return question{
+	input := func(to int, move bool) planInput {
+		return planInput{
 			model: m, move: map[ids.Zone]bool{"z": move},
 			state: []placement.Engine{{ID: ids.Life{Upstream: "e"}, Holds: layered.Range{To: to}}},
 		}
 	}
 	p := New(Options{})
-	if p.atRest("s", q(8, false)) {
-		t.Error("at rest before any plan")
+	if p.planWasEmpty("s", input(8, false)) {
+		t.Error("the plan counts as empty before one was made")
 	}
-	p.rest["s"] = q(8, false)
-	if !p.atRest("s", q(8, false)) || p.atRest("other", q(8, false)) {
-		t.Error("the same is planned again, or another service is not")
+	p.emptyPlans["s"] = input(8, false)
+	if !p.planWasEmpty("s", input(8, false)) || p.planWasEmpty("other", input(8, false)) {
+		t.Error("unchanged input is planned again, or another service is not planned")
 	}
-	if p.atRest("s", q(4, false)) || p.atRest("s", q(8, true)) {
-		t.Error("at rest though an engine, or what may move, has changed")
+	if p.planWasEmpty("s", input(4, false)) || p.planWasEmpty("s", input(8, true)) {
+		t.Error("the plan counts as empty although an engine or the zones to move in have changed")
 	}
-	other := q(8, false)
+	other := input(8, false)
 	other.model = &layered.Model{Layers: 8}
-	if p.atRest("s", other) {
-		t.Error("at rest though the model is another")
+	if p.planWasEmpty("s", other) {
+		t.Error("the plan counts as empty although the model has changed")
 	}
 }
--- a/adapter/placer/shortage.go
+++ b/adapter/placer/shortage.go
@@ -10,127 +10,132 @@
 	"mimosaarch.example/decide/placement"
 )
 
-// Waits while layers are missing.
+// Delays while layers are missing.
 const (
-	// moveAfter is how long a zone must lack layers before engines that hold
-	// others are moved: most engines that crash are back, empty, in less.
-	moveAfter = 2500 * time.Millisecond
-	// urgentAfter is the same while fewer than half of the zones hold every layer:
-	// long enough for a widened neighbour's order to be sent.
-	urgentAfter = 300 * time.Millisecond
-	// plannedAfter is the same where engines leave as planned, which do not come back: long
-	// enough for an empty one that replaces them to be seen.
-	plannedAfter = 500 * time.Millisecond
-	// plannedFor is how long a zone counts as one that engines leave as planned.
-	plannedFor = 6 * time.Second
-	// lostAfter is the silence after which an engine counts as lost before its
-	// entry is gone, which takes three missed heartbeats, 3.6 s: with several
-	// engines lost, a layer may be held nowhere until others load it.
-	lostAfter = time.Second
+	// moveDelay is how long a zone must lack layers before engines with other
+	// layers are moved. Most engines that crash are back, empty, within that time.
+	moveDelay = 2500 * time.Millisecond
+	// urgentMoveDelay replaces moveDelay while fewer than half of the zones are
+	// complete. It leaves time to send the order that extends a neighbour.
+	urgentMoveDelay = 300 * time.Millisecond
+	// plannedMoveDelay replaces moveDelay after planned departures, because those
+	// engines do not come back. It leaves time for an empty replacement to appear.
+	plannedMoveDelay = 500 * time.Millisecond
+	// plannedDepartureWindow is how long a zone counts as having planned departures
+	// after the last one.
+	plannedDepartureWindow = 6 * time.Second
+	// silentLostTimeout is the silence after which an engine counts as lost while
+	// fewer than half of the zones are complete. Its directory entry expires later,
+	// after three missed heartbeats or 3.6 s; if several engines are lost, a layer
+	// may be held nowhere until others load it.
+	silentLostTimeout = time.Second
 )
 
-// situation gives the engines as the plan is to see them, and which zones hold
-// every layer. It is urgent where those are fewer than half: then silent engines
-// count as lost. Else the other zones serve until it is certain.
-func (p *Placer) situation(now time.Time, m *layered.Model, engines []*directory.Upstream) (state []placement.Engine, whole map[ids.Zone]bool, urgent bool) {
-	answering := slices.DeleteFunc(slices.Clone(engines), func(u *directory.Upstream) bool {
-		return p.opts.SilentFor(u) >= lostAfter
+// assess returns the planner's view of the engines and which zones hold every
+// layer. If fewer than half do, it is urgent and silent engines count as lost.
+// Otherwise the complete zones serve until the loss is certain.
+func (p *Placer) assess(now time.Time, m *layered.Model, engines []*directory.Upstream) (state []placement.Engine, complete map[ids.Zone]bool, urgent bool) {
+	responsive := slices.DeleteFunc(slices.Clone(engines), func(u *directory.Upstream) bool {
+		return p.opts.SilentFor(u) >= silentLostTimeout
 	})
-	state = p.state(now, answering)
-	whole = placement.CompleteZones(m, state)
+	state = p.engineStates(now, responsive)
+	complete = placement.CompleteZones(m, state)
 	count := 0
-	for _, ok := range whole {
+	for _, ok := range complete {
 		if ok {
 			count++
 		}
 	}
-	if urgent = 2*count < len(whole); !urgent {
-		state = p.state(now, engines)
-		whole = placement.CompleteZones(m, state)
+	if urgent = 2*count < len(complete); !urgent {
+		state = p.engineStates(now, engines)
+		complete = placement.CompleteZones(m, state)
 	}
-	return state, whole, urgent
+	return state, complete, urgent
 }
 
-// movable gives the zones that have lacked layers for long, those of engines that
-// leave counted as missing.
-func (p *Placer) movable(now time.Time, service ids.Service, whole, left map[ids.Zone]bool, urgent bool) map[ids.Zone]bool {
+// movableZones returns the zones that have lacked layers long enough for engines to
+// be moved. Layers of engines that are leaving count as missing.
+func (p *Placer) movableZones(now time.Time, service ids.Service, complete, leaving map[ids.Zone]bool, urgent bool) map[ids.Zone]bool {
 	move := make(map[ids.Zone]bool)
-	for zone, ok := range whole {
-		key := zoneOf{service, zone}
+	for zone, ok := range complete {
+		key := serviceZone{service, zone}
 		if ok {
-			delete(p.holeSince, key)
+			delete(p.gapSince, key)
 			continue
 		}
-		since, lacking := p.holeSince[key]
+		since, lacking := p.gapSince[key]
 		if !lacking {
 			since = now
 		}
-		p.holeSince[key] = since
-		wait := moveAfter
+		p.gapSince[key] = since
+		wait := moveDelay
 		switch {
 		case urgent:
-			wait = urgentAfter
-		case left[zone] || p.planned(now, key):
-			wait = plannedAfter
+			wait = urgentMoveDelay
+		case leaving[zone] || p.departurePlanned(now, key):
+			wait = plannedMoveDelay
 		}
 		move[zone] = now.Sub(since) >= wait
 	}
 	return move
 }
 
-// reassignable gives the zones in which engines whose layers others serve too may take over
-// missing ones: at once where engines leave as planned, and else, as most that crash are
-// back, where engines may be moved.
-func (p *Placer) reassignable(now time.Time, service ids.Service, whole, left, move map[ids.Zone]bool) map[ids.Zone]bool {
+// reassignableZones returns the zones in which engines with redundant layers may
+// take over missing ones: at once after planned departures, and otherwise together
+// with moves, because most engines that crash come back.
+func (p *Placer) reassignableZones(now time.Time, service ids.Service, complete, leaving, move map[ids.Zone]bool) map[ids.Zone]bool {
 	reassign := make(map[ids.Zone]bool)
-	for zone, ok := range whole {
+	for zone, ok := range complete {
 		if !ok {
-			reassign[zone] = left[zone] || move[zone] || p.planned(now, zoneOf{service, zone})
+			reassign[zone] = leaving[zone] || move[zone] || p.departurePlanned(now, serviceZone{service, zone})
 		}
 	}
 	return reassign
 }
 
-// leftZones gives the zones that hold every layer but for engines that leave.
-func leftZones(m *layered.Model, engines []*directory.Upstream) map[ids.Zone]bool {
+// leavingZones returns the zones that hold every layer only as long as their
+// leaving engines are counted.
+func leavingZones(m *layered.Model, engines []*directory.Upstream) map[ids.Zone]bool {
 	var all []placement.Engine
 	leaving := make(map[ids.Zone]bool)
 	for _, u := range engines {
 		all = append(all, placement.Engine{ID: u.ID, Zone: u.Zone, Card: u.Card, Holds: u.Layers})
 		leaving[u.Zone] = leaving[u.Zone] || u.Leaving
 	}
-	left := placement.CompleteZones(m, all)
-	for zone, whole := range left {
-		left[zone] = whole && leaving[zone]
+	complete := placement.CompleteZones(m, all)
+	for zone, ok := range complete {
+		complete[zone] = ok && leaving[zone]
 	}
-	return left
+	return complete
 }
 
-// notePlanned notes the zones in which engines leave: those that say so, and those
-// whose entry goes though they answered to the last, as some never say it.
-func (p *Placer) notePlanned(now time.Time, service ids.Service, engines []*directory.Upstream) {
-	before := p.answering[service]
-	answering := make(map[ids.Life]ids.Zone, len(engines))
+// recordDepartures records the zones in which engines leave as planned: those that
+// report it, and those whose directory entry disappears although they answered
+// until then, since some engines never report it.
+func (p *Placer) recordDepartures(now time.Time, service ids.Service, engines []*directory.Upstream) {
+	previous := p.responsive[service]
+	responsive := make(map[ids.Life]ids.Zone, len(engines))
 	listed := make(map[ids.Life]bool, len(engines))
 	for _, u := range engines {
 		listed[u.ID] = true
 		if p.opts.SilentFor(u) == 0 {
-			answering[u.ID] = u.Zone
+			responsive[u.ID] = u.Zone
 		}
 		if u.Leaving {
-			p.leftAt[zoneOf{service, u.Zone}] = now
+			p.lastDeparture[serviceZone{service, u.Zone}] = now
 		}
 	}
-	for id, zone := range before {
+	for id, zone := range previous {
 		if !listed[id] {
-			p.leftAt[zoneOf{service, zone}] = now
+			p.lastDeparture[serviceZone{service, zone}] = now
 		}
 	}
-	p.answering[service] = answering
+	p.responsive[service] = responsive
 }
 
-// planned reports whether an engine of a zone leaves or left lately.
-func (p *Placer) planned(now time.Time, key zoneOf) bool {
-	at, left := p.leftAt[key]
-	return left && now.Sub(at) < plannedFor
+// departurePlanned reports whether an engine of the zone is leaving as planned or
+// left recently.
+func (p *Placer) departurePlanned(now time.Time, key serviceZone) bool {
+	at, left := p.lastDeparture[key]
+	return left && now.Sub(at) < plannedDepartureWindow
 }
--- a/adapter/placer/shortage_test.go
+++ b/adapter/placer/shortage_test.go
@@ -10,70 +10,70 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// Layers of an engine that leaves are loaded by its neighbours before it is gone,
-// and so are those of one that is gone.
+// The neighbours of an engine load its layers while it is leaving, and also after
+// it has disappeared.
 func TestNeighboursTakeOverFromOneThatLeaves(t *testing.T) {
 	for _, test := range []struct {
 		leaves bool
 		within time.Duration
-	}{{true, 500 * time.Millisecond}, {false, moveAfter + time.Second}} {
+	}{{true, 500 * time.Millisecond}, {false, moveDelay + time.Second}} {
 		f := newFleet()
-		play(t, f, true, func() {
+		runPlacer(t, f, true, func() {
 			f.engine("a", 0, 4)
 			f.engine("b", 4, 7)
 			f.engine("c", 7, 10)
 			f.engine("d", 0, 4)
 			time.Sleep(2 * time.Second)
-			f.given()
+			f.takeOrders()
 			if test.leaves {
-				f.leave("b")
+				f.announceLeave("b")
 			} else {
-				f.gone("b")
+				f.remove("b")
 			}
 			time.Sleep(test.within)
-			if got := f.given(); len(got) == 0 {
+			if got := f.takeOrders(); len(got) == 0 {
 				t.Errorf("leaves %v: no order within %v", test.leaves, test.within)
 			}
 		})
 	}
 }
 
-// An engine that has been silent for long counts as lost only where that leaves
-// fewer than half of the zones whole.
+// An engine that has been silent for long counts as lost only if fewer than half of
+// the zones are complete without it.
 func TestSilentEnginesCountAsLostOnlyInShortage(t *testing.T) {
 	f := newFleet()
-	play(t, f, true, func() {
+	runPlacer(t, f, true, func() {
 		f.engine("a", 0, 6)
 		f.engine("b", 6, 10)
 		f.engine("twin", 0, 6)
-		f.silence("b", lostAfter/2)
+		f.setSilence("b", silentLostTimeout/2)
 		time.Sleep(2 * time.Second)
-		if got := f.given(); len(got) > 0 {
-			t.Errorf("orders for one that is silent for a moment: %v", got)
+		if got := f.takeOrders(); len(got) > 0 {
+			t.Errorf("orders for an engine that is silent for a moment: %v", got)
 		}
-		f.silence("b", lostAfter)
-		time.Sleep(urgentAfter + time.Second)
-		if got := f.given(); len(got) != 1 || !strings.Contains(got[0], "-10 ") {
+		f.setSilence("b", silentLostTimeout)
+		time.Sleep(urgentMoveDelay + time.Second)
+		if got := f.takeOrders(); len(got) != 1 || !strings.Contains(got[0], "-10 ") {
 			t.Errorf("orders %v, want one for the layers of the silent engine", got)
 		}
 	})
 	f = newFleet()
-	play(t, f, true, func() {
+	runPlacer(t, f, true, func() {
 		for _, zone := range []string{"x", "y"} {
-			f.in(zone, "a-"+zone, 0, 6)
-			f.in(zone, "b-"+zone, 6, 10)
-			f.in(zone, "twin-"+zone, 0, 6)
+			f.engineIn(zone, "a-"+zone, 0, 6)
+			f.engineIn(zone, "b-"+zone, 6, 10)
+			f.engineIn(zone, "twin-"+zone, 0, 6)
 		}
-		f.silence("b-x", time.Minute)
+		f.setSilence("b-x", time.Minute)
 		time.Sleep(10 * time.Second)
-		if got := f.given(); len(got) > 0 {
-			t.Errorf("orders while another zone is whole: %v", got)
+		if got := f.takeOrders(); len(got) > 0 {
+			t.Errorf("orders while another zone is complete: %v", got)
 		}
 	})
 }
 
-// in is engine in a zone.
-func (f *fleet) in(zone, id string, from, to int) {
+// engineIn adds an engine in the given zone.
+func (f *fleet) engineIn(zone, id string, from, to int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev++
@@ -83,8 +83,8 @@
 	})
 }
 
-// leave has an engine's entry say that it leaves.
-func (f *fleet) leave(id string) {
+// announceLeave marks an engine's entry as leaving.
+func (f *fleet) announceLeave(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev++
@@ -93,16 +93,16 @@
 	f.dir.Put(u)
 }
 
-// gone removes an engine's entry.
-func (f *fleet) gone(id string) {
+// remove removes an engine's entry.
+func (f *fleet) remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev++
 	f.dir.Remove(time.Now(), ids.Upstream(id), f.rev)
 }
 
-// silence has an engine not have answered for that long.
-func (f *fleet) silence(id string, d time.Duration) {
+// setSilence sets how long an engine has left requests unanswered.
+func (f *fleet) setSilence(id string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.silent == nil {
@@ -111,37 +111,38 @@
 	f.silent[ids.Upstream(id)] = d
 }
 
-// Guards against zones that stay without layers for seconds after each planned leaving, as
-// engines that alone serve theirs were not moved. They are soon, also where an entry goes
-// without a word though its engine answered to the last; an empty engine that comes in
-// its place is awaited. After one that had fallen silent, which may come back, they wait.
-func TestZoneIsMendedSoonAfterAPlannedLeaving(t *testing.T) {
-	for how, after := range map[string]time.Duration{"leaves": plannedAfter, "vanishes": plannedAfter, "silent": moveAfter} {
+// Guards against zones that lack layers for seconds after each planned departure
+// because engines with unique layers are not moved. They must be moved soon, also
+// if an entry disappears although its engine answered until then, but only after
+// the time for an empty replacement to appear. After the loss of a silent engine,
+// which may come back, the longer delay applies.
+func TestZoneIsRepairedSoonAfterPlannedDeparture(t *testing.T) {
+	for how, after := range map[string]time.Duration{"leaves": plannedMoveDelay, "vanishes": plannedMoveDelay, "silent": moveDelay} {
 		f := newFleet()
-		play(t, f, true, func() {
+		runPlacer(t, f, true, func() {
 			f.engine("a", 0, 5)
 			f.engine("b", 5, 9)
 			f.engine("c", 9, 10)
-			f.in("y", "whole-a", 0, 6)
-			f.in("y", "whole-b", 6, 10)
+			f.engineIn("y", "whole-a", 0, 6)
+			f.engineIn("y", "whole-b", 6, 10)
 			time.Sleep(2 * time.Second)
-			f.given()
+			f.takeOrders()
 			switch how {
 			case "leaves":
-				f.leave("a")
+				f.announceLeave("a")
 			case "vanishes":
-				f.gone("a")
+				f.remove("a")
 			case "silent":
-				f.silence("a", lostAfter)
+				f.setSilence("a", silentLostTimeout)
 				time.Sleep(time.Second)
-				f.gone("a")
+				f.remove("a")
 			}
-			time.Sleep(after - tick)
-			if got := f.given(); len(got) > 0 {
+			time.Sleep(after - planInterval)
+			if got := f.takeOrders(); len(got) > 0 {
 				t.Errorf("%s: orders %v before %s", how, got, after)
 			}
-			time.Sleep(3 * tick)
-			if got := f.given(); len(got) == 0 {
+			time.Sleep(3 * planInterval)
+			if got := f.takeOrders(); len(got) == 0 {
 				t.Errorf("%s: no orders after %s", how, after)
 			}
 		})
