--- a/adapter/orders/calls.go
+++ b/adapter/orders/calls.go
@@ -14,40 +14,41 @@
 	"mimosaarch.example/decide/order"
 )
 
-// leaseObject is the lease's object on the platform. It implements leader.Store.
+// leaseObject stores the lease in an object on the platform. It implements
+// leader.Store.
 type leaseObject struct{ opts Options }
 
-// Call implements leader.Store.
+// Call implements leader.Store. It reads or writes the lease object.
 func (l *leaseObject) Call(ctx context.Context, command lease.Command) lease.Answer {
-	limit, done := context.WithTimeout(ctx, l.opts.CallTimeout)
-	defer done()
+	callCtx, cancel := context.WithTimeout(ctx, l.opts.CallTimeout)
+	defer cancel()
 	key := LeasePrefix + l.opts.LeaseName
 	var object platformapi.Object
 	var err error
 	switch c := command.(type) {
 	case lease.Write:
-		object, err = l.opts.Platform.Put(limit, key, encode(c.Record), c.IfMatch)
+		object, err = l.opts.Platform.Put(callCtx, key, encodeRecord(c.Record), c.IfMatch)
 	default:
-		object, err = l.opts.Platform.Get(limit, key)
+		object, err = l.opts.Platform.Get(callCtx, key)
 	}
 	if err != nil {
-		return l.failed(err)
+		return l.errorAnswer(err)
 	}
-	return found(object)
+	return objectAnswer(object)
 }
 
-// failed turns a failure into an answer.
-func (l *leaseObject) failed(err error) lease.Answer {
+// errorAnswer returns the answer for a failed call.
+func (l *leaseObject) errorAnswer(err error) lease.Answer {
 	var conflict *platform.ConflictError
 	var missing *platform.NotFoundError
 	switch {
 	case errors.As(err, &missing):
 		return lease.Answer{Kind: lease.Absent}
 	case errors.As(err, &conflict) && conflict.Current.Version == platform.UnknownVersion:
-		// Refused for certain, but by what has to be read.
+		// The write was refused, but only a read can tell by which version.
 		return lease.Answer{Kind: lease.Lost}
 	case errors.As(err, &conflict):
-		return found(conflict.Current)
+		return objectAnswer(conflict.Current)
 	}
 	l.opts.Count(PlatformCallsFailed, 1)
 	if platform.MayHaveTakenEffect(err) {
@@ -56,8 +57,8 @@
 	return lease.Answer{Kind: lease.Failed}
 }
 
-// found turns an object into an answer.
-func found(object platformapi.Object) lease.Answer {
+// objectAnswer returns the answer for an object that was read or written.
+func objectAnswer(object platformapi.Object) lease.Answer {
 	if object.Version == 0 || object.Deleted {
 		return lease.Answer{Kind: lease.Absent}
 	}
@@ -68,52 +69,52 @@
 	return lease.Answer{Kind: lease.Found, Version: object.Version, Record: record}
 }
 
-// readPlans reads the plans in a goroutine of its own.
-func (d *Controller) readPlans(ctx context.Context) {
-	d.reading = true
-	d.calls.Go(func() {
-		limit, done := context.WithTimeout(ctx, d.opts.CallTimeout)
-		defer done()
-		reply, err := d.opts.Platform.List(limit, order.KeyPrefix)
-		d.put(ctx, func(now time.Time) {
-			d.reading = false
-			d.readAt = now
+// readPlans reads the plans in its own goroutine.
+func (c *Controller) readPlans(ctx context.Context) {
+	c.readingPlans = true
+	c.calls.Go(func() {
+		callCtx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
+		defer cancel()
+		reply, err := c.opts.Platform.List(callCtx, order.KeyPrefix)
+		c.post(ctx, func(now time.Time) {
+			c.readingPlans = false
+			c.lastRead = now
 			if err != nil {
-				d.opts.Count(PlatformCallsFailed, 1)
+				c.opts.Count(PlatformCallsFailed, 1)
 				return
 			}
-			d.setPlans(reply)
+			c.applyPlans(reply)
 		})
 	})
 }
 
-// setPlans puts the plans in force that are new, and drops those that are
-// gone. One that is not valid leaves the last one in force.
-func (d *Controller) setPlans(reply platformapi.ListReply) {
-	named := make(map[ids.Service]bool)
+// applyPlans sets the plans with a new version and drops those without an object.
+// An invalid plan leaves the previous one in force.
+func (c *Controller) applyPlans(reply platformapi.ListReply) {
+	listed := make(map[ids.Service]bool)
 	for _, object := range reply.Objects {
 		service := ids.Service(strings.TrimPrefix(object.Key, order.KeyPrefix))
-		named[service] = true
-		if object.Version > d.plans[service] {
-			d.plans[service] = object.Version
-			d.setPlan(service, object.Value)
+		listed[service] = true
+		if object.Version > c.planVersions[service] {
+			c.planVersions[service] = object.Version
+			c.applyPlan(service, object.Value)
 		}
 	}
-	for service := range d.plans {
-		if !named[service] {
-			delete(d.plans, service)
-			d.planner.DropPlan(service)
+	for service := range c.planVersions {
+		if !listed[service] {
+			delete(c.planVersions, service)
+			c.planner.DropPlan(service)
 		}
 	}
 }
 
-// setPlan puts one plan in force.
-func (d *Controller) setPlan(service ids.Service, value []byte) {
+// applyPlan sets one plan. It counts an invalid one as refused.
+func (c *Controller) applyPlan(service ids.Service, value []byte) {
 	plan, err := order.ParsePlan(service, value)
 	if err == nil {
-		err = d.planner.SetPlan(service, plan)
+		err = c.planner.SetPlan(service, plan)
 	}
 	if err != nil {
-		d.opts.Count(PlansRefused, 1)
+		c.opts.Count(PlansRefused, 1)
 	}
 }
--- a/adapter/orders/options.go
+++ b/adapter/orders/options.go
@@ -1,10 +1,10 @@
-// Package orders is the duty that gives orders to model engines. Of a few
-// candidate nodes the one that holds a lease object reads the operators'
-// plans and sends the orders that decide/order names. Losing the lease costs
-// time, never a wrong order: each send reads the clock and asks the lease
-// just before.
+// Package orders sends orders to model engines. Of a few candidate nodes, the one
+// that holds the lease reads the operators' plans and sends the orders that
+// decide/order returns. Every send checks the lease against the clock just before,
+// so losing the lease delays orders but never causes a wrong one.
 //
-// One goroutine decides; calls run in others and answer over a bounded ring.
+// One goroutine makes the decisions. Calls run in goroutines of their own and
+// return their results over a bounded queue.
 package orders
 
 import (
@@ -19,91 +19,94 @@
 	"mimosaarch.example/decide/order"
 )
 
-// Platform is the part of the platform's client that a Controller needs.
+// Platform is the part of the platform client that a Controller needs.
 type Platform interface {
 	Get(ctx context.Context, key string) (platformapi.Object, error)
 	Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error)
 	List(ctx context.Context, prefix string) (platformapi.ListReply, error)
 }
 
-// SendFunc gives one order to the engine at an address and waits for its
-// answer, at most until ctx ends. Any goroutine calls it.
+// SendFunc sends one order to the engine at an address and waits for its answer
+// until ctx ends. Calls may be concurrent.
 type SendFunc func(ctx context.Context, address string, s order.Send) order.Result
 
-// Counter names a count that Options.Count is told of.
+// Counter is the name of a metric counter passed to Options.Count.
 type Counter string
 
-// Counters.
+// Names of counters.
 const (
-	// TermsBegun counts the terms of the lease that this node has held.
+	// TermsBegun counts the lease terms that this node has held.
 	TermsBegun Counter = "orders_terms_begun"
-	// PlatformCallsFailed counts calls of the platform that failed.
+	// PlatformCallsFailed counts failed calls to the platform.
 	PlatformCallsFailed Counter = "orders_platform_failed"
-	// PlansRefused counts plans that are not valid.
+	// PlansRefused counts invalid plans.
 	PlansRefused Counter = "orders_plans_refused"
-	// The results of orders.
+	// Counters of orders by their result.
 	OrdersApplied Counter = "orders_applied"
 	OrdersStale   Counter = "orders_stale"
 	OrdersRefused Counter = "orders_refused"
 	OrdersLost    Counter = "orders_lost"
 	OrdersSkipped Counter = "orders_skipped"
-	// ReportsRefused counts load reports refused by a full ring.
+	// ReportsRefused counts load reports dropped because the queue was full.
 	ReportsRefused Counter = "orders_reports_refused"
 )
 
-// resultCounters are indexed by order.Result.
+// resultCounters is indexed by order.Result.
 var resultCounters = [...]Counter{OrdersApplied, OrdersStale, OrdersRefused, OrdersLost, OrdersSkipped}
 
-// LeasePrefix is the prefix of lease objects' keys.
+// LeasePrefix is the key prefix of lease objects.
 const LeasePrefix = "lease/"
 
-// DefaultLeaseName is the name of the lease.
+// DefaultLeaseName is the default of Options.LeaseName.
 const DefaultLeaseName = "orders"
 
-// Options set up a Controller. Lease.Holder, Platform and Address are required;
-// zero values of the rest stand for the defaults.
+// Options configure a Controller. Lease.Holder, Platform and Address are required;
+// zero values of the other fields select the defaults.
 type Options struct {
-	// LeaseName is the lease's. Default "orders".
+	// LeaseName is the name of the lease object after LeasePrefix. Default
+	// "orders".
 	LeaseName string
-	// Lease and Order set up the decisions. An Order.MinLeaseRemaining of 0 stands for
+	// Lease and Order configure the decisions. Order.MinLeaseRemaining defaults to
 	// a third of the lease's duration.
 	Lease    lease.Options
 	Order    order.Options
 	Platform Platform
-	// Address gives an engine's address; empty when it is not known. Any
-	// goroutine calls it.
+	// Address returns an engine's address; empty if it is unknown. Calls may be
+	// concurrent.
 	Address func(ids.Upstream) string
-	// Candidate tells whether this node is to seek the lease, so that not
-	// each node of a large fleet reads it; nil means always. The duty's
-	// goroutine calls it; it must not wait.
+	// Candidate reports whether this node should seek the lease, so that not every
+	// node of a large fleet reads the lease object. nil means always. It must not
+	// block.
 	Candidate func() bool
-	// Send gives an order. Default Send of this package.
+	// Send sends an order. Default is the Send function of this package.
 	Send SendFunc
-	// Count is told of events; may be nil. Any goroutine calls it.
+	// Count adds n to a counter; it may be nil. Calls may be concurrent.
 	Count func(counter Counter, n int64)
-	// TickInterval is the pace of decisions. Default 100ms.
+	// TickInterval is the time between decisions. Default 100ms.
 	TickInterval time.Duration
-	// PlanPollInterval is how often the holder reads the plans. Default 5s.
+	// PlanPollInterval is the time between two reads of the plans. Default 5s.
 	PlanPollInterval time.Duration
-	// CallTimeout bounds a call of the platform. Default 2s.
+	// CallTimeout limits a call to the platform. Default 2s.
 	CallTimeout time.Duration
-	// MaxInFlight bounds the orders under way. Default 16.
+	// MaxInFlight limits the orders in flight. Default 16.
 	MaxInFlight int
-	// RingCapacity is the capacity of the ring of events. Default 1024.
+	// RingCapacity is the capacity of the event queue. Default 1024.
 	RingCapacity int
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultTickInterval     = 100 * time.Millisecond
 	DefaultPlanPollInterval = 5 * time.Second
 	DefaultCallTimeout      = 2 * time.Second
 	DefaultMaxInFlight      = 16
 	DefaultRingCapacity     = 1024
-	minLeftPart             = 3
+	// minLeaseDivisor is the divisor of the lease duration that gives the default of
+	// Order.MinLeaseRemaining.
+	minLeaseDivisor = 3
 )
 
-// withDefaults fills in unset options.
+// withDefaults returns the options with unset fields filled in.
 func (o Options) withDefaults() Options {
 	o.LeaseName = cmp.Or(o.LeaseName, DefaultLeaseName)
 	o.TickInterval = cmp.Or(o.TickInterval, DefaultTickInterval)
@@ -112,7 +115,7 @@
 	o.MaxInFlight = cmp.Or(o.MaxInFlight, DefaultMaxInFlight)
 	o.RingCapacity = cmp.Or(o.RingCapacity, DefaultRingCapacity)
 	o.Lease.Duration = cmp.Or(o.Lease.Duration, lease.DefaultDuration)
-	o.Order.MinLeaseRemaining = cmp.Or(o.Order.MinLeaseRemaining, o.Lease.Duration/minLeftPart)
+	o.Order.MinLeaseRemaining = cmp.Or(o.Order.MinLeaseRemaining, o.Lease.Duration/minLeaseDivisor)
 	if o.Send == nil {
 		o.Send = Send
 	}
@@ -122,9 +125,9 @@
 	return o
 }
 
-// encode writes a lease record as its object's value.
-func encode(record lease.Record) []byte {
-	// A struct of strings and integers always encodes.
+// encodeRecord encodes a lease record as the value of its object.
+func encodeRecord(record lease.Record) []byte {
+	// Marshalling a struct of strings and integers cannot fail.
 	value, _ := json.Marshal(record)
 	return value
 }
--- a/adapter/orders/orders_test.go
+++ b/adapter/orders/orders_test.go
@@ -19,17 +19,17 @@
 	"mimosaarch.example/decide/order"
 )
 
-// store is the platform.
-type store struct {
+// fakePlatform is an in-memory platform.
+type fakePlatform struct {
 	mu       sync.Mutex
 	revision int64
 	objects  map[string]platformapi.Object
-	// silent makes writes take effect without an answer, down makes all
-	// calls fail.
-	silent, down bool
+	// loseAnswers makes writes take effect without an answer; down makes reads and
+	// writes of objects fail.
+	loseAnswers, down bool
 }
 
-func (s *store) Get(_ context.Context, key string) (platformapi.Object, error) {
+func (s *fakePlatform) Get(_ context.Context, key string) (platformapi.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	object, ok := s.objects[key]
@@ -42,7 +42,7 @@
 	return object, nil
 }
 
-func (s *store) Put(_ context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error) {
+func (s *fakePlatform) Put(_ context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -53,13 +53,13 @@
 	}
 	s.revision++
 	s.objects[key] = platformapi.Object{Key: key, Version: s.revision, Value: value}
-	if s.silent {
+	if s.loseAnswers {
 		return platformapi.Object{}, &platform.UnavailableError{MayHaveTakenEffect: true}
 	}
 	return s.objects[key], nil
 }
 
-func (s *store) List(_ context.Context, prefix string) (out platformapi.ListReply, err error) {
+func (s *fakePlatform) List(_ context.Context, prefix string) (out platformapi.ListReply, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, object := range s.objects {
@@ -70,34 +70,35 @@
 	return out, nil
 }
 
-func (s *store) set(do func()) { s.mu.Lock(); defer s.mu.Unlock(); do() }
+func (s *fakePlatform) set(do func()) { s.mu.Lock(); defer s.mu.Unlock(); do() }
 
-// fleet is two duties, a store and the orders given.
+// fleet holds two controllers, their platform and the orders that the engine
+// received.
 type fleet struct {
-	*store
-	duties  []*Controller
-	stops   []func()
-	mu      sync.Mutex
-	given   []engineapi.Order
-	highest int64
-	checks  bool
+	*fakePlatform
+	controllers  []*Controller
+	stops        []func()
+	mu           sync.Mutex
+	received     []engineapi.Order
+	highestFence int64
+	checksFence  bool
 }
 
-// run starts two duties in a bubble.
-func run(t *testing.T, test func(t *testing.T, f *fleet)) {
+// runControllers runs the test with two running controllers in a synctest bubble.
+func runControllers(t *testing.T, test func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{store: &store{objects: map[string]platformapi.Object{}}}
+		f := &fleet{fakePlatform: &fakePlatform{objects: map[string]platformapi.Object{}}}
 		plan, _ := json.Marshal(order.Plan{Layers: 2, Engines: []order.Assignment{{Engine: "e", Model: "m", Version: "2"}}})
 		_, _ = f.Put(t.Context(), order.Key("s"), plan, 0)
 		for _, name := range []string{"a", "b"} {
 			d := New(Options{
 				Lease:    lease.Options{Holder: name, Duration: 15 * time.Second},
-				Platform: f.store,
+				Platform: f.fakePlatform,
 				Address:  func(ids.Upstream) string { return "x" },
 				Send:     f.send,
 			})
 			ctx, stop := context.WithCancel(t.Context())
-			f.duties = append(f.duties, d)
+			f.controllers = append(f.controllers, d)
 			f.stops = append(f.stops, stop)
 			go d.Run(ctx)
 			go f.report(ctx, d)
@@ -110,7 +111,8 @@
 	})
 }
 
-// report tells a duty each second what the engine holds.
+// report sends a controller each second a report of an engine that holds the old
+// model.
 func (f *fleet) report(ctx context.Context, d *Controller) {
 	for ctx.Err() == nil {
 		_ = d.Reported(engineapi.LoadReport{Engine: "e", Epoch: "x", Model: "old"})
@@ -124,28 +126,28 @@
 func (f *fleet) send(_ context.Context, _ string, s order.Send) order.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.checks && s.Order.Fence < f.highest {
+	if f.checksFence && s.Order.Fence < f.highestFence {
 		return order.Stale
 	}
-	f.highest = max(f.highest, s.Order.Fence)
-	f.given = append(f.given, s.Order)
+	f.highestFence = max(f.highestFence, s.Order.Fence)
+	f.received = append(f.received, s.Order)
 	return order.Applied
 }
 
-// orders gives the orders since the last call.
-func (f *fleet) orders() []engineapi.Order {
+// takeOrders returns the orders received since the last call.
+func (f *fleet) takeOrders() []engineapi.Order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := f.given
-	f.given = nil
+	out := f.received
+	f.received = nil
 	return out
 }
 
-// holder is the index of the duty that holds the lease; -1 if none does.
+// holder returns the index of the controller that holds the lease; -1 if none does.
 func (f *fleet) holder(t *testing.T) int {
 	t.Helper()
 	holder := -1
-	for i, d := range f.duties {
+	for i, d := range f.controllers {
 		if d.Status().Held {
 			if holder >= 0 {
 				t.Fatal("two holders")
@@ -156,26 +158,26 @@
 	return holder
 }
 
-func after(d time.Duration) {
+func sleep(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
 func TestOrdersFollowTheLease(t *testing.T) {
-	run(t, func(t *testing.T, f *fleet) {
-		after(2 * time.Minute)
+	runControllers(t, func(t *testing.T, f *fleet) {
+		sleep(2 * time.Minute)
 		first := f.holder(t)
-		given := f.orders()
+		given := f.takeOrders()
 		if first < 0 || len(given) == 0 || given[0].Version != "2" || given[0].Fence == 0 {
 			t.Fatalf("holder %d gave %v", first, given)
 		}
 		f.stops[first]()
-		after(10 * time.Second)
-		if len(f.orders()) > 0 {
+		sleep(10 * time.Second)
+		if len(f.takeOrders()) > 0 {
 			t.Fatal("orders of a stopped holder")
 		}
-		after(2 * time.Minute)
-		next := f.orders()
+		sleep(2 * time.Minute)
+		next := f.takeOrders()
 		if second := f.holder(t); second != 1-first || len(next) == 0 || next[0].Fence <= given[0].Fence {
 			t.Fatalf("holder %d gave %v", second, next)
 		}
@@ -183,30 +185,30 @@
 }
 
 func TestOutageEndsOrdersInTime(t *testing.T) {
-	run(t, func(t *testing.T, f *fleet) {
-		after(2 * time.Minute)
+	runControllers(t, func(t *testing.T, f *fleet) {
+		sleep(2 * time.Minute)
 		f.set(func() { f.down = true })
-		after(15 * time.Second)
-		f.orders()
-		after(time.Minute)
-		if f.holder(t) >= 0 || len(f.orders()) > 0 {
+		sleep(15 * time.Second)
+		f.takeOrders()
+		sleep(time.Minute)
+		if f.holder(t) >= 0 || len(f.takeOrders()) > 0 {
 			t.Fatal("the lease outlived the outage")
 		}
 		f.set(func() { f.down = false })
-		after(2 * time.Minute)
-		if f.holder(t) < 0 || len(f.orders()) == 0 {
+		sleep(2 * time.Minute)
+		if f.holder(t) < 0 || len(f.takeOrders()) == 0 {
 			t.Fatal("nobody took the lease again")
 		}
 	})
 }
 
 func TestLostAnswersKeepTheLease(t *testing.T) {
-	run(t, func(t *testing.T, f *fleet) {
-		after(time.Minute)
+	runControllers(t, func(t *testing.T, f *fleet) {
+		sleep(time.Minute)
 		first := f.holder(t)
-		f.set(func() { f.silent = true })
+		f.set(func() { f.loseAnswers = true })
 		for range 60 {
-			after(time.Second)
+			sleep(time.Second)
 			if f.holder(t) != first {
 				t.Fatal("the lease was lost with the answers")
 			}
@@ -215,24 +217,24 @@
 }
 
 func TestStaleFenceStepsDown(t *testing.T) {
-	run(t, func(t *testing.T, f *fleet) {
-		after(2 * time.Minute)
-		old := f.duties[f.holder(t)].Status().Fence
+	runControllers(t, func(t *testing.T, f *fleet) {
+		sleep(2 * time.Minute)
+		old := f.controllers[f.holder(t)].Status().Fence
 		f.mu.Lock()
-		f.checks, f.highest = true, old+1
+		f.checksFence, f.highestFence = true, old+1
 		f.mu.Unlock()
-		after(2 * time.Minute)
+		sleep(2 * time.Minute)
 		holder := f.holder(t)
-		if holder < 0 || f.duties[holder].Status().Fence <= old {
+		if holder < 0 || f.controllers[holder].Status().Fence <= old {
 			t.Fatal("the term went on")
 		}
 	})
 }
 
-// bareLease is a lease that nobody keeps.
-type bareLease struct{ *lease.Lease }
+// manualLease is a lease that no keeper renews.
+type manualLease struct{ *lease.Lease }
 
-func (b bareLease) Status() lease.Status { return b.State(time.Now()) }
+func (b manualLease) Status() lease.Status { return b.State(time.Now()) }
 
 func TestNothingIsSentWithoutTheLease(t *testing.T) {
 	sent := false
@@ -248,22 +250,22 @@
 		held.Answered(began, lease.Answer{Kind: lease.Absent})
 		write := held.Tick(began).(lease.Write)
 		held.Answered(began, lease.Answer{Kind: lease.Found, Version: 3, Record: write.Record})
-		d.lease = bareLease{held}
+		d.lease = manualLease{held}
 	}
 	s := order.Send{Order: engineapi.Order{Fence: 3}, Timeout: time.Second, MinLeaseRemaining: lease.DefaultDuration / 3}
 	earlier := s
 	earlier.Order.Fence = 2
 	for name, try := range map[string]func() order.Result{
-		"lapsed":             func() order.Result { hold(-time.Second); return d.give(t.Context(), s) },
-		"little left":        func() order.Result { hold(s.MinLeaseRemaining - time.Millisecond); return d.give(t.Context(), s) },
-		"of an earlier term": func() order.Result { hold(lease.DefaultDuration); return d.give(t.Context(), earlier) },
+		"lapsed":             func() order.Result { hold(-time.Second); return d.sendIfHeld(t.Context(), s) },
+		"little left":        func() order.Result { hold(s.MinLeaseRemaining - time.Millisecond); return d.sendIfHeld(t.Context(), s) },
+		"of an earlier term": func() order.Result { hold(lease.DefaultDuration); return d.sendIfHeld(t.Context(), earlier) },
 	} {
 		if got := try(); got != order.Skipped || sent {
 			t.Errorf("%s: got %v", name, got)
 		}
 	}
 	hold(lease.DefaultDuration)
-	if got := d.give(t.Context(), s); got != order.Applied || !sent {
+	if got := d.sendIfHeld(t.Context(), s); got != order.Applied || !sent {
 		t.Errorf("held: got %v", got)
 	}
 }
--- a/adapter/orders/send.go
+++ b/adapter/orders/send.go
@@ -13,15 +13,15 @@
 	"mimosaarch.example/decide/order"
 )
 
-// maxAnswer is the most bytes of an engine's answer to an order.
-const maxAnswer = 64 << 10
+// maxAnswerBytes limits the body of an engine's answer to an order.
+const maxAnswerBytes = 64 << 10
 
-// past is a deadline that ends all reading and writing at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that aborts all reads and writes at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Send gives an order over a connection of its own, which is closed however
-// the call ends; what was not sent by then is dropped. It makes one exchange
-// and never repeats it.
+// Send sends an order over a new connection and waits for the answer until ctx
+// ends. It closes the connection in every case and drops data that is not sent by
+// then. It makes one exchange without retries.
 func Send(ctx context.Context, address string, s order.Send) order.Result {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -31,14 +31,14 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(past) })
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(pastDeadline) })
 	defer stop()
 	return exchange(conn, address, s)
 }
 
 // exchange writes the order and reads the answer.
 func exchange(conn net.Conn, address string, s order.Send) order.Result {
-	// A struct of strings and integers always encodes.
+	// Marshalling a struct of strings and integers cannot fail.
 	body, _ := json.Marshal(s.Order)
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -53,14 +53,14 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(bufio.NewReader(conn), maxAnswer); err != nil {
+	if err := resp.ReadLimitBody(bufio.NewReader(conn), maxAnswerBytes); err != nil {
 		return order.Lost
 	}
-	return judge(resp, s)
+	return resultOf(resp, s)
 }
 
-// judge settles an answer.
-func judge(resp *fasthttp.Response, s order.Send) order.Result {
+// resultOf returns the result that an engine's answer stands for.
+func resultOf(resp *fasthttp.Response, s order.Send) order.Result {
 	if resp.StatusCode() != fasthttp.StatusOK {
 		var refusal engineapi.Refusal
 		if err := json.Unmarshal(resp.Body(), &refusal); err != nil || refusal.Code == "" {
