--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -26,9 +26,9 @@
 	mu          sync.Mutex
 	nodes       int
 	conditions  *condition.Table
-	chains *chain.Picker
+	chains      *chain.Picker
 	retryAfters *retryafter.Estimator
-	replicas *replica.Picker
+	replicas    *replica.Picker
 	budgets     map[ids.Service]*retry.Budget
 }
 
--- a/decide/balancer/balancer_test.go
+++ b/decide/balancer/balancer_test.go
@@ -315,7 +315,7 @@
 // without a limit on the step time of links, or if the flow needs the link.
 func TestSlowLinksAreLeftOut(t *testing.T) {
 	slow := topology.Link{From: "a", To: "c", Rate: 20}
-	free := topology.Link{From: "a", To: "d", Latency: topology.DefaultZoneLatency}
+	free := topology.Link{From: "a", To: "d", Latency: topology.DefaultSameZoneLatency}
 	for _, test := range []struct {
 		maxLinkTime float64
 		rates       []float64
@@ -352,7 +352,7 @@
 func TestHeadOfOwnZoneGetsMore(t *testing.T) {
 	engines := twoStages(100, 100, 100, 100).Engines()
 	engines[1].Zone = "far"
-	links := []topology.Link{{From: "b", To: "c", Latency: topology.DefaultZoneLatency}, {From: "b", To: "d", Latency: topology.DefaultZoneLatency}}
+	links := []topology.Link{{From: "b", To: "c", Latency: topology.DefaultSameZoneLatency}, {From: "b", To: "d", Latency: topology.DefaultSameZoneLatency}}
 	v := newFakeView(topology.NewGraph(2, engines, links))
 	if got := headCount(newPicker(fleet.StrategyFlow, Options{}), v, Request{Zone: "z"}, "a"); got < 85 {
 		t.Errorf("the head in the zone of the request is taken %d times of 100", got)
--- a/decide/balancer/flow.go
+++ b/decide/balancer/flow.go
@@ -146,7 +146,7 @@
 func (p *flow) sampleChain(c *flowContext) float64 {
 	p.path = p.path[:0]
 	at, total := sourceNode, 0.0
-	for at == sourceNode || !c.graph.Ends(at) {
+	for at == sourceNode || !c.graph.IsTail(at) {
 		first, cost := p.sampleEngine(c, at)
 		second, other := p.sampleEngine(c, at)
 		if other < cost {
@@ -212,7 +212,7 @@
 func (p *flow) affinityChain(c *flowContext) float64 {
 	p.path = p.path[:0]
 	at, total := sourceNode, 0.0
-	for at == sourceNode || !c.graph.Ends(at) {
+	for at == sourceNode || !c.graph.IsTail(at) {
 		i, edge := c.preferredSuccessor(at)
 		if i == sourceNode {
 			return math.Inf(1)
--- a/decide/balancer/flow_context.go
+++ b/decide/balancer/flow_context.go
@@ -42,7 +42,7 @@
 	if c.request.Zone == "" || c.graph.Engines()[i].Zone == c.request.Zone {
 		return 0
 	}
-	return topology.DefaultCrossLatency.Seconds()
+	return topology.DefaultCrossZoneLatency.Seconds()
 }
 
 // linkTime returns the time of a token step over a link in seconds, +Inf when
@@ -53,7 +53,7 @@
 		c.unusableSeen = true
 		return math.Inf(1)
 	}
-	return e.StepTime() / weight
+	return e.StepSeconds() / weight
 }
 
 // preferredSuccessor returns the successor of an engine that the request's
--- a/decide/balancer/path_search.go
+++ b/decide/balancer/path_search.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	s.path = append(s.path, i)
-	if s.g.Ends(i) || s.visitSuccessors(i) {
+	if s.g.IsTail(i) || s.visitSuccessors(i) {
 		return true
 	}
 	s.path = s.path[:len(s.path)-1]
--- a/decide/quarantine/quarantine.go
+++ b/decide/quarantine/quarantine.go
@@ -37,9 +37,9 @@
 
 // Defaults of Options.
 const (
-	DefaultThreshold       = 2
-	DefaultDuration         = 10 * time.Minute
-	DefaultPeerWait      = time.Second
+	DefaultThreshold   = 2
+	DefaultDuration    = 10 * time.Minute
+	DefaultPeerWait    = time.Second
 	DefaultMaxDeaths   = 256
 	DefaultMaxInFlight = 512
 	DefaultMaxEvents   = 256
--- a/decide/router/service.go
+++ b/decide/router/service.go
@@ -75,7 +75,7 @@
 func quarantineOptions(p fleet.Profile) quarantine.Options {
 	return quarantine.Options{
 		Threshold: p.Health.QuarantineAfter,
-		Duration:   p.Health.QuarantineFor.D(),
+		Duration:  p.Health.QuarantineFor.D(),
 	}
 }
 
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -41,7 +41,7 @@
 // answer.
 type holder struct {
 	*platform.Client
-	duty *orders.Duty
+	duty *orders.Controller
 
 	mu  sync.Mutex
 	cut bool
@@ -125,7 +125,7 @@
 		// More than the engines hold, so that no chain is lost by a load.
 		Layers:      2,
 		ChecksFence: checks,
-		Engines:     []order.Wanted{{Engine: ids.Upstream(name), Model: "m", Version: "2"}},
+		Engines:     []order.Assignment{{Engine: ids.Upstream(name), Model: "m", Version: "2"}},
 	})
 	return value
 }
@@ -161,7 +161,7 @@
 	h := &holder{Client: client}
 	h.duty = orders.New(orders.Options{
 		Lease:    lease.Options{Holder: name},
-		Order:    order.Options{RepeatEvery: time.Second},
+		Order:    order.Options{RetryInterval: time.Second},
 		Platform: h,
 		Address:  func(id ids.Upstream) string { return f.addresses[id] },
 		Send:     h.send,
