--- a/decide/quarantine/digest.go
+++ b/decide/quarantine/digest.go
@@ -8,26 +8,27 @@
 	"mimosaarch.example/core/ids"
 )
 
-// freshFor is the time for which all of a death's evidence is told to peers;
-// after it, only what counts against suspects of more than one.
-const freshFor = 30 * time.Second
+// recentDeathAge is the age up to which all evidence of a death is sent to
+// peers. For older deaths, only evidence against suspects of several deaths is
+// sent.
+const recentDeathAge = 30 * time.Second
 
-// Kind tells what an Event says.
+// Kind is the type of an Event.
 type Kind string
 
-// Kinds of events.
+// Types of events.
 const (
-	// Blamed: the fingerprint was in flight at the death.
+	// Blamed: the fingerprint was in flight on the upstream when it died.
 	Blamed Kind = "blamed"
 	// Cleared: the fingerprint has succeeded after the death.
 	Cleared Kind = "cleared"
-	// Death: the upstream died; no fingerprint is named.
+	// Death: the upstream died. The event names no fingerprint.
 	Death Kind = "death"
 )
 
-// Event is one piece of evidence, as told to peers. A death is named by
-// Upstream and Epoch, so that the same event counts once however often and by
-// whomever it is told.
+// Event is one item of evidence that VMs exchange. Upstream and Epoch identify
+// the death, so that the same event counts once, no matter how often and by
+// which peers it is sent.
 type Event struct {
 	Kind        Kind         `json:"kind"`
 	Upstream    ids.Upstream `json:"upstream"`
@@ -37,20 +38,21 @@
 	Age time.Duration `json:"age_ns"`
 }
 
-// MergeDigest takes in a peer's digest. Whose it is does not matter, since
-// events name what they are of; relayed ones may come from anybody. Events
-// beyond MaxEvents, of unknown kind, or older than what is kept are ignored.
-func (b *Detector) MergeDigest(now time.Time, _ ids.VM, events []Event) {
-	b.prune(now)
-	for _, e := range events[:min(len(events), b.opts.MaxEvents)] {
-		if e.Age >= keepFactor*b.opts.Duration || !e.Kind.valid() {
+// MergeDigest adds the events of a peer's digest to the evidence. Peers relay
+// events of other VMs, and each event identifies its death, so it does not
+// matter which VM sent it. Events are ignored if they exceed MaxEvents, have an
+// unknown kind, or are older than the retention time of deaths.
+func (det *Detector) MergeDigest(now time.Time, _ ids.VM, events []Event) {
+	det.dropOldDeaths(now)
+	for _, e := range events[:min(len(events), det.opts.MaxEvents)] {
+		if e.Age >= retentionFactor*det.opts.Duration || !e.Kind.valid() {
 			continue
 		}
-		d := b.death(now.Add(-max(e.Age, 0)), deathID{e.Upstream, e.Epoch})
+		d := det.findOrAddDeath(now.Add(-max(e.Age, 0)), deathID{e.Upstream, e.Epoch})
 		if e.Kind == Death {
 			continue
 		}
-		b.blame(d, e.Fingerprint)
+		det.addBlame(d, e.Fingerprint)
 		if e.Kind == Cleared {
 			d.clear(e.Fingerprint)
 		}
@@ -60,43 +62,44 @@
 // valid reports whether the kind is known.
 func (k Kind) valid() bool { return k == Blamed || k == Cleared || k == Death }
 
-// Digest gives the evidence for peers, what peers told included: first what
-// counts against suspects of several deaths, then the rest of the newest
-// deaths, at most MaxEvents.
-func (b *Detector) Digest(now time.Time) []Event {
-	b.prune(now)
-	newest := slices.Clone(b.deaths)
+// Digest returns the evidence to send to peers, including evidence received from
+// peers. Events against suspects of several deaths come first, then the other
+// events of recent deaths, each with the newest deaths first. It returns at most
+// MaxEvents events.
+func (det *Detector) Digest(now time.Time) []Event {
+	det.dropOldDeaths(now)
+	newest := slices.Clone(det.deaths)
 	slices.SortStableFunc(newest, func(x, y *death) int { return y.at.Compare(x.at) })
-	var strong, weak []Event
+	var repeated, recent []Event
 	for _, d := range newest {
 		age := now.Sub(d.at)
-		if age < freshFor {
-			weak = append(weak, d.event(Death, "", age))
+		if age < recentDeathAge {
+			recent = append(recent, d.event(Death, "", age))
 		}
 		for _, fp := range d.fingerprints() {
 			switch {
-			case !d.inFlight[fp] && age < freshFor:
-				weak = append(weak, d.event(Cleared, fp, age))
-			case d.inFlight[fp] && len(b.suspects[fp]) > 1:
-				strong = append(strong, d.event(Blamed, fp, age))
-			case d.inFlight[fp] && age < freshFor:
-				weak = append(weak, d.event(Blamed, fp, age))
+			case !d.inFlight[fp] && age < recentDeathAge:
+				recent = append(recent, d.event(Cleared, fp, age))
+			case d.inFlight[fp] && len(det.suspects[fp]) > 1:
+				repeated = append(repeated, d.event(Blamed, fp, age))
+			case d.inFlight[fp] && age < recentDeathAge:
+				recent = append(recent, d.event(Blamed, fp, age))
 			}
 		}
-		if len(strong) >= b.opts.MaxEvents {
+		if len(repeated) >= det.opts.MaxEvents {
 			break
 		}
 	}
-	all := append(strong, weak...)
-	return all[:min(len(all), b.opts.MaxEvents)]
+	all := append(repeated, recent...)
+	return all[:min(len(all), det.opts.MaxEvents)]
 }
 
-// event makes an event of the death.
+// event returns an event about the death.
 func (d *death) event(kind Kind, fp Fingerprint, age time.Duration) Event {
 	return Event{Kind: kind, Upstream: d.id.upstream, Epoch: d.id.epoch, Fingerprint: fp, Age: age}
 }
 
-// fingerprints gives what was in flight, in order.
+// fingerprints returns the sorted fingerprints that were in flight.
 func (d *death) fingerprints() []Fingerprint {
 	out := make([]Fingerprint, 0, len(d.inFlight))
 	for fp := range d.inFlight {
--- a/decide/quarantine/evidence.go
+++ b/decide/quarantine/evidence.go
@@ -7,28 +7,32 @@
 	"mimosaarch.example/core/ids"
 )
 
-// evidence is what counts against a fingerprint.
+// evidence summarizes the deaths that a fingerprint is blamed for.
 type evidence struct {
-	// deaths blamed on it, and the distinct upstreams that died.
+	// deaths is the number of deaths blamed on the fingerprint, and upstreams
+	// the number of distinct upstreams among them.
 	deaths, upstreams int
-	// share is the sum over the deaths of 1/n.
-	share       float64
+	// blameShare is the sum over these deaths of 1/n, where n is the number of
+	// fingerprints that are blamed for the death.
+	blameShare float64
+	// first and last are the times of the first and the last of these deaths.
 	first, last time.Time
 }
 
-// score orders fingerprints by upstreams, then by mean share of blame.
+// score ranks fingerprints by the number of upstreams and then by their mean
+// share of the blame.
 func (e evidence) score() float64 {
 	if e.deaths == 0 {
 		return 0
 	}
-	return float64(e.upstreams) + e.share/float64(e.deaths)
+	return float64(e.upstreams) + e.blameShare/float64(e.deaths)
 }
 
-// caseOf sums up the evidence against a fingerprint.
-func (b *Detector) caseOf(fp Fingerprint) evidence {
+// evidenceFor summarizes the evidence against a fingerprint.
+func (det *Detector) evidenceFor(fp Fingerprint) evidence {
 	var e evidence
 	var seen []ids.Upstream
-	for _, d := range b.suspects[fp] {
+	for _, d := range det.suspects[fp] {
 		if !d.inFlight[fp] {
 			continue
 		}
@@ -39,7 +43,7 @@
 			e.last = d.at
 		}
 		e.deaths++
-		e.share += 1 / float64(d.blamed)
+		e.blameShare += 1 / float64(d.blamed)
 		if !slices.Contains(seen, d.id.upstream) {
 			seen = append(seen, d.id.upstream)
 		}
@@ -48,37 +52,37 @@
 	return e
 }
 
-// death gives the record of a death, made if needed. The first time it was
-// heard of stands.
-func (b *Detector) death(at time.Time, id deathID) *death {
-	if d, known := b.byID[id]; known {
+// findOrAddDeath returns the record of a death and adds it if it is unknown. If
+// it is known, it keeps the time recorded first.
+func (det *Detector) findOrAddDeath(at time.Time, id deathID) *death {
+	if d, known := det.byID[id]; known {
 		return d
 	}
-	if len(b.deaths) >= b.opts.MaxDeaths {
-		b.forget(b.deaths[0])
-		b.deaths = slices.Delete(b.deaths, 0, 1)
+	if len(det.deaths) >= det.opts.MaxDeaths {
+		det.removeReferences(det.deaths[0])
+		det.deaths = slices.Delete(det.deaths, 0, 1)
 	}
 	d := &death{id: id, at: at, inFlight: make(map[Fingerprint]bool)}
-	b.deaths = append(b.deaths, d)
-	b.byID[id] = d
+	det.deaths = append(det.deaths, d)
+	det.byID[id] = d
 	return d
 }
 
-// blame counts a death against a fingerprint, once, unless it has succeeded
-// since.
-func (b *Detector) blame(d *death, fp Fingerprint) {
-	if _, known := d.inFlight[fp]; known || len(d.inFlight) >= b.opts.MaxInFlight {
+// addBlame blames a death on a fingerprint, once. The blame is cleared at once
+// if the fingerprint has succeeded since the death.
+func (det *Detector) addBlame(d *death, fp Fingerprint) {
+	if _, known := d.inFlight[fp]; known || len(d.inFlight) >= det.opts.MaxInFlight {
 		return
 	}
 	d.inFlight[fp] = true
 	d.blamed++
-	b.suspects[fp] = append(b.suspects[fp], d)
-	if success, ok := b.successes[fp]; ok && !success.Before(d.at) {
+	det.suspects[fp] = append(det.suspects[fp], d)
+	if success, ok := det.successes[fp]; ok && !success.Before(d.at) {
 		d.clear(fp)
 	}
 }
 
-// clear takes a death's blame off a fingerprint, for good.
+// clear permanently removes a fingerprint's blame for the death.
 func (d *death) clear(fp Fingerprint) {
 	if d.inFlight[fp] {
 		d.inFlight[fp] = false
@@ -86,41 +90,42 @@
 	}
 }
 
-// remember notes a success, in place of the oldest when there are too many.
-func (b *Detector) remember(now time.Time, fp Fingerprint) {
-	if _, known := b.successes[fp]; !known {
-		if len(b.order) < maxSuccesses {
-			b.order = append(b.order, fp)
+// storeSuccess records the time of a success. If maxSuccesses fingerprints are
+// stored, it replaces the one that was added first.
+func (det *Detector) storeSuccess(now time.Time, fp Fingerprint) {
+	if _, known := det.successes[fp]; !known {
+		if len(det.successRing) < maxSuccesses {
+			det.successRing = append(det.successRing, fp)
 		} else {
-			delete(b.successes, b.order[b.next])
-			b.order[b.next] = fp
-			b.next = (b.next + 1) % maxSuccesses
+			delete(det.successes, det.successRing[det.ringNext])
+			det.successRing[det.ringNext] = fp
+			det.ringNext = (det.ringNext + 1) % maxSuccesses
 		}
 	}
-	b.successes[fp] = now
+	det.successes[fp] = now
 }
 
-// prune forgets old deaths.
-func (b *Detector) prune(now time.Time) {
-	keep := keepFactor * b.opts.Duration
-	b.deaths = slices.DeleteFunc(b.deaths, func(d *death) bool {
+// dropOldDeaths removes deaths whose retention has ended.
+func (det *Detector) dropOldDeaths(now time.Time) {
+	keep := retentionFactor * det.opts.Duration
+	det.deaths = slices.DeleteFunc(det.deaths, func(d *death) bool {
 		if now.Sub(d.at) < keep {
 			return false
 		}
-		b.forget(d)
+		det.removeReferences(d)
 		return true
 	})
 }
 
-// forget takes a death out of what points to it.
-func (b *Detector) forget(d *death) {
-	delete(b.byID, d.id)
+// removeReferences removes a death from the indexes by ID and by fingerprint.
+func (det *Detector) removeReferences(d *death) {
+	delete(det.byID, d.id)
 	for fp := range d.inFlight {
-		rest := slices.DeleteFunc(b.suspects[fp], func(other *death) bool { return other == d })
+		rest := slices.DeleteFunc(det.suspects[fp], func(other *death) bool { return other == d })
 		if len(rest) == 0 {
-			delete(b.suspects, fp)
+			delete(det.suspects, fp)
 			continue
 		}
-		b.suspects[fp] = rest
+		det.suspects[fp] = rest
 	}
 }
--- a/decide/quarantine/fingerprint.go
+++ b/decide/quarantine/fingerprint.go
@@ -6,8 +6,8 @@
 	"encoding/hex"
 )
 
-// FingerprintOf gives the fingerprint of a request with these parts, which is
-// another if a part, their order or their borders differ.
+// FingerprintOf returns the fingerprint of a request that consists of the given
+// parts. It depends on the parts, their order and the boundaries between them.
 func FingerprintOf(parts ...[]byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range parts {
--- a/decide/quarantine/quarantine.go
+++ b/decide/quarantine/quarantine.go
@@ -1,31 +1,38 @@
-// Package quarantine recognises requests that crash the upstreams they run on,
-// by what was in flight when upstreams died.
+// Package quarantine identifies requests that crash the upstreams they run on,
+// from which requests were in flight when upstreams died. Such requests are
+// refused for some time, so that retries do not crash more upstreams.
 //
-// Each death of an upstream blames what was in flight there, on any VM; a
-// success of a fingerprint anywhere clears it of the deaths before. What
-// counts against a fingerprint is the distinct upstreams it is still blamed
-// for, and then its mean share of that blame, 1/n for n still blamed. It is
-// quarantined when After upstreams are reached and no innocent explanation is
-// left:
+// A death of an upstream is blamed on all fingerprints in flight there, on any
+// VM. When a fingerprint succeeds anywhere, it is cleared of all earlier deaths.
+// Fingerprints are ranked by the number of distinct upstreams that they are
+// still blamed for, and then by their mean share of the blame, which is 1/n for
+// a death with n fingerprints still blamed. A fingerprint is quarantined once it
+// is blamed for Threshold upstreams and all of the following hold:
 //
-//   - It stands out: no other fingerprint blamed for the same deaths comes
-//     close. An innocent that was retried beside the culprit ties with it, and
-//     both stay free until a success or one more death tells them apart.
-//   - The deaths are explained by it: they are at least three quarters of all
-//     deaths in the same time. When a rack fails, they are not.
-//   - Peers had Settle to tell what they had in flight.
+//   - No other fingerprint that is blamed for the same deaths has a similar
+//     score. An innocent request that was always retried on the same upstreams
+//     as the culprit has the same score; neither is quarantined until a success
+//     or another death distinguishes them.
+//   - At least three quarters of all deaths in the same period are blamed on it.
+//     This is not the case when a rack fails.
+//   - Peers had PeerWait to report what they had in flight.
 //
-// With two upstreams more than After, nearly half of the deaths suffice, and
-// nothing else is asked. Weighed and left: a plain count (every second death
-// quarantines innocents that were retried onto the wrong upstream), a sum of
-// 1/n (with 20 in flight a culprit needs 40 deaths to reach 2), and a time for
-// each verdict (evidence that comes late could not take it back).
+// If a fingerprint is blamed for two upstreams more than Threshold and for
+// nearly half of the deaths, it is quarantined without further conditions.
 //
-// What is not told apart: an innocent that is retried from one upstream that
-// dies by itself onto another that does, with nothing else dying; and equal
-// requests that run on all upstreams of a failing rack and nowhere else.
+// Alternatives that were rejected: a plain count (with a threshold of two
+// deaths, innocent requests that were retried on the wrong upstream are
+// quarantined), the sum of 1/n (with 20 requests in flight, a culprit needs 40
+// deaths to reach 2), and a fixed duration for each decision (evidence that
+// arrives late could not revoke it).
 //
-// A Detector is used by one goroutine, for one service. It reads no clock.
+// Two cases cannot be distinguished: an innocent request that is retried from
+// one upstream that dies for another reason on another one that does too, while
+// nothing else dies; and equal requests that run on all upstreams of a failing
+// rack and nowhere else.
+//
+// A Detector handles one service. It is not safe for concurrent use and reads no
+// clock.
 package quarantine
 
 import (
@@ -37,174 +44,191 @@
 
 // Defaults of Options.
 const (
-	DefaultThreshold       = 2
-	DefaultDuration         = 10 * time.Minute
-	DefaultPeerWait      = time.Second
+	DefaultThreshold   = 2
+	DefaultDuration    = 10 * time.Minute
+	DefaultPeerWait    = time.Second
 	DefaultMaxDeaths   = 256
 	DefaultMaxInFlight = 512
 	DefaultMaxEvents   = 256
 )
 
 const (
-	// explained is the share of deaths that a fingerprint must account for.
-	explained = 0.75
-	// standOut is the score by which a fingerprint must lead all others.
-	standOut = 0.2
-	// certainAfter is how many upstreams above After need no further proof, if
-	// the fingerprint accounts for certainExplained of the deaths.
-	certainAfter     = 2
-	certainExplained = 0.45
-	// turnFactor is the longest wait of suspects that tie, in multiples of
-	// Settle.
-	turnFactor = 4
-	// keepFactor is how long deaths are kept, in multiples of For.
-	keepFactor = 2
-	// maxSuccesses bounds the successes remembered against late blame.
+	// minExplained is the minimum fraction of all deaths in the period that must
+	// be blamed on a fingerprint.
+	minExplained = 0.75
+	// minScoreLead is the minimum lead of a fingerprint's score over all others
+	// blamed for the same deaths.
+	minScoreLead = 0.2
+	// A fingerprint blamed for certainExtraUpstreams upstreams more than
+	// Threshold, and for a fraction of at least certainMinExplained of all
+	// deaths in the period, is quarantined without further conditions.
+	certainExtraUpstreams = 2
+	certainMinExplained   = 0.45
+	// maxTieWaitFactor is the longest wait of suspects with similar scores, in
+	// multiples of PeerWait.
+	maxTieWaitFactor = 4
+	// retentionFactor is how long deaths are kept, in multiples of
+	// Options.Duration.
+	retentionFactor = 2
+	// maxSuccesses is the maximum number of successes remembered. They clear
+	// fingerprints of deaths that are reported late.
 	maxSuccesses = 2048
 )
 
-// Fingerprint tells a request from others and is the same for its repeats.
+// Fingerprint identifies a request. Repetitions of a request have the same
+// fingerprint.
 type Fingerprint string
 
-// Options bound a Detector. Zero fields take their defaults.
+// Options configure a Detector. Zero fields take their defaults.
 type Options struct {
-	// Threshold is the dead upstreams that quarantine a fingerprint.
+	// Threshold is the number of distinct upstreams for whose deaths a
+	// fingerprint must be blamed before it can be quarantined.
 	Threshold int
-	// Duration is the time of a quarantine, counted from the last death.
+	// Duration is the length of a quarantine, counted from the last death.
 	Duration time.Duration
-	// PeerWait is the time peers have to tell what they had in flight; below
-	// zero means none.
+	// PeerWait is the time that peers have to report what they had in flight. A
+	// negative value means no wait.
 	PeerWait time.Duration
-	// MaxDeaths is the most deaths kept, MaxInFlight the most fingerprints
-	// blamed for one, MaxEvents the most in a digest, sent or taken in.
+	// MaxDeaths is the maximum number of deaths kept, MaxInFlight that of
+	// fingerprints blamed for one death, and MaxEvents that of events in a
+	// digest, both sent and received.
 	MaxDeaths, MaxInFlight, MaxEvents int
 }
 
-// deathID names a death: the upstream, and the process life that ended.
+// deathID identifies a death by the upstream and the epoch of the process that
+// ended.
 type deathID struct {
 	upstream ids.Upstream
 	epoch    string
 }
 
-// death is one upstream's death and the fingerprints in flight then.
+// death is the death of an upstream and the fingerprints that were in flight.
 type death struct {
 	id deathID
 	at time.Time
-	// inFlight tells for each fingerprint whether it is still blamed.
+	// inFlight maps each fingerprint to whether it is still blamed. blamed is
+	// the number of those that are.
 	inFlight map[Fingerprint]bool
 	blamed   int
 }
 
-// Detector keeps the evidence of one service.
+// Detector collects the evidence of one service.
 type Detector struct {
 	opts Options
-	// deaths are in the order they were learned of.
+	// deaths are in the order in which they became known.
 	deaths   []*death
 	byID     map[deathID]*death
 	suspects map[Fingerprint][]*death
-	// successes remembers when a fingerprint last succeeded here.
-	successes map[Fingerprint]time.Time
-	order     []Fingerprint
-	next      int
+	// successes maps fingerprints to their last success on this VM. successRing
+	// lists them in the order they were added, and ringNext is the next index to
+	// replace.
+	successes   map[Fingerprint]time.Time
+	successRing []Fingerprint
+	ringNext    int
 }
 
-// New makes a Detector without evidence.
+// New returns a Detector without evidence.
 func New(opts Options) *Detector {
-	b := &Detector{
+	det := &Detector{
 		byID:      make(map[deathID]*death),
 		suspects:  make(map[Fingerprint][]*death),
 		successes: make(map[Fingerprint]time.Time),
 	}
-	b.SetOptions(opts)
-	return b
+	det.SetOptions(opts)
+	return det
 }
 
-// SetOptions changes the options; the evidence is judged anew by them.
-func (b *Detector) SetOptions(opts Options) { b.opts = withDefaults(opts) }
+// SetOptions replaces the options. They apply to existing evidence too.
+func (det *Detector) SetOptions(opts Options) { det.opts = withDefaults(opts) }
 
-// RecordDeath blames an upstream's death on what this VM had in flight there; tell
-// also of deaths without any. A death is a connection lost after start that is
-// followed by a new epoch or refused connects; epoch is the life that ended.
-func (b *Detector) RecordDeath(now time.Time, upstream ids.Upstream, epoch string, inFlight []Fingerprint) {
-	b.prune(now)
-	d := b.death(now, deathID{upstream, epoch})
+// RecordDeath blames the death of an upstream on the fingerprints that this VM
+// had in flight there. It must also be called if there were none. A death is a
+// connection lost after the start of a request, followed by a new epoch or by
+// refused connections. epoch is that of the process that ended.
+func (det *Detector) RecordDeath(now time.Time, upstream ids.Upstream, epoch string, inFlight []Fingerprint) {
+	det.dropOldDeaths(now)
+	d := det.findOrAddDeath(now, deathID{upstream, epoch})
 	for _, fp := range inFlight {
-		b.blame(d, fp)
+		det.addBlame(d, fp)
 	}
 }
 
-// RecordSuccess tells that an upstream served a fingerprint whole.
-func (b *Detector) RecordSuccess(now time.Time, fp Fingerprint) {
-	b.remember(now, fp)
-	for _, d := range b.suspects[fp] {
+// RecordSuccess records that an upstream served a request with this fingerprint
+// completely.
+func (det *Detector) RecordSuccess(now time.Time, fp Fingerprint) {
+	det.storeSuccess(now, fp)
+	for _, d := range det.suspects[fp] {
 		if !d.at.After(now) {
 			d.clear(fp)
 		}
 	}
 }
 
-// Quarantined reports whether requests of a fingerprint are refused, and
-// until when.
-func (b *Detector) Quarantined(now time.Time, fp Fingerprint) (bool, time.Time) {
-	c := b.caseOf(fp)
-	until := c.last.Add(b.opts.Duration)
-	if c.upstreams < b.opts.Threshold || !now.Before(until) {
+// Quarantined reports whether requests with this fingerprint must be refused,
+// and until when.
+func (det *Detector) Quarantined(now time.Time, fp Fingerprint) (bool, time.Time) {
+	e := det.evidenceFor(fp)
+	until := e.last.Add(det.opts.Duration)
+	if e.upstreams < det.opts.Threshold || !now.Before(until) {
 		return false, time.Time{}
 	}
-	if !b.certain(c) && !b.proven(now, fp, c) {
+	if !det.certainByCount(e) && !det.onlyExplanation(now, fp, e) {
 		return false, time.Time{}
 	}
 	return true, until
 }
 
-// certain reports whether the count alone is proof. It has to be for culprits
-// that kill at the same time as others.
-func (b *Detector) certain(c evidence) bool {
-	return c.upstreams >= b.opts.Threshold+certainAfter && b.explains(c, certainExplained)
+// certainByCount reports whether the number of upstreams is sufficient evidence
+// without the other conditions. Without this rule, two culprits that kill
+// upstreams at the same time might never be quarantined.
+func (det *Detector) certainByCount(e evidence) bool {
+	return e.upstreams >= det.opts.Threshold+certainExtraUpstreams && det.explains(e, certainMinExplained)
 }
 
-// explains reports whether a share of all deaths in the time is blamed on the
-// fingerprint.
-func (b *Detector) explains(c evidence, share float64) bool {
-	return float64(c.deaths) >= share*float64(b.deathsBetween(c.first, c.last))
+// explains reports whether at least the given fraction of all deaths in the
+// period is blamed on the fingerprint.
+func (det *Detector) explains(e evidence, share float64) bool {
+	return float64(e.deaths) >= share*float64(det.deathsBetween(e.first, e.last))
 }
 
-// Suspected gives the dead upstreams a fingerprint is blamed for, and the time
-// until which its requests have to wait before they start; zero means no wait.
-// The time may come nearer as evidence arrives: ask again now and then. From
-// After upstreams on there is a wait of Settle, for peers to tell what they had
-// in flight. Fingerprints that tie are then tried one by one, so that the next
-// death or success tells them apart; those whose turn is later wait for
-// turnFactor times Settle at most. A caller that does not wait lets a culprit
-// kill more upstreams.
-func (b *Detector) Suspected(now time.Time, fp Fingerprint) (upstreams int, holdUntil time.Time) {
-	c := b.caseOf(fp)
-	if c.upstreams < b.opts.Threshold {
-		return c.upstreams, time.Time{}
+// Suspected returns the number of dead upstreams that a fingerprint is blamed
+// for, and the time until which its requests must wait before they start; zero
+// means no wait.
+//
+// From Threshold upstreams on, requests wait for PeerWait, so that peers can
+// report what they had in flight. Fingerprints with similar scores then run one
+// after another, so that the next death or success distinguishes them; all but
+// the first wait for up to maxTieWaitFactor times PeerWait. The wait can become
+// shorter as evidence arrives, so callers should ask again from time to time. A
+// caller that does not wait lets a culprit kill more upstreams.
+func (det *Detector) Suspected(now time.Time, fp Fingerprint) (upstreams int, holdUntil time.Time) {
+	e := det.evidenceFor(fp)
+	if e.upstreams < det.opts.Threshold {
+		return e.upstreams, time.Time{}
 	}
-	hold := c.last.Add(b.opts.PeerWait)
-	if b.anyRival(fp, c, func(other Fingerprint) bool { return other < fp }) {
-		hold = c.last.Add(turnFactor * b.opts.PeerWait)
+	hold := e.last.Add(det.opts.PeerWait)
+	if det.hasRival(fp, e, func(other Fingerprint) bool { return other < fp }) {
+		hold = e.last.Add(maxTieWaitFactor * det.opts.PeerWait)
 	}
 	if now.Before(hold) {
 		holdUntil = hold
 	}
-	return c.upstreams, holdUntil
+	return e.upstreams, holdUntil
 }
 
-// proven reports whether a fingerprint explains the deaths it is blamed for
-// and nothing else does as well.
-func (b *Detector) proven(now time.Time, fp Fingerprint, c evidence) bool {
-	if now.Before(c.last.Add(b.opts.PeerWait)) {
+// onlyExplanation reports whether peers had time to report, the fingerprint
+// explains the deaths it is blamed for, and no other one explains them as well.
+func (det *Detector) onlyExplanation(now time.Time, fp Fingerprint, e evidence) bool {
+	if now.Before(e.last.Add(det.opts.PeerWait)) {
 		return false
 	}
-	return b.explains(c, explained) && !b.anyRival(fp, c, anyone)
+	return det.explains(e, minExplained) && !det.hasRival(fp, e, anyFingerprint)
 }
 
-// anyRival reports whether another fingerprint, of those that match, explains
-// the same deaths about as well.
-func (b *Detector) anyRival(fp Fingerprint, c evidence, match func(Fingerprint) bool) bool {
-	for _, d := range b.suspects[fp] {
+// hasRival reports whether another fingerprint that satisfies match is blamed
+// for one of the same deaths and has a similar or higher score.
+func (det *Detector) hasRival(fp Fingerprint, e evidence, match func(Fingerprint) bool) bool {
+	for _, d := range det.suspects[fp] {
 		if !d.inFlight[fp] {
 			continue
 		}
@@ -212,7 +236,7 @@
 			if other == fp || !blamed || !match(other) {
 				continue
 			}
-			if b.caseOf(other).score() > c.score()-standOut {
+			if det.evidenceFor(other).score() > e.score()-minScoreLead {
 				return true
 			}
 		}
@@ -220,13 +244,13 @@
 	return false
 }
 
-// anyone matches all fingerprints.
-func anyone(Fingerprint) bool { return true }
+// anyFingerprint is a match function for all fingerprints.
+func anyFingerprint(Fingerprint) bool { return true }
 
-// deathsBetween counts the deaths in a span of time, its ends included.
-func (b *Detector) deathsBetween(first, last time.Time) int {
+// deathsBetween counts the deaths from first to last, both inclusive.
+func (det *Detector) deathsBetween(first, last time.Time) int {
 	count := 0
-	for _, d := range b.deaths {
+	for _, d := range det.deaths {
 		if !d.at.Before(first) && !d.at.After(last) {
 			count++
 		}
@@ -234,7 +258,7 @@
 	return count
 }
 
-// withDefaults fills in unset options.
+// withDefaults returns the options with defaults in unset fields.
 func withDefaults(o Options) Options {
 	o.Threshold = defaults.Positive(o.Threshold, DefaultThreshold)
 	o.Duration = defaults.Positive(o.Duration, DefaultDuration)
--- a/decide/quarantine/quarantine_test.go
+++ b/decide/quarantine/quarantine_test.go
@@ -13,7 +13,7 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-func refused(b *Detector, ms int, fp Fingerprint) bool {
+func isQuarantined(b *Detector, ms int, fp Fingerprint) bool {
 	yes, _ := b.Quarantined(at(ms), fp)
 	return yes
 }
@@ -23,19 +23,19 @@
 	b.RecordDeath(at(0), "e1", "a", []Fingerprint{"bad", "x1", "x2"})
 	b.RecordDeath(at(100), "e1", "a", []Fingerprint{"bad"}) // the same death
 	b.RecordDeath(at(200), "e1", "b", []Fingerprint{"bad"}) // the same upstream
-	if refused(b, 5000, "bad") {
+	if isQuarantined(b, 5000, "bad") {
 		t.Fatal("quarantined for one upstream")
 	}
 	b.RecordDeath(at(5000), "e2", "a", []Fingerprint{"bad", "x3"})
-	if n, hold := b.Suspected(at(5000), "bad"); n != 2 || !hold.Equal(at(6000)) || refused(b, 5000, "bad") {
-		t.Errorf("%d upstreams, hold until %v: peers have had no time", n, hold)
+	if n, hold := b.Suspected(at(5000), "bad"); n != 2 || !hold.Equal(at(6000)) || isQuarantined(b, 5000, "bad") {
+		t.Errorf("%d upstreams, hold until %v: peers must have time to report", n, hold)
 	}
 	yes, until := b.Quarantined(at(6000), "bad")
 	if !yes || !until.Equal(at(5000).Add(DefaultDuration)) {
 		t.Errorf("Quarantined = %v until %v", yes, until)
 	}
-	if refused(b, 6000, "x1") || refused(b, 6000, "x3") {
-		t.Error("an innocent is quarantined")
+	if isQuarantined(b, 6000, "x1") || isQuarantined(b, 6000, "x3") {
+		t.Error("an innocent request is quarantined")
 	}
 	if yes, _ := b.Quarantined(until, "bad"); yes {
 		t.Error("quarantine does not end")
@@ -46,17 +46,17 @@
 	b := New(Options{})
 	b.RecordDeath(at(0), "e1", "a", []Fingerprint{"bad", "unlucky", "x1"})
 	b.RecordDeath(at(300), "e2", "a", []Fingerprint{"bad", "unlucky", "x2"})
-	if refused(b, 2000, "unlucky") || refused(b, 2000, "bad") {
-		t.Fatal("a tie is decided")
+	if isQuarantined(b, 2000, "unlucky") || isQuarantined(b, 2000, "bad") {
+		t.Fatal("a suspect is quarantined despite similar scores")
 	}
 	_, first := b.Suspected(at(2000), "bad")
 	_, second := b.Suspected(at(2000), "unlucky")
-	if !first.IsZero() || !second.Equal(at(300).Add(turnFactor*DefaultPeerWait)) {
-		t.Errorf("wait until %v and %v: suspects that tie must be tried one by one", first, second)
+	if !first.IsZero() || !second.Equal(at(300).Add(maxTieWaitFactor*DefaultPeerWait)) {
+		t.Errorf("wait until %v and %v: suspects with similar scores must run one after another", first, second)
 	}
 	b.RecordSuccess(at(2500), "unlucky")
-	if refused(b, 2500, "unlucky") || !refused(b, 2500, "bad") {
-		t.Error("the success of one must convict the other")
+	if isQuarantined(b, 2500, "unlucky") || !isQuarantined(b, 2500, "bad") {
+		t.Error("after the success of one suspect, only the other must be quarantined")
 	}
 }
 
@@ -66,7 +66,7 @@
 		b.RecordDeath(at(i*1000), ids.Upstream(fmt.Sprint(i)), "a", []Fingerprint{"popular", "x"})
 		b.RecordSuccess(at(i*1000+500), "popular")
 	}
-	if refused(b, 9000, "popular") || !refused(b, 9000, "x") {
+	if isQuarantined(b, 9000, "popular") || !isQuarantined(b, 9000, "x") {
 		t.Error("want x, which never succeeded, and not the popular request")
 	}
 }
@@ -81,7 +81,7 @@
 		b.RecordDeath(at(i*100), ids.Upstream(fmt.Sprint(i)), "a", fps)
 	}
 	for i := range 11 {
-		if refused(b, 5000, Fingerprint(fmt.Sprint("r", i))) {
+		if isQuarantined(b, 5000, Fingerprint(fmt.Sprint("r", i))) {
 			t.Errorf("r%d is quarantined after a rack failure", i)
 		}
 	}
@@ -90,7 +90,7 @@
 func TestRelaysCountOnce(t *testing.T) {
 	a, b, c := New(Options{}), New(Options{}), New(Options{})
 	a.RecordDeath(at(0), "e1", "x", []Fingerprint{"bad"})
-	for i := range 20 { // told back and forth
+	for i := range 20 { // digests are relayed in both directions
 		b.MergeDigest(at(i*100), "a", a.Digest(at(i*100)))
 		c.MergeDigest(at(i*100), "b", b.Digest(at(i*100)))
 		a.MergeDigest(at(i*100), "c", c.Digest(at(i*100)))
@@ -100,22 +100,22 @@
 	}
 	b.RecordDeath(at(2000), "e2", "x", []Fingerprint{"bad"})
 	c.MergeDigest(at(2100), "b", b.Digest(at(2100)))
-	if !refused(c, 4000, "bad") {
-		t.Error("deaths seen by two peers do not add up at a third")
+	if !isQuarantined(c, 4000, "bad") {
+		t.Error("deaths reported by two peers are not combined at a third")
 	}
-	a.RecordSuccess(at(5000), "bad") // never saw the second death
+	a.RecordSuccess(at(5000), "bad") // has not recorded the second death
 	a.MergeDigest(at(5100), "c", c.Digest(at(5100)))
 	if n, _ := a.Suspected(at(5100), "bad"); n != 0 {
-		t.Errorf("late word of an earlier death counts against a later success: %d", n)
+		t.Errorf("a late report of an earlier death is blamed despite a later success: %d", n)
 	}
 	c.MergeDigest(at(5200), "a", a.Digest(at(5200)))
-	if refused(c, 5200, "bad") {
-		t.Error("a peer's success does not clear")
+	if isQuarantined(c, 5200, "bad") {
+		t.Error("a peer's success does not clear the fingerprint")
 	}
-	for range 3 { // an old digest changes nothing
+	for range 3 { // an old digest must change nothing
 		c.MergeDigest(at(5300), "b", b.Digest(at(5300)))
 	}
-	if refused(c, 5300, "bad") {
+	if isQuarantined(c, 5300, "bad") {
 		t.Error("relayed blame undoes a success")
 	}
 }
@@ -140,7 +140,7 @@
 	if len(b.deaths) > 8 || len(b.byID) > 8 || len(b.suspects) > 32 || len(b.successes) > maxSuccesses {
 		t.Errorf("%d deaths, %d suspects, %d successes", len(b.deaths), len(b.suspects), len(b.successes))
 	}
-	b.prune(at(0).Add(time.Hour))
+	b.dropOldDeaths(at(0).Add(time.Hour))
 	if len(b.deaths)+len(b.byID)+len(b.suspects) != 0 {
 		t.Error("old deaths are kept")
 	}
@@ -155,41 +155,41 @@
 	poison      = Fingerprint("poison")
 )
 
-// run is one request running on an engine, through a VM.
+// run is one request on an engine, sent through a VM.
 type run struct {
 	fp       Fingerprint
 	vm, ends int
 }
 
-// fleet is a small model of engines that die when the poison runs there. Every
-// other request that an engine's death cuts off is sent again at once.
+// fleet simulates engines that die when the poison request runs on them. All
+// other requests that are cut off by a death are retried at once.
 type fleet struct {
-	rng     *rand.Rand
-	blamers [simVMs]*Detector
-	engines [simEngines][]run
-	downTo  [simEngines]int
-	epoch   [simEngines]int
-	hold    bool // waits out Suspected's hold before a retry
-	serial  int
+	rng       *rand.Rand
+	detectors [simVMs]*Detector
+	engines   [simEngines][]run
+	downUntil [simEngines]int
+	epoch     [simEngines]int
+	hold      bool // waits out Suspected's hold before a retry
+	serial    int
 
 	deaths, innocents int
 }
 
 func (f *fleet) place(now int, r run) {
 	engine := f.rng.IntN(simEngines)
-	for f.downTo[engine] > now {
+	for f.downUntil[engine] > now {
 		engine = f.rng.IntN(simEngines)
 	}
 	f.engines[engine] = append(f.engines[engine], r)
 }
 
-// held reports whether a request has to wait before it starts.
-func (f *fleet) held(now int, r run) bool {
-	_, until := f.blamers[r.vm].Suspected(at(now), r.fp)
+// mustWait reports whether a request has to wait before it starts.
+func (f *fleet) mustWait(now int, r run) bool {
+	_, until := f.detectors[r.vm].Suspected(at(now), r.fp)
 	return f.hold && at(now).Before(until)
 }
 
-func (f *fleet) innocent(now int) run {
+func (f *fleet) newInnocent(now int) run {
 	f.serial++
 	fp := Fingerprint(fmt.Sprint("r", f.serial))
 	if f.rng.IntN(20) == 0 {
@@ -198,10 +198,10 @@
 	return run{fp: fp, vm: f.rng.IntN(simVMs), ends: now + 500 + f.rng.IntN(4000)}
 }
 
-func (f *fleet) die(now, engine int) []run {
+func (f *fleet) killEngine(now, engine int) []run {
 	f.deaths++
 	cut := f.engines[engine]
-	for vm, b := range f.blamers {
+	for vm, b := range f.detectors {
 		var own []Fingerprint
 		for _, r := range cut {
 			if r.vm == vm {
@@ -212,15 +212,15 @@
 	}
 	f.engines[engine] = nil
 	f.epoch[engine]++
-	f.downTo[engine] = now + 3000
+	f.downUntil[engine] = now + 3000
 	return cut
 }
 
-// tell exchanges digests.
-func (f *fleet) tell(now int) {
-	for i, b := range f.blamers {
+// exchangeDigests sends the digest of each VM to all others.
+func (f *fleet) exchangeDigests(now int) {
+	for i, b := range f.detectors {
 		events := b.Digest(at(now))
-		for j, peer := range f.blamers {
+		for j, peer := range f.detectors {
 			if i != j {
 				peer.MergeDigest(at(now), ids.VM(fmt.Sprint(i)), events)
 			}
@@ -228,24 +228,25 @@
 	}
 }
 
-// simulate sends the poison five times from its caller, each with up to four
-// attempts, and gives the deaths and the innocent requests refused.
+// simulate runs a fleet in which a caller sends the poison request five times
+// with up to four attempts each. The fleet counts the dead engines and the
+// innocent requests that are refused.
 func simulate(seed uint64, hold bool) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 3)), hold: hold}
-	for i := range f.blamers {
-		f.blamers[i] = New(Options{})
+	for i := range f.detectors {
+		f.detectors[i] = New(Options{})
 	}
 	sends, attempts, vm, next := 0, 0, 0, 5000
 	var again []run
 	for now := 0; now < simLength; now += simStep {
 		if now%250 == 0 {
-			f.tell(now)
+			f.exchangeDigests(now)
 		}
 		for engine := range f.engines {
-			if f.downTo[engine] > now || len(f.engines[engine]) >= simInFlight {
+			if f.downUntil[engine] > now || len(f.engines[engine]) >= simInFlight {
 				continue
 			}
-			if r := f.innocent(now); !f.held(now, r) {
+			if r := f.newInnocent(now); !f.mustWait(now, r) {
 				f.engines[engine] = append(f.engines[engine], r)
 			}
 		}
@@ -253,11 +254,11 @@
 			if attempts == 0 {
 				vm = f.rng.IntN(simVMs)
 			}
-			yes, _ := f.blamers[vm].Quarantined(at(now), poison)
+			yes, _ := f.detectors[vm].Quarantined(at(now), poison)
 			switch {
 			case yes || attempts == 4:
 				sends, attempts, next = sends+1, 0, now+2000
-			case f.held(now, run{fp: poison, vm: vm}):
+			case f.mustWait(now, run{fp: poison, vm: vm}):
 			default:
 				attempts, next = attempts+1, -1
 				f.place(now, run{fp: poison, vm: vm, ends: now + 100 + f.rng.IntN(200)})
@@ -265,11 +266,11 @@
 		}
 		var retry []run
 		for _, r := range again {
-			if yes, _ := f.blamers[r.vm].Quarantined(at(now), r.fp); yes {
+			if yes, _ := f.detectors[r.vm].Quarantined(at(now), r.fp); yes {
 				f.innocents++
 				continue
 			}
-			if f.held(now, r) {
+			if f.mustWait(now, r) {
 				retry = append(retry, r)
 				continue
 			}
@@ -287,14 +288,14 @@
 					kept = append(kept, r)
 					dies = true
 				default:
-					f.blamers[r.vm].RecordSuccess(at(now), r.fp)
+					f.detectors[r.vm].RecordSuccess(at(now), r.fp)
 				}
 			}
 			f.engines[engine] = kept
 			if !dies {
 				continue
 			}
-			for _, r := range f.die(now, engine) {
+			for _, r := range f.killEngine(now, engine) {
 				if r.fp == poison {
 					next = now + 20
 					continue
@@ -307,8 +308,8 @@
 	return f
 }
 
-// No innocent is refused. Without the wait of Suspected, one more upstream
-// dies before the count alone is proof.
+// Innocent requests must not be refused. If requests do not wait as Suspected
+// asks, one more upstream dies before the count alone is sufficient.
 func TestPoisonStopsAndInnocentsAreSpared(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		worst, sum, innocents := 0, 0, 0
@@ -319,14 +320,14 @@
 			sum += f.deaths
 			innocents += f.innocents
 		}
-		t.Logf("hold %v, %d runs: engines dead %.2f on average, %d at most; innocents refused %d",
+		t.Logf("hold %v, %d runs: engines dead %.2f on average, %d at most; innocent requests refused: %d",
 			hold, seeds, float64(sum)/seeds, worst, innocents)
-		bound := DefaultThreshold + certainAfter
+		bound := DefaultThreshold + certainExtraUpstreams
 		if hold {
 			bound = DefaultThreshold + 1
 		}
 		if worst > bound || innocents != 0 {
-			t.Errorf("hold %v: %d engines died, %d innocents refused", hold, worst, innocents)
+			t.Errorf("hold %v: %d engines died, %d innocent requests refused", hold, worst, innocents)
 		}
 	}
 }
@@ -337,7 +338,7 @@
 		b.Run(string(fp), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				f.blamers[0].Quarantined(at(simLength), fp)
+				f.detectors[0].Quarantined(at(simLength), fp)
 			}
 		})
 	}
--- a/decide/quarantine/verdict.go
+++ b/decide/quarantine/verdict.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Verdict tells that requests of a fingerprint crash the upstreams that run
-// them, as it is told to peers.
+// Verdict tells peers that requests with a fingerprint crash upstreams and must
+// be refused.
 type Verdict struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
-	// For is how long they are refused, from when it is told.
+	// For is how long the requests are refused, from when the Verdict is sent.
 	For time.Duration `json:"for_ns"`
 }
