--- a/decide/retryafter/retryafter.go
+++ b/decide/retryafter/retryafter.go
@@ -23,9 +23,9 @@
 	minAdvice = 800 * time.Millisecond
 	// latestWeight is the weight of the latest outage in the moving average.
 	latestWeight = 0.5
-	// maxFraction is the maximum fraction of a caller's remaining time that it
+	// maxTimeLeftFraction is the maximum fraction of a caller's remaining time that it
 	// is told to wait.
-	maxFraction = 1.0 / 3
+	maxTimeLeftFraction = 1.0 / 3
 )
 
 // Estimator tracks the outages of each service. Create it with New.
@@ -78,6 +78,6 @@
 	if remaining <= 0 {
 		remaining = outage
 	}
-	limit := time.Duration(maxFraction * float64(timeLeft))
+	limit := time.Duration(maxTimeLeftFraction * float64(timeLeft))
 	return max(min(max(remaining, minAdvice), limit), 0)
 }
