--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -159,9 +159,9 @@
 		return layered.Report{}, &upconn.DialError{Refused: true, Cause: syscall.ECONNREFUSED}
 	}
 	if c.dead[u.ID] {
-		return layered.Report{}, &GoneError{Cause: context.DeadlineExceeded}
+		return layered.Report{}, &CallerGoneError{Cause: context.DeadlineExceeded}
 	}
-	return layered.Report{Born: c.born[u.ID.Upstream], Pace: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
+	return layered.Report{Born: c.born[u.ID.Upstream], Slowdown: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
 }
 
 // Reroute implements Engines.
@@ -226,8 +226,8 @@
 
 // testModel has ten layers.
 var testModel = &layered.Model{
-	Layers: 10, LayerMB: 1, KVTokenBytes: 1, StepMs: 1, ReadPerMs: 100, Stride: 1, Prompt: 10, Answer: 10,
-	Cards: map[string]layered.Card{"card": {MemoryMB: 1000, StepFactor: 1, ReadFactor: 1}},
+	Layers: 10, LayerMB: 1, KVTokenBytes: 1, StepMs: 1, PrefillTokensPerMs: 100, StepsPerPass: 1, MeanPromptTokens: 10, MeanOutputTokens: 10,
+	Cards: map[string]layered.Card{"card": {MemoryMB: 1000, StepFactor: 1, PrefillFactor: 1}},
 }
 
 // testConfig has a route of each kind.
@@ -236,11 +236,11 @@
 	return routing.Config{
 		Version: 7,
 		Routes: []routing.Route{
-			{Name: "safe", Host: "h", PathPrefix: "/safe/", Kind: routing.Idempotent, Splits: split("plain"), MaxAttempts: 2, Timeout: 2 * time.Second, Objective: time.Second},
+			{Name: "safe", Host: "h", PathPrefix: "/safe/", Kind: routing.Idempotent, Splits: split("plain"), MaxAttempts: 2, Timeout: 2 * time.Second, LatencyObjective: time.Second},
 			{Name: "unsafe", Host: "h", PathPrefix: "/unsafe/", Kind: routing.NonIdempotent, Splits: split("plain"), MaxAttempts: 1, Timeout: 2 * time.Second},
 			{Name: "hurry", Host: "h", PathPrefix: "/hurry/", Kind: routing.NonIdempotent, Splits: split("plain"), MaxAttempts: 1, Timeout: 100 * time.Millisecond},
-			{Name: "open", Host: "h", PathPrefix: "/open/", Kind: routing.Idempotent, Splits: split("plain"), Open: true, Timeout: time.Second},
-			{Name: "stream", Host: "h", PathPrefix: "/stream/", Kind: routing.Streaming, Resumable: true, Splits: split("model"), MaxAttempts: 2, Timeout: 10 * time.Second, Objective: 250 * time.Millisecond, PauseObjective: 200 * time.Millisecond},
+			{Name: "open", Host: "h", PathPrefix: "/open/", Kind: routing.Idempotent, Splits: split("plain"), AuthExempt: true, Timeout: time.Second},
+			{Name: "stream", Host: "h", PathPrefix: "/stream/", Kind: routing.Streaming, Resumable: true, Splits: split("model"), MaxAttempts: 2, Timeout: 10 * time.Second, LatencyObjective: 250 * time.Millisecond, PauseObjective: 200 * time.Millisecond},
 			{Name: "plainstream", Host: "h", PathPrefix: "/plainstream/", Kind: routing.Streaming, Splits: split("plain"), Timeout: 10 * time.Second},
 			{Name: "once", Host: "h", PathPrefix: "/once/", Kind: routing.Streaming, Splits: split("model"), MaxAttempts: 2, Timeout: 10 * time.Second},
 		},
@@ -270,7 +270,7 @@
 		r.dir.Put(f.Upstream)
 	}
 	r.Server = New(Options{
-		Headers: names, Zone: "z", Engines: r.calls, Now: boottime.Now, Log: zerolog.Nop(), Metrics: r.counts, Seed: 1, Verdict: r.note, Known: r.known,
+		Headers: names, Zone: "z", Engines: r.calls, Now: boottime.Now, Log: zerolog.Nop(), Metrics: r.counts, Seed: 1, OnVerdict: r.note, Ready: r.known,
 		Budget: Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		Table:  r.table.Load,
 		View: func() *directory.View {
@@ -278,7 +278,7 @@
 			defer r.mu.Unlock()
 			return r.dir.View()
 		},
-		Restarted: func(life ids.Life) {
+		OnRestart: func(life ids.Life) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.dir.Restarted(life)
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -26,9 +26,9 @@
 	mu          sync.Mutex
 	nodes       int
 	conditions  *condition.Table
-	chains      *chain.Book
+	chains *chain.Picker
 	retryAfters *retryafter.Estimator
-	replicas    *replica.Book
+	replicas *replica.Picker
 	budgets     map[ids.Service]*retry.Budget
 }
 
@@ -51,8 +51,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nodes = n
-	p.chains.SetFleet(n)
-	p.replicas.SetFleet(n)
+	p.chains.SetNodeCount(n)
+	p.replicas.SetNodeCount(n)
 	for _, b := range p.budgets {
 		p.limit(b)
 	}
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer func() { p.opts.Metrics.Took("decision.chain", p.opts.Now().Sub(began)) }()
-	c, err := p.chains.Choose(p.opts.Now(), m, view, r)
+	c, err := p.chains.Pick(p.opts.Now(), m, view, r)
 	if err != nil {
 		return nil, err
 	}
@@ -114,10 +114,10 @@
 	if !p.tiles(c, m.Layers) {
 		return nil, &chain.TilingError{Chain: c.String(), Layers: m.Layers}
 	}
-	if full := p.chains.Full(began, c); full != nil && !r.Begun {
+	if full := p.chains.FullEngine(began, c); full != nil && !r.OutputStarted {
 		return nil, &chain.FullError{Service: r.Service, Engine: full.ID}
 	}
-	p.chains.Began(p.opts.Now(), c, r)
+	p.chains.RequestStarted(p.opts.Now(), c, r)
 	return c, nil
 }
 
@@ -133,7 +133,7 @@
 func (p *picker) due() []ids.Life {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conditions.Due(p.opts.Now())
+	return p.conditions.ProbesDue(p.opts.Now())
 }
 
 // silentFor tells how long an upstream has not answered.
@@ -174,7 +174,7 @@
 	if !p.budget(r.Service).AvailableWithin(at, part) {
 		return false
 	}
-	other, err := p.chains.Choose(at, m, view, r)
+	other, err := p.chains.Pick(at, m, view, r)
 	if err != nil {
 		return false
 	}
@@ -188,16 +188,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := p.opts.Now()
-	r.First = &now[0]
-	other, err := p.chains.Choose(at, m, view, r)
+	r.PinnedFirst = &now[0]
+	other, err := p.chains.Pick(at, m, view, r)
 	if err != nil || !p.tiles(other, m.Layers) {
 		return nil
 	}
 	if !dead && p.chains.Cost(at, m, r, other) >= leaveGain*p.chains.Cost(at, m, r, now) {
 		return nil
 	}
-	p.chains.Ended(at, now, r)
-	p.chains.Began(at, other, r)
+	p.chains.RequestEnded(at, now, r)
+	p.chains.RequestStarted(at, other, r)
 	return other
 }
 
@@ -205,7 +205,7 @@
 func (p *picker) chainEnded(c chain.Chain, r chain.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chains.Ended(p.opts.Now(), c, r)
+	p.chains.RequestEnded(p.opts.Now(), c, r)
 }
 
 // replica chooses the upstream of a plain request and counts it there; nil if
@@ -215,9 +215,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer func() { p.opts.Metrics.Took("decision.replica", p.opts.Now().Sub(began)) }()
-	u := p.replicas.Choose(p.opts.Now(), list, p.opts.Zone, avoid, draw)
+	u := p.replicas.Pick(p.opts.Now(), list, p.opts.Zone, avoid, draw)
 	if u != nil {
-		p.replicas.Began(u.ID)
+		p.replicas.RequestStarted(u.ID)
 	}
 	return u
 }
@@ -226,7 +226,7 @@
 func (p *picker) replicaEnded(id ids.Life, took time.Duration, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replicas.Ended(p.opts.Now(), id, took, failed)
+	p.replicas.RequestEnded(p.opts.Now(), id, took, failed)
 }
 
 // failed tells that an upstream did not answer.
@@ -261,14 +261,14 @@
 func (p *picker) reached() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Reached()
+	p.conditions.ConnectivityRestored()
 }
 
 // paced takes the pace that an upstream reports of itself.
 func (p *picker) paced(u *directory.Upstream, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Paced(p.opts.Now(), u.ID, pace)
+	p.conditions.SetPace(p.opts.Now(), u.ID, pace)
 }
 
 // notReached tells that no connection to an upstream could be made: its process
@@ -291,14 +291,14 @@
 func (p *picker) reported(u *directory.Upstream, requests int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chains.Reported(p.opts.Now(), u.ID, requests)
+	p.chains.LoadReported(p.opts.Now(), u.ID, requests)
 }
 
 // full tells that an upstream refused for want of room.
 func (p *picker) full(u *directory.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Full(p.opts.Now(), u.ID)
+	p.conditions.RefusedFull(p.opts.Now(), u.ID)
 }
 
 // refused tells that an upstream refused though it has room.
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -58,16 +58,16 @@
 // pickExcluding chooses among the upstreams that exclude does not name.
 func (r *Router) pickExcluding(req *request, exclude func(ids.Upstream) bool) (topology.Chain, bool) {
 	want := balancer.Request{
-		Service: req.arrive.Service,
-		Prefix:  req.arrive.PrefixHash,
-		Tokens:  int(req.cost()),
-		Zone:    r.opts.Zone,
-		Exclude: exclude,
+		Service:    req.arrive.Service,
+		PrefixHash: req.arrive.PrefixHash,
+		Tokens:     int(req.cost()),
+		Zone:       r.opts.Zone,
+		Exclude:    exclude,
 	}
 	if req.svc.model() {
 		return req.svc.picker.Pick(r.now, want, r)
 	}
-	one, ok := req.svc.plain.PickPlain(r.now, want, req.svc.upstreams, r)
+	one, ok := req.svc.plain.Pick(r.now, want, req.svc.upstreams, r)
 	if !ok {
 		return nil, false
 	}
@@ -157,5 +157,5 @@
 		decision.Outcome = err.Outcome
 		decision.Detail = err.Detail
 	}
-	r.emit(Note{Decision: decision})
+	r.emit(RecordDecision{Decision: decision})
 }
--- a/decide/router/event.go
+++ b/decide/router/event.go
@@ -17,8 +17,8 @@
 // Event is one thing that happened, told to the Router by an adapter.
 type Event interface{ isEvent() }
 
-// Arrive is a new request whose body has been read whole and checked for form.
-type Arrive struct {
+// RequestArrived is a new request whose body has been read whole and checked for form.
+type RequestArrived struct {
 	ID      ids.Request
 	Service ids.Service
 	// Method and Path are those of a plain call; empty for a model request.
@@ -89,21 +89,21 @@
 	Reply    engineapi.CancelReply
 }
 
-// LoadSeen is an engine's report of itself, polled or relayed by a peer.
-type LoadSeen struct {
+// LoadReported is an engine's report of itself, polled or relayed by a peer.
+type LoadReported struct {
 	Report engineapi.LoadReport
 	// At is when the report was asked for on this node's clock: the engine lived then.
 	At time.Time
 }
 
-// LoadFailed tells that an engine did not answer a poll.
-type LoadFailed struct{ Upstream ids.Upstream }
+// LoadPollFailed tells that an engine did not answer a poll.
+type LoadPollFailed struct{ Upstream ids.Upstream }
 
-// VMsSeen is the platform's list of VMs.
-type VMsSeen struct{ List platformapi.VMList }
+// VMListReceived is the platform's list of VMs.
+type VMListReceived struct{ List platformapi.VMList }
 
-// ConfigSeen is the newest set of configuration, changed as a whole.
-type ConfigSeen struct{ Config *Config }
+// ConfigReceived is the newest set of configuration, changed as a whole.
+type ConfigReceived struct{ Config *Config }
 
 // Drain starts the planned stop of this node: no new requests.
 type Drain struct{}
@@ -114,17 +114,17 @@
 // TickInterval is the pace of Tick.
 const TickInterval = 20 * time.Millisecond
 
-func (Arrive) isEvent()          {}
+func (RequestArrived) isEvent()  {}
 func (CallerGone) isEvent()      {}
 func (AttemptStarted) isEvent()  {}
 func (AttemptEnded) isEvent()    {}
 func (ClaimEnded) isEvent()      {}
 func (ClaimReleased) isEvent()   {}
-func (LoadSeen) isEvent()        {}
+func (LoadReported) isEvent()    {}
 func (StreamCancelled) isEvent() {}
-func (LoadFailed) isEvent()      {}
-func (VMsSeen) isEvent()         {}
-func (ConfigSeen) isEvent()      {}
+func (LoadPollFailed) isEvent()  {}
+func (VMListReceived) isEvent()  {}
+func (ConfigReceived) isEvent()  {}
 func (Drain) isEvent()           {}
 func (Tick) isEvent()            {}
 
--- a/decide/router/router.go
+++ b/decide/router/router.go
@@ -35,7 +35,7 @@
 	// upstreams holds what is known of each back end, by the VM list and by
 	// its own reports.
 	upstreams map[ids.Upstream]*upstream
-	book      *load.Book
+	book      *load.Estimator
 	health    *health.Tracker
 	limiter   *limit.Limiter
 	// vms are the entry VMs of the platform's newest list.
@@ -81,7 +81,7 @@
 	r.now = now
 	r.out = r.out[:0]
 	switch ev := event.(type) {
-	case Arrive:
+	case RequestArrived:
 		r.arrive(ev)
 	case CallerGone:
 		r.callerGone(ev)
@@ -95,19 +95,19 @@
 		r.claimReleased(ev)
 	case StreamCancelled:
 		r.streamCancelled(ev)
-	case LoadSeen:
+	case LoadReported:
 		r.loadSeen(ev)
-	case LoadFailed:
+	case LoadPollFailed:
 		r.loadFailed(ev)
-	case VMsSeen:
+	case VMListReceived:
 		r.vmsSeen(ev)
-	case ConfigSeen:
+	case ConfigReceived:
 		r.configSeen(ev)
 	case DigestDue:
 		r.digestDue()
 	case StatusDue:
 		r.statusDue()
-	case PeerSeen:
+	case DigestReceived:
 		r.peerSeen(ev)
 	case PeerGone:
 		r.peerGone(ev)
@@ -162,7 +162,7 @@
 
 // note records a decision about a request.
 func (r *Router) note(req *request, step DecisionStep, reason outcome.Reason, detail string) {
-	r.emit(Note{Decision: r.decision(req, step, reason, detail)})
+	r.emit(RecordDecision{Decision: r.decision(req, step, reason, detail)})
 }
 
 // decision describes a step of a request.
--- a/decide/router/router_test.go
+++ b/decide/router/router_test.go
@@ -234,15 +234,15 @@
 
 func TestRefusals(t *testing.T) {
 	for _, test := range []struct {
-		change func(*Arrive)
+		change func(*RequestArrived)
 		want   outcome.Reason
 	}{
-		{func(a *Arrive) { a.KeySHA256 = "wrong" }, outcome.Unauthorized},
-		{func(a *Arrive) { a.KeySHA256 = "" }, outcome.Unauthorized},
-		{func(a *Arrive) { a.Service = "nothing" }, outcome.UnknownService},
-		{func(a *Arrive) { a.Service = "booking" }, outcome.UnknownService},
-		{func(a *Arrive) { booking(a); a.Path = "/other" }, outcome.UnknownService},
-		{func(a *Arrive) { a.Deadline = epoch }, outcome.DeadlineExpired},
+		{func(a *RequestArrived) { a.KeySHA256 = "wrong" }, outcome.Unauthorized},
+		{func(a *RequestArrived) { a.KeySHA256 = "" }, outcome.Unauthorized},
+		{func(a *RequestArrived) { a.Service = "nothing" }, outcome.UnknownService},
+		{func(a *RequestArrived) { a.Service = "booking" }, outcome.UnknownService},
+		{func(a *RequestArrived) { booking(a); a.Path = "/other" }, outcome.UnknownService},
+		{func(a *RequestArrived) { a.Deadline = epoch }, outcome.DeadlineExpired},
 	} {
 		s := newScript()
 		s.step(arrive("r", test.change))
@@ -254,7 +254,7 @@
 func TestLeaving(t *testing.T) {
 	leave := map[string]func(*script){
 		"its own word": func(s *script) {
-			s.step(LoadSeen{At: s.now, Report: engineapi.LoadReport{
+			s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
 				Engine: "head-1", Epoch: "e-head-1", Model: "drafts", First: 0, Last: 3, Slots: 8, TokensPerSecond: 100, Leaving: true,
 			}})
 		},
@@ -263,10 +263,10 @@
 			drafts := config.Services["drafts"]
 			drafts.Leaving = []ids.Upstream{"head-1"}
 			config.Services["drafts"] = drafts
-			s.step(ConfigSeen{Config: config})
+			s.step(ConfigReceived{Config: config})
 		},
 		"a peer's word": func(s *script) {
-			s.step(PeerSeen{VM: "vm-2", At: s.now, Digest: Digest{Leaving: []ids.Upstream{"head-1"}}})
+			s.step(DigestReceived{VM: "vm-2", At: s.now, Digest: Digest{Leaving: []ids.Upstream{"head-1"}}})
 		},
 		"the list": func(s *script) {
 			list := platformapi.VMList{Revision: s.router.vmsRevision + 1}
@@ -277,7 +277,7 @@
 				}
 				list.VMs = append(list.VMs, vm)
 			}
-			s.step(VMsSeen{List: list})
+			s.step(VMListReceived{List: list})
 		},
 	}
 	for name, tell := range leave {
@@ -303,7 +303,7 @@
 // could serve it have not been asked, and refuses once they had their time.
 func TestRequestWaitsForEnginesJustListed(t *testing.T) {
 	s := &script{router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}), now: epoch}
-	s.step(ConfigSeen{Config: testConfig()})
+	s.step(ConfigReceived{Config: testConfig()})
 	s.vms("vm-1")
 	s.step(arrive("early", nil))
 	s.expect(t)
@@ -313,7 +313,7 @@
 	s.expect(t, "send early attempt 1")
 
 	s = &script{router: New(Options{VM: "vm-1", Zone: "a", MaxRequests: 100, Seed: 1}), now: epoch}
-	s.step(ConfigSeen{Config: testConfig()})
+	s.step(ConfigReceived{Config: testConfig()})
 	s.vms("vm-1")
 	s.tick(2 * warmUp)
 	s.step(arrive("late", nil))
@@ -387,7 +387,7 @@
 func TestGraphIsKeptWhileFiguresAreNear(t *testing.T) {
 	s := newScript()
 	tell := func(rate float64, latency time.Duration) {
-		s.step(LoadSeen{At: s.now, Report: engineapi.LoadReport{
+		s.step(LoadReported{At: s.now, Report: engineapi.LoadReport{
 			Engine: "head-1", Epoch: "e-head-1", Model: "drafts", First: 0, Last: 3, Slots: 8, TokensPerSecond: rate,
 			Links: []engineapi.Link{{To: "tail-1", LatencyUs: latency.Microseconds()}},
 		}})
--- a/decide/router/upstream.go
+++ b/decide/router/upstream.go
@@ -38,7 +38,7 @@
 }
 
 // loadSeen takes in an engine's report of itself.
-func (r *Router) loadSeen(ev LoadSeen) {
+func (r *Router) loadSeen(ev LoadReported) {
 	r.takeLoad(seenLoad{report: ev.Report, at: ev.At})
 }
 
@@ -52,18 +52,18 @@
 		return
 	}
 	u.asked = true
-	if err := r.book.Report(r.now, report, l.at); err != nil {
+	if err := r.book.ApplyReport(r.now, report, l.at); err != nil {
 		return
 	}
 	u.load = &l
 	u.cleared(l)
-	r.health.Reported(r.now, id)
+	r.health.ReportReceived(r.now, id)
 	r.epochSeen(u, report.Epoch)
 	if u.describe(report) {
 		r.dirty[u.engine.Service] = true
 	}
 	for _, l := range u.links {
-		r.health.LinkSlow(r.now, l.From, l.To, l.Latency)
+		r.health.LinkLatency(r.now, l.From, l.To, l.Latency)
 	}
 }
 
@@ -90,14 +90,14 @@
 }
 
 // loadFailed takes in that an engine did not answer a poll.
-func (r *Router) loadFailed(ev LoadFailed) {
+func (r *Router) loadFailed(ev LoadPollFailed) {
 	u := r.upstreams[ev.Upstream]
 	if u == nil {
 		return
 	}
 	u.asked = true
 	r.health.ReportMissed(r.now, ev.Upstream)
-	r.book.Failed(r.now, ev.Upstream)
+	r.book.PollFailed(r.now, ev.Upstream)
 	r.confirmDeath(u)
 }
 
@@ -109,7 +109,7 @@
 	}
 	u.running[req.arrive.ID] = req
 	// A book that is full only loses precision of the estimate.
-	_ = r.book.Sent(r.now, id)
+	_ = r.book.RequestStarted(r.now, id)
 }
 
 // untrack takes a request out of the load of an upstream.
@@ -122,5 +122,5 @@
 		return
 	}
 	delete(u.running, req.arrive.ID)
-	r.book.Ended(r.now, id)
+	r.book.RequestEnded(r.now, id)
 }
