--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -12,7 +12,7 @@
 // old when they are taken in, and all VMs use the same number of VMs, the local
 // rates of VMs that receive each other's digests sum to at most the account's rate.
 // A peer whose digests stop arriving keeps its last share in this VM's
-// calculation, until SetFleet and PeerGone say that the platform no longer lists
+// calculation, until SetVMCount and PeerGone say that the platform no longer lists
 // it. In a network partition, the local rates therefore sum to at most the rate if
 // demand was steady when the partition began, and otherwise to at most
 // rate*(1+sides)/2: 1.5 times the rate for two sides. Over any time T, with local
@@ -57,8 +57,8 @@
 // New.
 type Limiter struct {
 	opts Options
-	// vms is the number of entry VMs that the platform lists.
-	vms     int
+	// vmCount is the number of entry VMs that the platform lists.
+	vmCount int
 	buckets map[ids.Account]*bucket
 	// recent holds every *bucket, most recently used first.
 	recent  *list.List
@@ -105,7 +105,7 @@
 func New(opts Options) *Limiter {
 	return &Limiter{
 		opts:       withDefaults(opts),
-		vms:        1,
+		vmCount:    1,
 		buckets:    make(map[ids.Account]*bucket),
 		recent:     list.New(),
 		peers:      make(map[ids.VM]*peer),
@@ -114,11 +114,11 @@
 	}
 }
 
-// SetFleet sets the number of live entry VMs in the platform's list, including
+// SetVMCount sets the number of live entry VMs in the platform's list, including
 // this one; values below 1 count as 1. The caller must also call PeerGone for each
 // VM that was removed from the list.
-func (l *Limiter) SetFleet(_ time.Time, vms int) {
-	l.vms = max(vms, 1)
+func (l *Limiter) SetVMCount(_ time.Time, vms int) {
+	l.vmCount = max(vms, 1)
 	l.version++
 }
 
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -72,7 +72,7 @@
 	}
 	for i := range b.limiters {
 		b.limiters[i] = New(Options{})
-		b.limiters[i].SetFleet(t0, vms)
+		b.limiters[i].SetVMCount(t0, vms)
 	}
 	return b
 }
@@ -223,7 +223,7 @@
 		t.Errorf("three of nine partitioned VMs have %.3f of the rate, want about 1/3", got)
 	}
 	for i := 6; i < vms; i++ {
-		b.limiters[i].SetFleet(b.now, 3)
+		b.limiters[i].SetVMCount(b.now, 3)
 		for gone := range 6 {
 			b.limiters[i].PeerGone(ids.VM(fmt.Sprint(gone)))
 		}
@@ -337,7 +337,7 @@
 	for _, n := range []int{10, 1000, 43000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			l := New(Options{})
-			l.SetFleet(t0, vms)
+			l.SetVMCount(t0, vms)
 			for i := range vms - 1 {
 				l.PeerUsage(t0, ids.VM(fmt.Sprint(i)), nil)
 			}
--- a/decide/limit/share.go
+++ b/decide/limit/share.go
@@ -59,7 +59,7 @@
 }
 
 // fleetSize returns the number of VMs: those listed, or those known if more.
-func (l *Limiter) fleetSize() int { return max(l.vms, 1+len(l.peers)) }
+func (l *Limiter) fleetSize() int { return max(l.vmCount, 1+len(l.peers)) }
 
 // unheardVMs returns the number of listed VMs that never sent a digest.
 func (l *Limiter) unheardVMs() int { return l.fleetSize() - 1 - len(l.peers) }
--- a/decide/router/vms.go
+++ b/decide/router/vms.go
@@ -28,7 +28,7 @@
 			r.loads.Forget(id)
 		}
 	}
-	r.limiter.SetFleet(r.now, max(1, len(r.entryVMs)))
+	r.limiter.SetVMCount(r.now, max(1, len(r.entryVMs)))
 	r.rebuildAll()
 }
 
--- a/scenario/capacity/limit_test.go
+++ b/scenario/capacity/limit_test.go
@@ -22,7 +22,7 @@
 		activeAccounts, peers := size.accounts, size.peers
 		before := heap()
 		l := limit.New(limit.Options{})
-		l.SetFleet(start, peers+1)
+		l.SetVMCount(start, peers+1)
 		for i := range activeAccounts {
 			l.Take(start, limited(i), 1)
 		}
