--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -1,24 +1,26 @@
-// Package lease decides who holds a lease that is kept in one object of the
-// platform's store.
+// Package lease implements a lease that is stored in one object of the
+// platform's store, so that at most one process at a time performs a duty.
 //
-// The object names the holder, the term and the lease's duration. Every
-// judgement is by the node's own monotonic clock; no times of day are stored
-// or compared:
+// The object contains the holder, the term and the duration of the lease. All
+// decisions use the process's own monotonic clock; no times of day are stored or
+// compared:
 //
-//   - The holder counts the duration from before its write was sent. So its
-//     lease lapses no later than for anybody who saw the write's effect.
-//   - Anybody else waits a whole duration, and a margin for clocks that run at
-//     unlike rates, from when it first saw a version. Only if that version
-//     still stands does its conditional update take the lease over.
-//   - A write whose answer was lost is settled by reading the object back: each
-//     write has an id of its own.
+//   - The holder counts the duration from before its write was sent. Its lease
+//     therefore ends no later than for any process that saw the write's effect.
+//   - Any other process waits for a whole duration from when it first saw a
+//     version, plus a margin for clocks that run at different rates. Its
+//     conditional update then takes the lease over only if that version is still
+//     current.
+//   - A write whose answer was lost is resolved by reading the object: each write
+//     has a unique ID.
 //
-// A term begins with each takeover, also with the same holder's after a lapse.
-// The version of its first write is the fencing number of the term: since the
-// store's versions only grow, a later term has a higher one.
+// A new term begins with each takeover, and also when a holder acquires its own
+// lease again after it expired. The object's version at the first write of a
+// term is the term's fencing token. Versions in the store only increase, so
+// later terms have higher tokens.
 //
-// The package is pure. A Lease is not safe for concurrent use. The same
-// events and seed give the same commands.
+// The package is pure: it does no I/O and reads no clock. The same events and
+// seed lead to the same commands. A Lease is not safe for concurrent use.
 package lease
 
 import (
@@ -28,99 +30,103 @@
 	"time"
 )
 
-// Options set up a Lease. Holder is required; zero values of the rest stand
-// for the defaults.
+// Options configure a Lease. Holder is required; other zero fields take their
+// defaults.
 type Options struct {
-	// Holder names this process: unique across VMs and restarts.
+	// Holder identifies this process. It must be unique across VMs and restarts.
 	Holder string
-	// Duration is the lease's. Default 15s.
+	// Duration is the duration of the lease. Default 15s.
 	Duration time.Duration
-	// Margin is waited on top of another holder's duration. Default a tenth
-	// of the Duration.
+	// Margin is the time to wait in addition to another holder's duration.
+	// Default a tenth of Duration.
 	Margin time.Duration
-	// ReadInterval is the time between two reads while another holds the lease.
-	// Default a quarter of the Duration.
+	// ReadInterval is the maximum time between reads while another process holds
+	// the lease. Default a quarter of Duration.
 	ReadInterval time.Duration
-	// RetryMin is the wait after a call that failed; it doubles with each
-	// further one up to RetryMax. Defaults a twentieth and a half of the
-	// Duration: a store that was away answers the first call within half a
-	// lease of its return, and meanwhile it gets a few calls of each candidate
-	// instead of five a second.
+	// RetryMin is the maximum wait after a failed call. It doubles with each
+	// further failure up to RetryMax. The defaults are a twentieth and a half of
+	// Duration: after an outage of the store, the first call succeeds within
+	// half a Duration, and during the outage each candidate makes a few calls
+	// instead of five per second.
 	RetryMin, RetryMax time.Duration
-	// StaleReads allows reads some seconds old while another holds the lease,
-	// for stores where these are cheaper. A takeover is no later by that.
+	// StaleReads allows reads that are some seconds old while another process
+	// holds the lease, for stores in which these are cheaper. They do not delay
+	// a takeover.
 	StaleReads bool
-	// Seed starts the random source that spreads calls.
+	// Seed seeds the random source of the jitter.
 	Seed uint64
 }
 
-// Defaults of Options.
+// Defaults of Options. Divisors are relative to Options.Duration.
 const (
 	DefaultDuration = 15 * time.Second
-	marginPart      = 10
-	readPart        = 4
-	retryPart       = 20
-	retryMostPart   = 2
-	// renewPart: a lease is renewed once a third of it has passed.
-	renewPart = 3
+	marginDivisor   = 10
+	readDivisor     = 4
+	retryMinDivisor = 20
+	retryMaxDivisor = 2
+	// A lease is renewed once a third of its duration has passed.
+	renewDivisor = 3
 )
 
-// maxUnsettled bounds the writes without answer that are remembered.
-const maxUnsettled = 8
+// maxUnresolvedWrites is the maximum number of writes with unknown outcome that
+// are remembered.
+const maxUnresolvedWrites = 8
 
-// withDefaults fills in unset options.
+// withDefaults returns the options with defaults in unset fields.
 func (o Options) withDefaults() Options {
 	o.Duration = cmp.Or(o.Duration, DefaultDuration)
-	o.Margin = cmp.Or(o.Margin, o.Duration/marginPart)
-	o.ReadInterval = cmp.Or(o.ReadInterval, o.Duration/readPart)
-	o.RetryMin = cmp.Or(o.RetryMin, o.Duration/retryPart)
-	o.RetryMax = cmp.Or(o.RetryMax, o.Duration/retryMostPart)
+	o.Margin = cmp.Or(o.Margin, o.Duration/marginDivisor)
+	o.ReadInterval = cmp.Or(o.ReadInterval, o.Duration/readDivisor)
+	o.RetryMin = cmp.Or(o.RetryMin, o.Duration/retryMinDivisor)
+	o.RetryMax = cmp.Or(o.RetryMax, o.Duration/retryMaxDivisor)
 	return o
 }
 
-// Record is the value of a lease object.
+// Record is the content of a lease object.
 type Record struct {
-	// Holder is empty when the lease was given back.
+	// Holder is the process that holds the lease. It is empty if the lease was
+	// released.
 	Holder string `json:"holder"`
-	// Term counts the takeovers, from 1.
+	// Term is the number of the term, from 1.
 	Term int64 `json:"term"`
-	// DurationNs is the lease's duration, in nanoseconds.
+	// DurationNs is the duration of the lease in nanoseconds.
 	DurationNs int64 `json:"duration_ns"`
-	// Change is the id of the write.
+	// Change is the unique ID of the write.
 	Change string `json:"change"`
 }
 
-// maxDuration is the longest lease that is believed: twenty times the longest
-// that a holder here asks for, so that a duration in another unit or of another
-// writer does not hold up all orders.
+// maxDuration is the longest duration that is accepted from a record. It is
+// twenty times the longest that holders use, so that a record with another unit
+// or from another writer does not block all orders for long.
 const maxDuration = 5 * time.Minute
 
-// sound reports whether a holder can have written the record.
-func (r Record) sound() bool {
+// valid reports whether a holder can have written the record.
+func (r Record) valid() bool {
 	return r.Term > 0 && r.DurationNs > 0 && r.Duration() <= maxDuration
 }
 
-// Duration gives the lease's duration.
+// Duration returns the duration of the lease.
 func (r Record) Duration() time.Duration { return time.Duration(r.DurationNs) }
 
-// Command is a call to the platform. Exactly one Answer follows each, and no
-// other command comes before it.
+// Command is a call to the platform. It is answered by exactly one Answer,
+// before which no other Command is issued.
 type Command interface {
 	fmt.Stringer
 	isCommand()
 }
 
-// Read asks for the object.
+// Read requests the object.
 type Read struct {
-	// Stale tells that an answer some seconds old will do: it only spares
-	// needless writes, since each write is conditional.
+	// Stale reports that an object some seconds old is sufficient. All writes
+	// are conditional, so a stale read can at worst cause a write that fails.
 	Stale bool
 }
 
-// Write asks for a conditional update.
+// Write requests a conditional update of the object.
 type Write struct {
 	Record Record
-	// IfMatch is the version that must stand; 0: the object must not exist.
+	// IfMatch is the version that the object must have; 0 means that the object
+	// must not exist.
 	IfMatch int64
 }
 
@@ -140,98 +146,104 @@
 func (Read) isCommand()  {}
 func (Write) isCommand() {}
 
-// Answer is what came of a command.
+// Answer is the outcome of a Command.
 type Answer struct {
 	Kind AnswerKind
-	// Version and Record are the object's, with Found.
+	// Version and Record are the object's. They are set if Kind is Found.
 	Version int64
 	Record  Record
 }
 
-// AnswerKind is a kind of Answer.
+// AnswerKind is the type of an Answer.
 type AnswerKind int
 
-// Kinds of Answer.
+// Types of answers.
 const (
-	// Found: the object as it was read, written, or as it stood in the way
-	// of a write.
+	// Found: the object as it was read or written, or as it is after a failed
+	// condition of a write.
 	Found AnswerKind = iota
-	// Absent: there is no such object.
+	// Absent: the object does not exist.
 	Absent
-	// Lost: the call may have taken effect, or may yet.
+	// Lost: the outcome is unknown. The call may have taken effect or may still
+	// do so.
 	Lost
-	// Failed: the call had no effect and will have none.
+	// Failed: the call had no effect and never will.
 	Failed
-	// Unreadable: the object's value is no Record; Version is set.
+	// Unreadable: the object's content is not a Record. Version is set.
 	Unreadable
 )
 
-// Status is what may be said of the lease at one time.
+// Status is the state of the lease at one time.
 type Status struct {
-	// Held tells that this process holds the lease, for Left from then on.
+	// Held reports whether this process holds the lease. Left is how long it
+	// does so if the lease is not renewed.
 	Held bool
 	Left time.Duration
-	// Fence is the term's fencing number.
+	// Fence is the fencing token of the term.
 	Fence int64
-	// Since is when this process learned of its term.
+	// Since is when this process learned that its term began.
 	Since time.Time
 }
 
-// Lease is one process's view of a lease. Make it with New.
+// Lease is the state of a lease as one process knows it. Create it with New.
 type Lease struct {
 	opts Options
 	rand *rand.Rand
-	// wanted is false once the lease is given up.
-	wanted bool
+	// candidate is false after Resign.
+	candidate bool
 
-	// known tells that the object was read; version is 0 when it is absent.
+	// known reports whether the object was read. version is 0 if it does not
+	// exist.
 	known   bool
 	version int64
 	record  Record
-	// seen is when this version was first seen.
-	seen time.Time
-
-	// busy tells that a command is under way; stale that it is a stale read.
-	busy  bool
-	stale bool
-	// next is when the next call may be made; unsettled writes are read
-	// back before another is made.
-	next   time.Time
-	settle bool
-	// failures counts the calls without effect or answer since the last answer.
-	failures int
-	writes   []sent
-	changes  int
-
-	// term, fence, since and until are of this process's own term.
+	// versionSeenAt is when the current version was first seen.
+	versionSeenAt time.Time
+
+	// callOpen reports whether a command awaits its answer, and staleRead
+	// whether that command is a stale read.
+	callOpen  bool
+	staleRead bool
+	// nextCallAt is the earliest time of the next call. mustRead reports that
+	// the object must be read before the next write.
+	nextCallAt time.Time
+	mustRead   bool
+	// failures is the number of calls that were lost or failed since the last
+	// other answer.
+	failures   int
+	writes     []sentWrite
+	writeCount int
+
+	// term, fence, since and until describe the term of this process. term is 0
+	// if it has none.
 	term  int64
 	fence int64
 	since time.Time
 	until time.Time
 }
 
-// sent is a write of this process that may yet be found in the object.
-type sent struct {
+// sentWrite is a write of this process that may still appear in the object.
+type sentWrite struct {
 	change string
 	term   int64
 	at     time.Time
 }
 
-// New makes a view that wants the lease.
+// New returns a Lease that is a candidate and has not read the object.
 func New(opts Options) *Lease {
 	opts = opts.withDefaults()
 	return &Lease{
-		opts:   opts,
-		rand:   rand.New(rand.NewPCG(opts.Seed, seedStream)),
-		wanted: true,
+		opts:      opts,
+		rand:      rand.New(rand.NewPCG(opts.Seed, seedStream)),
+		candidate: true,
 	}
 }
 
 // seedStream is the second half of the random source's seed.
 const seedStream = 0x6c65617365
 
-// State tells whether the lease is held at now. Read the clock just before
-// each use and ask again.
+// State returns whether the lease is held at now. Callers must read the clock
+// and call State right before each action that depends on the lease.
 func (l *Lease) State(now time.Time) Status {
 	left := l.until.Sub(now)
 	if l.term == 0 || left <= 0 {
@@ -240,11 +252,12 @@
 	return Status{Held: true, Left: left, Fence: l.fence, Since: l.since}
 }
 
-// LastTerm tells of the own term after its lease has run out, as long as nobody
-// else is known to have taken it over. Only duties whose every step is fenced
-// may go by it, while the store cannot be asked: Left is 0.
+// LastTerm returns the term of this process, even if its lease has expired, as
+// long as no other process is known to have taken the lease over. It may only be
+// used while the store is unreachable, and only for duties in which every action
+// is protected by the fencing token. Left is 0.
 func (l *Lease) LastTerm() Status {
-	if l.term == 0 || !l.wanted {
+	if l.term == 0 || !l.candidate {
 		return Status{}
 	}
 	return Status{Held: true, Fence: l.fence, Since: l.since}
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -26,10 +26,10 @@
 
 func newLease(holder string) *Lease { return New(Options{Holder: holder, Duration: duration}) }
 
-// at gives a time by seconds from the start.
+// at returns the time in seconds after start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// script runs steps and tells what came of them, as text.
+// script runs steps on a Lease and records the commands and states as text.
 type script struct {
 	l   *Lease
 	out []string
@@ -57,7 +57,7 @@
 	}
 }
 
-// written answers a write as done.
+// written returns the answer to a successful write.
 func written(c Command, version int64) Answer {
 	return Answer{Kind: Found, Version: version, Record: c.(Write).Record}
 }
@@ -74,8 +74,8 @@
 	s.state(5)
 	s.answer(5.5, written(w, 8))
 	s.state(6)
-	// A pause: what it held has lapsed by the time it looks again, and the
-	// lease begins anew with a new fence.
+	// After a pause of this process, its lease has expired. It acquires the
+	// lease again with a new term and fencing token.
 	s.state(15)
 	w = s.tick(15)
 	s.answer(15.1, written(w, 9))
@@ -112,7 +112,7 @@
 12: held true for 9s fence 9`)
 }
 
-func TestRenewalStartsTheWaitAnew(t *testing.T) {
+func TestRenewalRestartsTheWait(t *testing.T) {
 	s := &script{l: newLease("b")}
 	s.l.Tick(start)
 	for i := range 10 {
@@ -133,7 +133,8 @@
 	s.state(3)
 	s.tick(4)
 	s.answer(4, Answer{Kind: Absent})
-	// It may yet arrive; whichever of the two does, its own time counts.
+	// The first write may still take effect. Whichever of the two does, the
+	// lease counts from the time of that write.
 	s.tick(5)
 	s.answer(6, Answer{Kind: Lost})
 	s.tick(7)
@@ -148,7 +149,8 @@
 7: held true for 4s fence 5`)
 }
 
-// A store that is away is asked ever less often, and at once as usual again.
+// Calls become less frequent while the store is unreachable, and return to the
+// normal interval after the first answer.
 func TestPausesGrowWhileCallsFail(t *testing.T) {
 	l := newLease("a")
 	now, calls := start, []time.Duration{}
@@ -164,22 +166,22 @@
 	}
 	for i := 1; i < len(calls); i++ {
 		if pause := calls[i] - calls[i-1]; pause > duration/2+10*time.Millisecond {
-			t.Errorf("a pause of %v", pause)
+			t.Errorf("pause of %v between calls", pause)
 		}
 	}
 	now = now.Add(duration)
 	l.Tick(now)
 	l.Answered(now, Answer{Kind: Absent})
 	if _, isWrite := l.Tick(now).(Write); !isWrite {
-		t.Error("the lease is not written once the store answers")
+		t.Error("the lease is not written although the store answers again")
 	}
 	l.Answered(now, Answer{Kind: Failed})
 	if l.Tick(now.Add(duration/20)) == nil {
-		t.Error("the first pause after an answer is not a short one")
+		t.Error("the first pause after an answer is too long")
 	}
 }
 
-func TestOneThatSeeksNothingCallsNothing(t *testing.T) {
+func TestNonCandidateMakesNoCalls(t *testing.T) {
 	l := newLease("a")
 	l.Resign()
 	for seconds := range 30 {
@@ -189,11 +191,11 @@
 	}
 	l.Campaign()
 	if c := l.Tick(at(30)); c != (Read{}) {
-		t.Errorf("%v once it seeks the lease", c)
+		t.Errorf("got %v once it is a candidate again", c)
 	}
 }
 
-func TestGiveUpAndStepDown(t *testing.T) {
+func TestResignAndStepDown(t *testing.T) {
 	s := &script{l: newLease("a")}
 	s.tick(0)
 	s.answer(0, Answer{Kind: Absent})
@@ -241,18 +243,19 @@
 	s.want(t, "0: read\n5: read\n16: write holder \"b\" term 4 change b-1 if 0")
 }
 
-// candidate is one process of a simulation.
-type candidate struct {
+// participant is one process of the simulation.
+type participant struct {
 	lease *Lease
-	// offset of its clock from true time.
+	// offset is the difference of its clock from true time.
 	offset time.Duration
-	// slow is the longest delay of its calls, in steps.
+	// slow is the maximum delay of its calls, in steps.
 	slow   int
 	paused int
 	calls  []*call
 }
 
-// call is one exchange; the store sees it at effect, the candidate at answer.
+// call is one call to the store. The store executes it at step effect, and the
+// participant receives the answer at step answer.
 type call struct {
 	command        Command
 	effect, answer int
@@ -260,7 +263,7 @@
 	lost, done     bool
 }
 
-// store is the object.
+// store holds the lease object.
 type store struct {
 	version int64
 	record  Record
@@ -277,39 +280,39 @@
 	return Answer{Kind: Found, Version: s.version, Record: s.record}
 }
 
-// step runs one candidate for one step of true time.
-func (c *candidate) step(t *rapid.T, s *store, step int) {
-	now := start.Add(time.Duration(step)*time.Second + c.offset)
-	for _, k := range c.calls {
+// step runs the participant for one step of true time.
+func (p *participant) step(t *rapid.T, s *store, step int) {
+	now := start.Add(time.Duration(step)*time.Second + p.offset)
+	for _, k := range p.calls {
 		if !k.done && step >= k.effect {
 			k.done = true
 			k.result = s.apply(k.command)
 		}
 	}
-	if c.paused > 0 {
-		c.paused--
+	if p.paused > 0 {
+		p.paused--
 		return
 	}
-	last := len(c.calls) - 1
-	if last >= 0 && step >= c.calls[last].answer && c.calls[last].answer >= 0 {
-		k := c.calls[last]
+	last := len(p.calls) - 1
+	if last >= 0 && step >= p.calls[last].answer && p.calls[last].answer >= 0 {
+		k := p.calls[last]
 		k.answer = -1
 		if k.lost || !k.done {
 			k.result = Answer{Kind: Lost}
 		}
-		c.lease.Answered(now, k.result)
+		p.lease.Answered(now, k.result)
 	}
-	if command := c.lease.Tick(now); command != nil {
-		effect := step + rapid.IntRange(0, c.slow).Draw(t, "effect")
-		c.calls = append(c.calls, &call{
+	if command := p.lease.Tick(now); command != nil {
+		effect := step + rapid.IntRange(0, p.slow).Draw(t, "effect")
+		p.calls = append(p.calls, &call{
 			command: command,
 			effect:  effect,
-			answer:  step + rapid.IntRange(0, c.slow).Draw(t, "answer"),
+			answer:  step + rapid.IntRange(0, p.slow).Draw(t, "answer"),
 			lost:    rapid.IntRange(0, 4).Draw(t, "lost") == 0,
 		})
 	}
 	if rapid.IntRange(0, 7).Draw(t, "pauses") == 0 {
-		c.paused = rapid.IntRange(1, 25).Draw(t, "pause")
+		p.paused = rapid.IntRange(1, 25).Draw(t, "pause")
 	}
 }
 
@@ -317,9 +320,9 @@
 	held, takeovers := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{}
-		var all []*candidate
+		var all []*participant
 		for i := range 3 {
-			all = append(all, &candidate{
+			all = append(all, &participant{
 				lease:  New(Options{Holder: fmt.Sprint("h", i), Duration: duration, Seed: uint64(i)}),
 				offset: time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "skew")) * time.Second,
 				slow:   rapid.SampledFrom([]int{0, 1, 9}).Draw(t, "slow"),
@@ -332,7 +335,8 @@
 			}
 			holders := 0
 			for _, c := range all {
-				// Also one that is paused: it could wake within this second.
+				// A paused process counts as well, because it could resume
+				// within this second.
 				st := c.lease.State(start.Add(time.Duration(step)*time.Second + c.offset))
 				if !st.Held {
 					continue
@@ -358,7 +362,7 @@
 	t.Logf("held in %d steps, %d takeovers", held, takeovers)
 }
 
-func TestStaleReadsWaitNoLonger(t *testing.T) {
+func TestStaleReadsDoNotDelayTakeover(t *testing.T) {
 	l := New(Options{Holder: "b", Duration: duration, ReadInterval: duration, StaleReads: true})
 	s := &script{l: l}
 	held := Answer{Kind: Found, Version: 5, Record: Record{Holder: "a", Term: 3, DurationNs: int64(duration)}}
@@ -369,7 +373,7 @@
 			if c != (Read{Stale: true}) {
 				t.Fatalf("%d: %s", tenths, c)
 			}
-			// A stale answer from before the object was made tells nothing.
+			// A stale read from before the object was created must be ignored.
 			s.answer(float64(tenths)/10, Answer{Kind: Absent})
 		}
 	}
@@ -381,17 +385,17 @@
 12: held true for 9s fence 9`)
 }
 
-func TestLapsedTermHoldsUntilAnotherIsSeen(t *testing.T) {
+func TestLastTermHoldsUntilAnotherIsSeen(t *testing.T) {
 	s := &script{l: newLease("a")}
 	s.tick(0)
 	s.answer(0, Answer{Kind: Absent})
 	s.answer(1, written(s.tick(1), 5))
 	if got := s.l.LastTerm(); !got.Held || got.Fence != 5 || s.l.State(at(20)).Held {
-		t.Errorf("after the lease ran out: lapsed %+v, state %+v", got, s.l.State(at(20)))
+		t.Errorf("after the lease expired: last term %+v, state %+v", got, s.l.State(at(20)))
 	}
 	s.tick(20)
 	s.answer(20, Answer{Kind: Found, Version: 9, Record: Record{Holder: "b", Term: 2, DurationNs: int64(duration)}})
 	if got := s.l.LastTerm(); got.Held {
-		t.Errorf("after another took over: lapsed %+v", got)
+		t.Errorf("after another process took over: last term %+v", got)
 	}
 }
--- a/decide/lease/step.go
+++ b/decide/lease/step.go
@@ -8,71 +8,72 @@
 	"mimosaarch.example/core/backoff"
 )
 
-// Tick gives the call to make now; nil when there is none. Call it often
-// against the Duration, a hundredth for instance. The clock must be read just
-// before: a write's lease counts from now.
+// Tick returns the call to make now, or nil. It must be called often compared
+// with the Duration, for example every hundredth of it. The clock must be read
+// right before the call, because the duration of a written lease counts from
+// now.
 func (l *Lease) Tick(now time.Time) Command {
-	if l.busy || now.Before(l.next) {
+	if l.callOpen || now.Before(l.nextCallAt) {
 		return nil
 	}
-	command := l.choose(now)
-	l.busy = command != nil
+	command := l.nextCommand(now)
+	l.callOpen = command != nil
 	read, isRead := command.(Read)
-	l.stale = isRead && read.Stale
+	l.staleRead = isRead && read.Stale
 	return command
 }
 
-// choose decides what to call.
-func (l *Lease) choose(now time.Time) Command {
+// nextCommand chooses the next call, or nil.
+func (l *Lease) nextCommand(now time.Time) Command {
 	switch {
-	case !l.wanted && !l.known && len(l.writes) == 0:
-		// Nothing to seek, and nothing to give back.
+	case !l.candidate && !l.known && len(l.writes) == 0:
+		// There is nothing to acquire or release.
 		return nil
-	case !l.known || l.settle:
+	case !l.known || l.mustRead:
 		return Read{}
-	case l.ownRecord():
-		return l.keep(now)
-	case !l.wanted:
+	case l.isOwnRecord():
+		return l.renewOrRelease(now)
+	case !l.candidate:
 		return nil
-	case l.record.Holder == "" || !now.Before(l.free()):
+	case l.record.Holder == "" || !now.Before(l.takeoverTime()):
 		return l.write(now, l.opts.Holder, l.record.Term+1)
 	}
 	return Read{Stale: l.opts.StaleReads}
 }
 
-// free is when another holder's lease has certainly lapsed, unless the object
-// changes before.
-func (l *Lease) free() time.Time {
-	return l.seen.Add(max(l.record.Duration(), l.opts.Duration) + l.opts.Margin)
+// takeoverTime returns when the other holder's lease has certainly expired,
+// unless the object changes before then.
+func (l *Lease) takeoverTime() time.Time {
+	return l.versionSeenAt.Add(max(l.record.Duration(), l.opts.Duration) + l.opts.Margin)
 }
 
-// ownRecord reports whether the object names this process.
-func (l *Lease) ownRecord() bool {
+// isOwnRecord reports whether the object names this process as the holder.
+func (l *Lease) isOwnRecord() bool {
 	return l.version != 0 && l.record.Holder == l.opts.Holder
 }
 
-// keep renews the own lease, begins a new term after a lapse, or gives the
-// lease back.
-func (l *Lease) keep(now time.Time) Command {
+// renewOrRelease renews the lease of this process, begins a new term if it has
+// expired, or releases it after Resign.
+func (l *Lease) renewOrRelease(now time.Time) Command {
 	left := l.until.Sub(now)
 	switch {
-	case !l.wanted:
+	case !l.candidate:
 		return l.write(now, "", l.record.Term)
 	case l.term != l.record.Term || left <= 0:
 		return l.write(now, l.opts.Holder, l.record.Term+1)
-	case left <= l.opts.Duration-l.opts.Duration/renewPart:
+	case left <= l.opts.Duration-l.opts.Duration/renewDivisor:
 		return l.write(now, l.opts.Holder, l.record.Term)
 	}
 	return nil
 }
 
-// write makes a conditional update and remembers when it was made.
+// write returns a conditional update and remembers when it was made.
 func (l *Lease) write(now time.Time, holder string, term int64) Command {
-	l.changes++
-	change := fmt.Sprintf("%s-%d", l.opts.Holder, l.changes)
+	l.writeCount++
+	change := fmt.Sprintf("%s-%d", l.opts.Holder, l.writeCount)
 	if holder != "" {
-		l.writes = append(l.writes, sent{change: change, term: term, at: now})
-		l.writes = l.writes[max(len(l.writes)-maxUnsettled, 0):]
+		l.writes = append(l.writes, sentWrite{change: change, term: term, at: now})
+		l.writes = l.writes[max(len(l.writes)-maxUnresolvedWrites, 0):]
 	}
 	record := Record{
 		Holder:     holder,
@@ -83,71 +84,73 @@
 	return Write{Record: record, IfMatch: l.version}
 }
 
-// Answered takes the answer to the last command, which came at now. It is
-// ignored when no command is under way.
+// Answered handles the answer to the last command, received at now. It is
+// ignored if no command is open.
 func (l *Lease) Answered(now time.Time, answer Answer) {
-	if !l.busy {
+	if !l.callOpen {
 		return
 	}
-	l.busy = false
-	if answer.Kind == Found && !answer.Record.sound() {
+	l.callOpen = false
+	if answer.Kind == Found && !answer.Record.valid() {
 		answer.Kind = Unreadable
 	}
 	switch answer.Kind {
 	case Found:
-		l.settle = false
+		l.mustRead = false
 		l.observe(now, answer.Version, answer.Record)
 	case Unreadable:
-		// Nobody can hold by it; it may be overwritten after a while.
-		l.settle = false
+		// The object names no valid holder. It may be overwritten after a whole
+		// duration.
+		l.mustRead = false
 		l.observe(now, answer.Version, Record{DurationNs: int64(l.opts.Duration), Holder: unreadableHolder})
 	case Absent:
-		l.settle = false
-		// A stale answer may be from before the object was made.
-		if !l.stale {
-			l.absent(now)
+		l.mustRead = false
+		// A stale read may show the state before the object was created.
+		if !l.staleRead {
+			l.observeAbsent(now)
 		}
 	case Lost:
-		// A stale read changes nothing, so nothing has to be read back.
-		l.settle = l.settle || !l.stale
+		// A stale read changes nothing, so its loss requires no new read.
+		l.mustRead = l.mustRead || !l.staleRead
 	}
 	l.schedule(now, answer.Kind)
 }
 
-// unreadableHolder stands for the holder of an object that can't be read.
+// unreadableHolder is the assumed holder if the object cannot be read.
 const unreadableHolder = "?"
 
-// schedule sets when the next call may be made.
+// schedule sets the earliest time of the next call.
 func (l *Lease) schedule(now time.Time, kind AnswerKind) {
 	if kind == Failed || kind == Lost {
-		l.next = now.Add(l.spread(l.retryWait()))
+		l.nextCallAt = now.Add(l.jitter(l.retryWait()))
 		l.failures++
 		return
 	}
 	l.failures = 0
 	switch {
-	case l.record.Holder == "" || l.ownRecord():
-		l.next = now
+	case l.record.Holder == "" || l.isOwnRecord():
+		l.nextCallAt = now
 	default:
-		l.next = now.Add(l.spread(l.opts.ReadInterval))
-		if free := l.free(); l.wanted && free.Before(l.next) {
-			l.next = free
+		l.nextCallAt = now.Add(l.jitter(l.opts.ReadInterval))
+		if takeover := l.takeoverTime(); l.candidate && takeover.Before(l.nextCallAt) {
+			l.nextCallAt = takeover
 		}
 	}
 }
 
-// retryWait is the longest wait before the call after a failed one.
+// retryWait returns the maximum wait after a failed call.
 func (l *Lease) retryWait() time.Duration {
 	return backoff.Doubled(l.opts.RetryMin, l.opts.RetryMax, l.failures)
 }
 
-// spread gives a wait between half of a time and the whole of it.
-func (l *Lease) spread(d time.Duration) time.Duration {
+// jitter returns a random duration between d/2 and d.
+func (l *Lease) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(l.rand.Int64N(int64(d/2)+1))
 }
 
-// observe takes the object as it stands. An older version than one seen
-// before came late and tells nothing.
+// observe updates the state from an object that was read or written. It ignores
+// an object with the known version, which is unchanged, and one with an older
+// version, which arrived late.
 func (l *Lease) observe(now time.Time, version int64, record Record) {
 	if l.known && version <= l.version {
 		return
@@ -155,10 +158,11 @@
 	l.known = true
 	l.version = version
 	l.record = record
-	l.seen = now
-	at := slices.IndexFunc(l.writes, func(w sent) bool { return w.change == record.Change })
-	if at < 0 || !l.wanted {
-		// Another's, given back, or to be given back.
+	l.versionSeenAt = now
+	at := slices.IndexFunc(l.writes, func(w sentWrite) bool { return w.change == record.Change })
+	if at < 0 || !l.candidate {
+		// The object was written by another process, or this process has
+		// resigned.
 		l.term = 0
 		return
 	}
@@ -172,37 +176,39 @@
 	l.writes = l.writes[at+1:]
 }
 
-// absent notes that there is no object. A holder whose object was deleted has
-// lost the lease when it learns of it; it may not know yet.
-func (l *Lease) absent(now time.Time) {
+// observeAbsent records that the object does not exist. If another process held
+// the lease, it may not know yet that its object was deleted, so its duration
+// must still pass.
+func (l *Lease) observeAbsent(now time.Time) {
 	if l.known && l.version == 0 {
 		return
 	}
 	gone := Record{Term: l.record.Term}
-	if l.record.Holder != "" && !l.ownRecord() {
+	if l.record.Holder != "" && !l.isOwnRecord() {
 		gone.Holder = unreadableHolder
 		gone.DurationNs = l.record.DurationNs
 	}
 	l.known = true
 	l.version = 0
 	l.record = gone
-	l.seen = now
+	l.versionSeenAt = now
 	l.term = 0
 }
 
-// Resign ends the lease at once for this process and makes Tick give it back
-// to the others; Campaign makes it a candidate again.
+// Resign ends the term of this process at once and lets Tick release the lease.
+// Campaign makes the process a candidate again.
 func (l *Lease) Resign() {
-	l.wanted = false
+	l.candidate = false
 	l.term = 0
 }
 
-// Campaign makes the process a candidate for the lease, as it is after New.
-func (l *Lease) Campaign() { l.wanted = true }
+// Campaign makes the process a candidate for the lease. It is one after New.
+func (l *Lease) Campaign() { l.candidate = true }
 
-// StepDown ends the current term at once: somebody has shown a newer one. The
-// process stays a candidate, but it reads the object first.
+// StepDown ends the current term at once, because a newer term is known to
+// exist. The process stays a candidate, but reads the object before its next
+// write.
 func (l *Lease) StepDown() {
 	l.term = 0
-	l.settle = true
+	l.mustRead = true
 }
