--- a/adapter/leader/leader.go
+++ b/adapter/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader keeps a lease by calls to a store, for a duty that one node of
-// the fleet does at a time. decide/lease makes the decisions.
+// Package leader holds a lease for a duty that one node of the fleet performs at
+// a time, by calls to a store. Package decide/lease makes the decisions.
 package leader
 
 import (
@@ -13,37 +13,39 @@
 	"mimosaarch.example/decide/lease"
 )
 
-// Store makes the calls of a lease. Every failure is an Answer too.
+// Store makes the calls of a lease. Failures are returned as an Answer too.
 type Store interface {
 	Call(ctx context.Context, c lease.Command) lease.Answer
 }
 
-// Options set up a Elector.
+// Options configure an Elector.
 type Options struct {
 	Lease lease.Options
 	Store Store
-	// Now is the clock of the lease; it also counts while the VM is frozen.
+	// Now is the clock of the lease. It must also advance while the VM is
+	// suspended.
 	Now func() time.Time
-	// Candidate tells whether this node is to seek the lease, so that not each
-	// node of a large fleet reads it; nil means always. Run calls it; it must
-	// not wait.
+	// Candidate reports whether this node should try to hold the lease, so that
+	// not every node of a large fleet reads it. Nil means always. Run calls it;
+	// it must not block.
 	Candidate func() bool
-	// KeepHeld has a holder that is no longer a candidate keep the lease, instead
-	// of giving it back: a duty that passes on stands still for a second or two.
+	// KeepHeld makes a holder that is no longer a candidate keep the lease
+	// instead of releasing it. A handover interrupts the duty for a second or
+	// two.
 	KeepHeld bool
-	// Log takes a line when the lease is gained or lost.
+	// Log receives a line when the lease is gained or lost.
 	Log zerolog.Logger
 }
 
 const (
-	// tickPart is the part of the lease's duration between two looks at it.
-	tickPart = 40
-	// callPart is the part of the lease's duration that one call may take.
-	callPart = 4
+	// The lease is checked tickDivisor times per duration.
+	tickDivisor = 40
+	// A call times out after the lease's duration divided by callTimeoutDivisor.
+	callTimeoutDivisor = 4
 )
 
-// Elector seeks and keeps the lease. Make it with New, and let Run run. Any
-// goroutine may call the other methods.
+// Elector acquires and renews the lease while Run runs. Create it with New. All
+// methods except Run may be called from any goroutine.
 type Elector struct {
 	opts Options
 
@@ -51,54 +53,57 @@
 	lease *lease.Lease
 }
 
-// New makes a Elector; it calls nothing before Run.
+// New returns an Elector. It makes no calls before Run.
 func New(o Options) *Elector {
 	return &Elector{opts: o, lease: lease.New(o.Lease)}
 }
 
-// Run keeps the lease until ctx ends. The lease lapses by itself afterwards.
-func (k *Elector) Run(ctx context.Context) {
-	duration := k.opts.Lease.Duration
+// Run acquires and renews the lease until ctx ends. Then the lease expires by
+// itself.
+func (e *Elector) Run(ctx context.Context) {
+	duration := e.opts.Lease.Duration
 	held := false
-	every.Do(ctx, duration/tickPart, func() {
-		k.turn(ctx, duration/callPart)
-		held = k.tell(held)
+	every.Do(ctx, duration/tickDivisor, func() {
+		e.poll(ctx, duration/callTimeoutDivisor)
+		held = e.logChange(held)
 	})
 }
 
-// turn makes the call that is due.
-func (k *Elector) turn(ctx context.Context, within time.Duration) {
-	k.mu.Lock()
-	if k.opts.Candidate != nil {
-		keep := k.opts.KeepHeld && k.lease.State(k.opts.Now()).Held
-		k.seek(keep || k.opts.Candidate())
+// poll makes the next call of the lease if one is due.
+func (e *Elector) poll(ctx context.Context, timeout time.Duration) {
+	e.mu.Lock()
+	if e.opts.Candidate != nil {
+		keep := e.opts.KeepHeld && e.lease.State(e.opts.Now()).Held
+		e.setCandidate(keep || e.opts.Candidate())
 	}
-	// The clock is read with the lock held: a write's lease counts from here.
-	command := k.lease.Tick(k.opts.Now())
-	k.mu.Unlock()
+	// The clock is read while the lock is held, because the duration of a
+	// written lease counts from this time.
+	command := e.lease.Tick(e.opts.Now())
+	e.mu.Unlock()
 	if command == nil {
 		return
 	}
-	limit, done := context.WithTimeout(ctx, within)
-	defer done()
-	answer := k.opts.Store.Call(limit, command)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lease.Answered(k.opts.Now(), answer)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	answer := e.opts.Store.Call(callCtx, command)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lease.Answered(e.opts.Now(), answer)
 }
 
-// seek sets whether the lease is wanted, with the lock held.
-func (k *Elector) seek(wanted bool) {
-	if wanted {
-		k.lease.Campaign()
+// setCandidate makes this node a candidate or resigns. The lock must be held.
+func (e *Elector) setCandidate(candidate bool) {
+	if candidate {
+		e.lease.Campaign()
 		return
 	}
-	k.lease.Resign()
+	e.lease.Resign()
 }
 
-// tell logs a change.
-func (k *Elector) tell(before bool) bool {
-	s := k.Status()
+// logChange logs if the lease was gained or lost, and returns whether it is
+// held.
+func (e *Elector) logChange(before bool) bool {
+	s := e.Status()
 	if s.Held == before {
 		return before
 	}
@@ -106,35 +111,36 @@
 	if s.Held {
 		event = "lease_gained"
 	}
-	k.opts.Log.Info().Str("event", event).Int64("fence", s.Fence).Dur("left_ms", s.Left).Send()
+	e.opts.Log.Info().Str("event", event).Int64("fence", s.Fence).Dur("left_ms", s.Left).Send()
 	return s.Held
 }
 
-// Status tells whether this node holds the lease now.
-func (k *Elector) Status() lease.Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lease.State(k.opts.Now())
+// Status returns whether this node holds the lease now.
+func (e *Elector) Status() lease.Status {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.lease.State(e.opts.Now())
 }
 
-// LastTerm tells of the own term after its lease has run out, as long as nobody
-// else is known to have taken it over; see lease.Lease.
-func (k *Elector) LastTerm() lease.Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lease.LastTerm()
+// LastTerm returns the term of this node even if its lease has expired, as long
+// as no other node is known to have taken it over. See lease.Lease.LastTerm for
+// its use.
+func (e *Elector) LastTerm() lease.Status {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.lease.LastTerm()
 }
 
-// StepDown ends the own term, as somebody with a later one was heard of.
-func (k *Elector) StepDown() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lease.StepDown()
+// StepDown ends the term of this node, because a later term is known to exist.
+func (e *Elector) StepDown() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lease.StepDown()
 }
 
-// Resign gives the lease back with the next call.
-func (k *Elector) Resign() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lease.Resign()
+// Resign releases the lease with the next call.
+func (e *Elector) Resign() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lease.Resign()
 }
--- a/adapter/leader/leader_test.go
+++ b/adapter/leader/leader_test.go
@@ -10,14 +10,14 @@
 	"mimosaarch.example/decide/lease"
 )
 
-// duration of the leases under test.
+// duration is the duration of the leases.
 const duration = 4 * time.Second
 
-// object is the lease's object in a store that holds nothing else.
+// object implements Store in memory.
 type object struct {
 	version int64
 	record  lease.Record
-	// down makes calls fail; calls counts all.
+	// down makes calls fail. calls counts all calls.
 	down  atomic.Bool
 	calls atomic.Int64
 }
@@ -38,89 +38,89 @@
 	return lease.Answer{Kind: lease.Found, Version: o.version, Record: o.record}
 }
 
-// keep runs a Elector in a bubble.
-func keep(t *testing.T, test func(k *Elector, o *object, wanted *atomic.Bool)) {
+// withElector runs a test with an Elector in a synctest bubble.
+func withElector(t *testing.T, test func(e *Elector, o *object, candidate *atomic.Bool)) {
 	synctest.Test(t, func(t *testing.T) {
-		o, wanted := &object{}, &atomic.Bool{}
-		wanted.Store(true)
-		k := New(Options{
-			Lease: lease.Options{Holder: "a", Duration: duration}, Store: o, Now: time.Now, Candidate: wanted.Load,
+		o, candidate := &object{}, &atomic.Bool{}
+		candidate.Store(true)
+		e := New(Options{
+			Lease: lease.Options{Holder: "a", Duration: duration}, Store: o, Now: time.Now, Candidate: candidate.Load,
 		})
 		ctx, stop := context.WithCancel(t.Context())
-		go k.Run(ctx)
-		test(k, o, wanted)
+		go e.Run(ctx)
+		test(e, o, candidate)
 		stop()
 		synctest.Wait()
 	})
 }
 
-// after lets time pass.
-func after(d time.Duration) {
+// advance lets time pass.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 func TestLeaseIsTakenAndKept(t *testing.T) {
-	keep(t, func(k *Elector, o *object, _ *atomic.Bool) {
-		after(duration)
-		first := k.Status()
-		after(10 * duration)
-		if now := k.Status(); !first.Held || !now.Held || now.Fence != first.Fence {
-			t.Errorf("held %v as %d, then %v as %d", first.Held, first.Fence, now.Held, now.Fence)
+	withElector(t, func(e *Elector, o *object, _ *atomic.Bool) {
+		advance(duration)
+		first := e.Status()
+		advance(10 * duration)
+		if now := e.Status(); !first.Held || !now.Held || now.Fence != first.Fence {
+			t.Errorf("held %v with fence %d, then %v with fence %d", first.Held, first.Fence, now.Held, now.Fence)
 		}
 	})
 }
 
 func TestLeaseLapsesWithTheStore(t *testing.T) {
-	keep(t, func(k *Elector, o *object, _ *atomic.Bool) {
-		after(duration)
+	withElector(t, func(e *Elector, o *object, _ *atomic.Bool) {
+		advance(duration)
 		o.down.Store(true)
-		after(2 * duration)
-		if k.Status().Held {
+		advance(2 * duration)
+		if e.Status().Held {
 			t.Error("the lease outlived its duration")
 		}
-		if lapsed := k.LastTerm(); !lapsed.Held {
-			t.Error("the lapsed term is not told")
+		if last := e.LastTerm(); !last.Held {
+			t.Error("the expired term is not reported")
 		}
 		o.down.Store(false)
-		after(2 * duration)
-		if !k.Status().Held {
-			t.Error("the lease was not taken again")
+		advance(2 * duration)
+		if !e.Status().Held {
+			t.Error("the lease was not acquired again")
 		}
 	})
 }
 
-func TestNodeThatIsNoCandidateGivesUp(t *testing.T) {
-	keep(t, func(k *Elector, o *object, wanted *atomic.Bool) {
-		after(duration)
-		wanted.Store(false)
-		after(duration)
-		if k.Status().Held {
-			t.Error("held though not wanted")
+func TestNodeThatIsNoCandidateResigns(t *testing.T) {
+	withElector(t, func(e *Elector, o *object, candidate *atomic.Bool) {
+		advance(duration)
+		candidate.Store(false)
+		advance(duration)
+		if e.Status().Held {
+			t.Error("a node that is no candidate holds the lease")
 		}
 		calls := o.calls.Load()
-		after(5 * duration)
+		advance(5 * duration)
 		if now := o.calls.Load(); now != calls {
-			t.Errorf("%d calls for a lease that is not wanted", now-calls)
+			t.Errorf("%d calls by a node that is no candidate", now-calls)
 		}
-		wanted.Store(true)
-		after(2 * duration)
-		if !k.Status().Held {
-			t.Error("not held though wanted again")
+		candidate.Store(true)
+		advance(2 * duration)
+		if !e.Status().Held {
+			t.Error("not held by a node that is a candidate again")
 		}
 	})
 }
 
 func TestSteppingDownEndsTheTerm(t *testing.T) {
-	keep(t, func(k *Elector, o *object, _ *atomic.Bool) {
-		after(duration)
-		old := k.Status().Fence
-		k.StepDown()
-		if k.Status().Held {
+	withElector(t, func(e *Elector, o *object, _ *atomic.Bool) {
+		advance(duration)
+		old := e.Status().Fence
+		e.StepDown()
+		if e.Status().Held {
 			t.Error("held after stepping down")
 		}
-		after(3 * duration)
-		if now := k.Status(); now.Held && now.Fence <= old {
+		advance(3 * duration)
+		if now := e.Status(); now.Held && now.Fence <= old {
 			t.Errorf("fence %d again after %d", now.Fence, old)
 		}
 	})
