--- a/decide/balancer/plan.go
+++ b/decide/balancer/plan.go
@@ -101,15 +101,15 @@
 // most maxLinkTime, in seconds, or over all links if the slower ones are needed.
 func (p *plan) targetFlow(maxLinkTime float64) *topology.Flow {
 	engine := func(i int) float64 { return p.engineWeight[i] }
-	all := topology.PartFlows(p.graph, topology.Parts{
+	all := topology.ScaledFlows(p.graph, topology.Scale{
 		Engine: engine,
 		Link:   func(i, k int) float64 { return p.linkWeight[i][k] },
 	})
 	if math.IsInf(maxLinkTime, 1) {
 		return all
 	}
-	fast := topology.PartFlows(p.graph, topology.Parts{Engine: engine, Link: func(i, k int) float64 {
-		if p.graph.Next(i)[k].StepTime() > maxLinkTime {
+	fast := topology.ScaledFlows(p.graph, topology.Scale{Engine: engine, Link: func(i, k int) float64 {
+		if p.graph.Next(i)[k].StepSeconds() > maxLinkTime {
 			return 0
 		}
 		return p.linkWeight[i][k]
@@ -161,7 +161,7 @@
 func idleTokenTime(g *topology.Graph) float64 {
 	c := shortestPath{
 		engineCost: func(i int) float64 { return 1 / g.Engines()[i].Rate },
-		linkCost:   func(_ int, e topology.Edge) float64 { return e.StepTime() },
+		linkCost:   func(_ int, e topology.Edge) float64 { return e.StepSeconds() },
 	}
 	path := c.find(g)
 	if path == nil {
--- a/decide/balancer/shortest_path.go
+++ b/decide/balancer/shortest_path.go
@@ -51,7 +51,7 @@
 	c.cost[i] = math.Inf(1)
 	c.next[i] = sourceNode
 	rest := 0.0
-	if !g.Ends(i) {
+	if !g.IsTail(i) {
 		rest = c.remainingCost(g, i)
 	}
 	if !math.IsInf(rest, 1) {
