--- a/decide/claim/apply.go
+++ b/decide/claim/apply.go
@@ -73,14 +73,14 @@
 // mayReplace reports whether a claim may replace an existing entry. A claim of
 // an earlier attempt can arrive late through another VM; it must not replace the
 // claim of a later attempt.
-func (o Op) mayReplace(stands *entry) bool {
-	if stands.state != router.ClaimHeld {
+func (o Op) mayReplace(existing *entry) bool {
+	if existing.state != router.ClaimHeld {
 		return false
 	}
-	if stands.isHeldBy(o.request()) {
-		return o.Record.Attempt >= stands.attempt
+	if existing.isHeldBy(o.request()) {
+		return o.Record.Attempt >= existing.attempt
 	}
-	return o.Over != nil && stands.isHeldBy(o.Over.Request) && o.Over.Attempt == stands.attempt
+	return o.Over != nil && existing.isHeldBy(o.Over.Request) && o.Over.Attempt == existing.attempt
 }
 
 // release removes the request's own claim unless it is done. It leaves claims of
--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -162,8 +162,8 @@
 
 func TestFullShardFailsClaims(t *testing.T) {
 	// 270 bytes hold three entries and the strings they share.
-	const most = 270
-	s := newSim(t, 1, Settings{Shards: 1, MaxBytes: most})
+	const maxBytes = 270
+	s := newSim(t, 1, Settings{Shards: 1, MaxBytes: maxBytes})
 	v := s.vms[0]
 	var requests []ids.Request
 	for _, key := range simKeys {
@@ -172,7 +172,7 @@
 	fourth := s.claim(v, "k4", nil)
 	s.finish()
 	s.wantResult(fourth, router.ClaimFailed)
-	if got := len(s.objects[Prefix+"0"].Value); got > most || v.Counts().Full == 0 {
+	if got := len(s.objects[Prefix+"0"].Value); got > maxBytes || v.Counts().Full == 0 {
 		t.Errorf("value of %d bytes, %+v", got, v.Counts())
 	}
 	s.wantResult(requests[0], router.ClaimWon)
--- a/decide/claim/handle_answer.go
+++ b/decide/claim/handle_answer.go
@@ -96,8 +96,8 @@
 		s.current = false
 	}
 	if s.conflicts > 0 {
-		most := conflictBackoff << min(s.conflicts, maxConflictDoublings)
-		s.retryAt = now.Add(time.Duration(s.group.rand.Int64N(int64(most))))
+		maxPause := conflictBackoff << min(s.conflicts, maxConflictDoublings)
+		s.retryAt = now.Add(time.Duration(s.group.rand.Int64N(int64(maxPause))))
 	}
 	s.conflicts++
 	s.advance(now, s.current)
--- a/decide/claim/shard.go
+++ b/decide/claim/shard.go
@@ -31,7 +31,8 @@
 type pending struct {
 	op Op
 	// reported is true once the final result was reported. What remains to be
-	// done runs in the background.
+	// done runs in the background. For a Settle of this VM, which gets no
+	// result, it is true from the start.
 	reported bool
 	// inFlight is true while a write that contains the operation is open.
 	inFlight bool
