--- a/adapter/placer/simulation_test.go
+++ b/adapter/placer/simulation_test.go
@@ -375,7 +375,7 @@
 	}
 }
 
-// Status, Lapsed and StepDown implement Lease: this node may always send orders.
+// Status, LastTerm and StepDown implement Lease: this node may always send orders.
 func (s *simulation) Status() lease.Status {
 	return lease.Status{Held: true, Left: time.Hour, Fence: 9}
 }
