--- a/adapter/orders/controller.go
+++ b/adapter/orders/controller.go
@@ -29,8 +29,8 @@
 	sendSlots chan struct{}
 	calls     sync.WaitGroup
 
-	keeper *leader.Elector
-	lease  leaseTerm
+	elector *leader.Elector
+	lease   leaseTerm
 
 	// The fields below belong to Run's goroutine.
 	planner      *order.Planner
@@ -45,7 +45,7 @@
 // New returns a Controller. It makes no calls before Run.
 func New(opts Options) *Controller {
 	opts = opts.withDefaults()
-	keeper := leader.New(leader.Options{
+	elector := leader.New(leader.Options{
 		Lease:     opts.Lease,
 		Store:     &leaseObject{opts},
 		Now:       time.Now,
@@ -55,8 +55,8 @@
 		opts:         opts,
 		events:       ring.New[func(time.Time)]("order events", opts.RingCapacity),
 		sendSlots:    make(chan struct{}, opts.MaxInFlight),
-		keeper:       keeper,
-		lease:        keeper,
+		elector:      elector,
+		lease:        elector,
 		planner:      order.New(opts.Order),
 		planVersions: make(map[ids.Service]int64),
 	}
@@ -68,7 +68,7 @@
 	ticker := time.NewTicker(c.opts.TickInterval)
 	defer ticker.Stop()
 	defer c.calls.Wait()
-	c.calls.Go(func() { c.keeper.Run(ctx) })
+	c.calls.Go(func() { c.elector.Run(ctx) })
 	for {
 		select {
 		case <-ctx.Done():
--- a/adapter/orders/orders_test.go
+++ b/adapter/orders/orders_test.go
@@ -231,7 +231,7 @@
 	})
 }
 
-// manualLease is a lease that no keeper renews.
+// manualLease is a lease that no elector renews.
 type manualLease struct{ *lease.Lease }
 
 func (b manualLease) Status() lease.Status { return b.State(time.Now()) }
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -353,6 +353,6 @@
 	if !p.opts.ChecksFence {
 		return 0, false
 	}
-	lapsed := p.opts.Lease.LastTerm()
-	return lapsed.Fence, lapsed.Held
+	lastTerm := p.opts.Lease.LastTerm()
+	return lastTerm.Fence, lastTerm.Held
 }
--- a/adapter/placer/simulation_test.go
+++ b/adapter/placer/simulation_test.go
@@ -73,7 +73,7 @@
 	dir            *directory.Directory
 	rev            int64
 	engines        map[ids.Life]*simEngine
-	book           *chain.Picker
+	picker         *chain.Picker
 	conditionTable *condition.Table
 	budget         *retry.Budget
 	// gapSince is when a zone with memory for the model was found to lack layers.
@@ -91,7 +91,7 @@
 	conditions := condition.New()
 	s := &simulation{
 		rand: rand.New(rand.NewPCG(seed, 11)), dir: directory.New(), engines: make(map[ids.Life]*simEngine),
-		book: chain.New(conditions), conditionTable: conditions, gapSince: make(map[ids.Zone]time.Time),
+		picker: chain.New(conditions), conditionTable: conditions, gapSince: make(map[ids.Zone]time.Time),
 		budget: retry.NewBudget(corefleet.RetryPolicy{BudgetRatio: 0.2, BudgetMin: 20}),
 	}
 	for _, zone := range []ids.Zone{"x", "y", "z"} {
@@ -215,7 +215,7 @@
 		s.interrupted++
 		go s.resume(r, time.Now().Add(resumeTimeout))
 	}
-	s.book.Forget(id)
+	s.picker.Forget(id)
 }
 
 // removeStream removes a stream from its engines.
@@ -223,7 +223,7 @@
 	for _, h := range r.chain {
 		delete(s.engines[h.Engine.ID].streams, r)
 	}
-	s.book.RequestEnded(time.Now(), r.chain, s.chainRequest(true))
+	s.picker.RequestEnded(time.Now(), r.chain, s.chainRequest(true))
 }
 
 // chainRequest returns the requirements of a stream.
@@ -235,8 +235,8 @@
 // it.
 func (s *simulation) tryStart(r *stream, begun bool) bool {
 	now := time.Now()
-	c, err := s.book.Pick(now, simModel, s.dir.View(), s.chainRequest(begun))
-	if err != nil || !begun && s.book.FullEngine(now, c) != nil {
+	c, err := s.picker.Pick(now, simModel, s.dir.View(), s.chainRequest(begun))
+	if err != nil || !begun && s.picker.FullEngine(now, c) != nil {
 		return false
 	}
 	for _, h := range c {
@@ -249,7 +249,7 @@
 	for _, h := range c {
 		s.engines[h.Engine.ID].streams[r] = h.Layers
 	}
-	s.book.RequestStarted(now, c, s.chainRequest(begun))
+	s.picker.RequestStarted(now, c, s.chainRequest(begun))
 	go s.finish(r, c)
 	return true
 }
@@ -375,7 +375,7 @@
 	}
 }
 
-// Status, Lapsed and StepDown implement Lease: this node may always send orders.
+// Status, LastTerm and StepDown implement Lease: this node may always send orders.
 func (s *simulation) Status() lease.Status {
 	return lease.Status{Held: true, Left: time.Hour, Fence: 9}
 }
