--- a/adapter/forward/culprits.go
+++ b/adapter/forward/culprits.go
@@ -31,7 +31,7 @@
 type run struct {
 	print     quarantine.Fingerprint
 	service   ids.Service
-	upstreams []ids.Life
+	upstreams []ids.Instance
 	// lostAt is when its connection was lost, zero before.
 	lostAt time.Time
 	// blamed tells that a death was laid to it. One attempt stands for one
@@ -47,8 +47,8 @@
 	mu       sync.Mutex
 	blamers  map[ids.Service]*quarantine.Detector
 	lost     []*run
-	lostAt   map[ids.Life][]*run
-	deadAt   map[ids.Life]time.Time
+	lostAt   map[ids.Instance][]*run
+	deadAt   map[ids.Instance]time.Time
 	verdicts map[quarantine.Fingerprint]held
 }
 
@@ -64,8 +64,8 @@
 	return &culprits{
 		opts:     o,
 		blamers:  make(map[ids.Service]*quarantine.Detector),
-		lostAt:   make(map[ids.Life][]*run),
-		deadAt:   make(map[ids.Life]time.Time),
+		lostAt:   make(map[ids.Instance][]*run),
+		deadAt:   make(map[ids.Instance]time.Time),
 		verdicts: make(map[quarantine.Fingerprint]held),
 	}
 }
@@ -134,7 +134,7 @@
 }
 
 // charge lays a death to the runs that were lost there.
-func (c *culprits) charge(now time.Time, id ids.Life, service ids.Service) {
+func (c *culprits) charge(now time.Time, id ids.Instance, service ids.Service) {
 	var prints []quarantine.Fingerprint
 	for _, r := range c.lostAt[id] {
 		if !r.blamed && r.service == service {
@@ -144,7 +144,7 @@
 	}
 	// Deaths that nothing is blamed for count as well: they speak for a cause
 	// outside.
-	c.blamer(service).RecordDeath(now, id.Upstream, strconv.FormatInt(id.Born, 10), prints)
+	c.blamer(service).RecordDeath(now, id.Upstream, strconv.FormatInt(id.StartedMs, 10), prints)
 }
 
 // served notes that a request was answered whole.
--- a/adapter/forward/culprits_test.go
+++ b/adapter/forward/culprits_test.go
@@ -150,14 +150,14 @@
 func (e *evidence) lose(print string, upstreams ...string) {
 	r := &run{print: quarantine.Fingerprint(print), service: "s"}
 	for _, u := range upstreams {
-		r.upstreams = append(r.upstreams, ids.Life{Upstream: ids.Upstream(u)})
+		r.upstreams = append(r.upstreams, ids.Instance{Upstream: ids.Upstream(u)})
 	}
 	e.runLost(r)
 }
 
 func (e *evidence) die(upstreams ...string) {
 	for _, u := range upstreams {
-		e.died(&directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(u)}, Service: "s"})
+		e.died(&directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(u)}, Service: "s"})
 	}
 }
 
@@ -189,7 +189,7 @@
 	r := newRig(t)
 	e := &evidence{culprits: r.culprits}
 	gone := func(id string, leaving bool) {
-		r.UpstreamRemoved(&directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Leaving: leaving})
+		r.UpstreamRemoved(&directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: "s", Leaving: leaving})
 	}
 	e.lose("a", "u1")
 	e.lose("a", "u2")
@@ -314,15 +314,15 @@
 func TestEnginesThatStayAreNotLost(t *testing.T) {
 	r := newRig(t)
 	engine := func(id string, revision int64) chain.Stage {
-		return chain.Stage{Engine: &directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Revision: revision}}
+		return chain.Stage{Engine: &directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Revision: revision}}
 	}
 	w := &streamWait{s: &stream{x: &exchange{server: r.Server}}}
 	// The entry of the first has changed between the two chains.
 	w.left(chain.Chain{engine("a", 1), engine("b", 1)}, chain.Chain{engine("a", 2), engine("c", 1)})
-	if diff := cmp.Diff([]ids.Life{life("b")}, r.culprits.lost[0].upstreams); diff != "" {
+	if diff := cmp.Diff([]ids.Instance{life("b")}, r.culprits.lost[0].upstreams); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // life is the one life of an upstream whose start is not told.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -55,7 +55,7 @@
 	// sends counts sends that reached an upstream, or may have; ran are the
 	// upstreams of those that are not proved not to have run.
 	sends int
-	ran   map[ids.Life]bool
+	ran   map[ids.Instance]bool
 	// written tells that part of the answer is with the caller; events counts
 	// those of a stream, the first of which came after first.
 	written bool
@@ -198,7 +198,7 @@
 
 // lost notes that the request was running at these upstreams when their
 // connection broke.
-func (x *exchange) lost(upstreams ...ids.Life) {
+func (x *exchange) lost(upstreams ...ids.Instance) {
 	x.server.culprits.runLost(&run{print: x.print, service: x.service, upstreams: upstreams})
 }
 
@@ -354,9 +354,9 @@
 // noteRun notes an upstream on which the request may have run. None is taken
 // back for not answering: it may be cut off from this node alone, or refuse
 // connections since it has too many.
-func (x *exchange) noteRun(id ids.Life) {
+func (x *exchange) noteRun(id ids.Instance) {
 	if x.ran == nil {
-		x.ran = make(map[ids.Life]bool)
+		x.ran = make(map[ids.Instance]bool)
 	}
 	x.ran[id] = true
 }
@@ -364,8 +364,8 @@
 // bound gives the upstreams to which further sends are bound, nil for none: those
 // on which the request ran, with those it may run on next, once they are as many
 // as its route allows.
-func (x *exchange) bound(also ...ids.Life) map[ids.Life]bool {
-	ran := make(map[ids.Life]bool, len(x.ran)+len(also))
+func (x *exchange) bound(also ...ids.Instance) map[ids.Instance]bool {
+	ran := make(map[ids.Instance]bool, len(x.ran)+len(also))
 	maps.Copy(ran, x.ran)
 	for _, id := range also {
 		ran[id] = true
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	f := &fake{listener: l, gone: make(chan struct{}, 16)}
-	f.Upstream = directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: ids.Service(service), Address: l.Addr().String(), Zone: "z", Slots: 4, Revision: 1}
+	f.Upstream = directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: ids.Service(service), Address: l.Addr().String(), Zone: "z", Slots: 4, Revision: 1}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -140,12 +140,12 @@
 // calls are the engines' own calls.
 type calls struct {
 	mu   sync.Mutex
-	dead map[ids.Life]bool
+	dead map[ids.Instance]bool
 	// born are the starts that upstreams report.
 	born map[ids.Upstream]int64
 	// stalled are the stages that first stages name for their requests.
-	stalled  map[ids.Life]map[ids.Request]string
-	refused  map[ids.Life]bool
+	stalled  map[ids.Instance]map[ids.Request]string
+	refused  map[ids.Instance]bool
 	rerouted []string
 	refuse   error
 	onRoute  func()
@@ -264,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{counts: &counts{n: make(map[string]int64)}, calls: &calls{dead: make(map[ids.Life]bool), refused: make(map[ids.Life]bool)}, dir: directory.New(), known: make(chan struct{})}
+	r := &rig{counts: &counts{n: make(map[string]int64)}, calls: &calls{dead: make(map[ids.Instance]bool), refused: make(map[ids.Instance]bool)}, dir: directory.New(), known: make(chan struct{})}
 	r.table.Store(table)
 	for _, f := range fakes {
 		r.dir.Put(f.Upstream)
@@ -278,7 +278,7 @@
 			defer r.mu.Unlock()
 			return r.dir.View()
 		},
-		OnRestart: func(life ids.Life) {
+		OnRestart: func(life ids.Instance) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.dir.Restarted(life)
--- a/adapter/forward/life_test.go
+++ b/adapter/forward/life_test.go
@@ -20,7 +20,7 @@
 		return eventsFrom(conn, req, after(req), 3, true)
 	})
 	second := stageFake(t, "b", 5, 10, whole(2))
-	second.ID.Born = 100
+	second.ID.StartedMs = 100
 	twin := stageFake(t, "c", 5, 10, whole(2))
 	twin.Zone = "far"
 	r := newRig(t, first, second, twin)
@@ -37,7 +37,7 @@
 	if r.calls.rerouted[0] != want {
 		t.Errorf("rerouted %q, want %q", r.calls.rerouted[0], want)
 	}
-	if u := r.opts.View().Of("model")[1]; u.ID.Born != 200 || !u.Layers.Empty() {
+	if u := r.opts.View().Of("model")[1]; u.ID.StartedMs != 200 || !u.Layers.Empty() {
 		t.Errorf("the directory still holds %+v", u)
 	}
 }
@@ -45,14 +45,14 @@
 // What is known of a life ends with it.
 func TestBeliefsOfALifeDoNotCountForTheNext(t *testing.T) {
 	u := stageFake(t, "a", 0, 10, whole(1))
-	u.ID.Born = 100
+	u.ID.StartedMs = 100
 	r := newRig(t, u)
 	p := r.picks
 	old := u.ID
 	p.failed(&u.Upstream, "unreachable")
 	p.full(&u.Upstream)
 	now := p.opts.Now()
-	next := ids.Life{Upstream: old.Upstream, Born: 200}
+	next := ids.Instance{Upstream: old.Upstream, StartedMs: 200}
 	if !p.conditions.Suspected(now, old, "z") || !p.conditions.IsFull(now, old) {
 		t.Fatal("the life that failed is not suspected")
 	}
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -104,7 +104,7 @@
 	OnVerdict func(quarantine.Verdict)
 	// OnRestart is told of a process that says it began later than the life
 	// that the directory knows. Any goroutine calls it.
-	OnRestart func(ids.Life)
+	OnRestart func(ids.Instance)
 	// Seed starts the random draws among equals.
 	Seed uint64
 }
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -130,7 +130,7 @@
 }
 
 // due gives the slow upstreams whose report should be asked for again.
-func (p *picker) due() []ids.Life {
+func (p *picker) due() []ids.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions.ProbesDue(p.opts.Now())
@@ -210,7 +210,7 @@
 
 // replica chooses the upstream of a plain request and counts it there; nil if
 // none may take it.
-func (p *picker) replica(list []*directory.Upstream, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
+func (p *picker) replica(list []*directory.Upstream, avoid map[ids.Instance]bool, draw float64) *directory.Upstream {
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,7 +223,7 @@
 }
 
 // replicaEnded takes a request off its upstream.
-func (p *picker) replicaEnded(id ids.Life, took time.Duration, failed bool) {
+func (p *picker) replicaEnded(id ids.Instance, took time.Duration, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replicas.RequestEnded(p.opts.Now(), id, took, failed)
@@ -311,7 +311,7 @@
 }
 
 // forget drops what is known of an upstream that is gone.
-func (p *picker) forget(id ids.Life) {
+func (p *picker) forget(id ids.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conditions.Forget(id)
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -30,7 +30,7 @@
 
 // plain serves a request whose answer is passed on in one piece.
 func (x *exchange) plain(ctx context.Context) {
-	avoid := make(map[ids.Life]bool)
+	avoid := make(map[ids.Instance]bool)
 	for refusals := 0; ; {
 		u := x.server.picks.replica(x.server.opts.View().Of(x.service), avoid, x.draw())
 		if u == nil {
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -34,7 +34,7 @@
 	picks *picker
 
 	mu     sync.Mutex
-	latest map[ids.Life]*probe
+	latest map[ids.Instance]*probe
 }
 
 // probe is one question to an engine.
@@ -50,7 +50,7 @@
 
 // newProber makes a prober.
 func newProber(o Options, picks *picker) *prober {
-	return &prober{opts: o, picks: picks, latest: make(map[ids.Life]*probe)}
+	return &prober{opts: o, picks: picks, latest: make(map[ids.Instance]*probe)}
 }
 
 // refresh asks slow and silent engines again, so that requests need not be sent
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -211,14 +211,14 @@
 		return
 	}
 	kept := now.Engines()
-	gone := slices.DeleteFunc(old.Engines(), func(id ids.Life) bool { return slices.Contains(kept, id) })
+	gone := slices.DeleteFunc(old.Engines(), func(id ids.Instance) bool { return slices.Contains(kept, id) })
 	if len(gone) > 0 {
 		w.s.x.lost(gone...)
 	}
 }
 
 // avoid leaves out the engine of a chain that has an address.
-func (w *streamWait) avoid(avoid map[ids.Life]bool, c chain.Chain, address string) {
+func (w *streamWait) avoid(avoid map[ids.Instance]bool, c chain.Chain, address string) {
 	for _, h := range c {
 		if h.Engine.Address == address {
 			avoid[h.Engine.ID] = true
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -24,10 +24,10 @@
 	seq   sequence
 	// shunned are engines that broke off though they live; they are taken
 	// again only if no chain is left without them.
-	shunned map[ids.Life]bool
+	shunned map[ids.Instance]bool
 	// resting are engines that had no room for the rest of a stream, until they are
 	// tried again.
-	resting map[ids.Life]time.Time
+	resting map[ids.Instance]time.Time
 	// last is when the latest event came.
 	last time.Time
 	// gap is the mean pause between events.
@@ -39,9 +39,9 @@
 
 // stream serves a request that is answered by events.
 func (x *exchange) stream(ctx context.Context, table *routing.Table) {
-	s := &stream{x: x, gap: x.route.PauseObjective / firstGapParts, shunned: make(map[ids.Life]bool), resting: make(map[ids.Life]time.Time)}
+	s := &stream{x: x, gap: x.route.PauseObjective / firstGapParts, shunned: make(map[ids.Instance]bool), resting: make(map[ids.Instance]time.Time)}
 	_, draw := x.server.draw()
-	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Life]bool), JitterSeed: draw}
+	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Instance]bool), JitterSeed: draw}
 	if service := table.Service(x.service); service != nil {
 		s.model = service.Model
 	}
@@ -210,7 +210,7 @@
 const roomRest = 400 * time.Millisecond
 
 // avoided gives the engines that the request is not to use now.
-func (s *stream) avoided() map[ids.Life]bool {
+func (s *stream) avoided() map[ids.Instance]bool {
 	all := maps.Clone(s.req.Avoid)
 	now := s.x.server.opts.Now()
 	for id, until := range s.resting {
@@ -223,7 +223,7 @@
 
 // refusedBy notes an engine that refused. One that had no room is tried again where
 // part of the answer is with the caller, who else would lose it all.
-func (s *stream) refusedBy(id ids.Life, reason outcome.Reason) {
+func (s *stream) refusedBy(id ids.Instance, reason outcome.Reason) {
 	if s.x.written && reason == outcome.UpstreamBusy {
 		s.resting[id] = s.x.server.opts.Now().Add(roomRest)
 		return
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -372,7 +372,7 @@
 
 func TestSlowEnginesAreAskedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
-	engines := &calls{dead: make(map[ids.Life]bool), refused: make(map[ids.Life]bool)}
+	engines := &calls{dead: make(map[ids.Instance]bool), refused: make(map[ids.Instance]bool)}
 	o := Options{
 		Engines: engines, Log: zerolog.Nop(), Metrics: &counts{n: make(map[string]int64)},
 		Now: func() time.Time { return now },
@@ -380,7 +380,7 @@
 	picks := newPicker(o, newCulprits(o))
 	probe := newProber(o, picks)
 	d := directory.New()
-	for _, id := range []ids.Life{life("slow"), life("usual")} {
+	for _, id := range []ids.Instance{life("slow"), life("usual")} {
 		d.Put(directory.Upstream{ID: id, Service: "model", Address: string(id.Upstream), Revision: 1})
 	}
 	view := d.View()
@@ -413,7 +413,7 @@
 	twin := stageFake(t, "c", 5, 10, whole(2))
 	twin.Zone = "far"
 	r := newRig(t, first, second, twin)
-	r.calls.stalled = map[ids.Life]map[ids.Request]string{life("a"): {"r1": second.Address}}
+	r.calls.stalled = map[ids.Instance]map[ids.Request]string{life("a"): {"r1": second.Address}}
 	r.calls.onRoute = func() { close(released) }
 	c := r.dial(t)
 	c.send("POST", "/stream/x", "r1", "p")
@@ -485,7 +485,7 @@
 	m, view := table.Service("model").Model, r.dir.View()
 	p.paced(&slow.Upstream, 50)
 	now := chain.Chain{{Engine: view.Get(life("a")), Layers: slow.Layers}}
-	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Life]bool{life("a"): true}}
+	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Instance]bool{life("a"): true}}
 	if p.worthLeaving(m, view, req, now, false) {
 		t.Error("a stream that is slow takes one of the last retries")
 	}
--- a/adapter/placer/departures_test.go
+++ b/adapter/placer/departures_test.go
@@ -30,7 +30,7 @@
 func simulateDepartures(t *testing.T, s *simulation, engines, streams int) {
 	t.Helper()
 	o := Options{
-		Engines: s, Lease: s, ChecksFence: true, Restarted: func(ids.Life) {},
+		Engines: s, Lease: s, ChecksFence: true, Restarted: func(ids.Instance) {},
 		SilentFor: func(*directory.Upstream) time.Duration { return 0 },
 	}
 	runPlacerOver(t, simModel, &s.mu, s.dir, o, func(ctx context.Context) {
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -88,7 +88,7 @@
 	SilentFor func(*directory.Upstream) time.Duration
 	// Restarted is called when an engine reports a later start than the directory
 	// knows. Calls may be concurrent.
-	Restarted func(ids.Life)
+	Restarted func(ids.Instance)
 }
 
 // Intervals and timeouts.
@@ -125,10 +125,10 @@
 
 	mu sync.Mutex
 	// pending holds the orders whose effect the directory does not show yet.
-	pending map[ids.Life]pendingOrder
+	pending map[ids.Instance]pendingOrder
 	// knownEngines holds the engines of each service in the last round;
 	// lastAddition is when one was added.
-	knownEngines map[ids.Service]map[ids.Life]bool
+	knownEngines map[ids.Service]map[ids.Instance]bool
 	lastAddition time.Time
 	// gapSince is when a zone was first found to lack layers. Only Run's goroutine
 	// uses it.
@@ -137,7 +137,7 @@
 	// responsive holds the engines that were not silent in the last round. Only
 	// Run's goroutine uses them.
 	lastDeparture map[serviceZone]time.Time
-	responsive    map[ids.Service]map[ids.Life]ids.Zone
+	responsive    map[ids.Service]map[ids.Instance]ids.Zone
 	// emptyPlans holds, for services whose last plan gave no orders, the input of
 	// that plan. Only Run's goroutine uses it.
 	emptyPlans map[ids.Service]planInput
@@ -161,11 +161,11 @@
 func New(o Options) *Placer {
 	return &Placer{
 		opts:          o,
-		pending:       make(map[ids.Life]pendingOrder),
-		knownEngines:  make(map[ids.Service]map[ids.Life]bool),
+		pending:       make(map[ids.Instance]pendingOrder),
+		knownEngines:  make(map[ids.Service]map[ids.Instance]bool),
 		gapSince:      make(map[serviceZone]time.Time),
 		lastDeparture: make(map[serviceZone]time.Time),
-		responsive:    make(map[ids.Service]map[ids.Life]ids.Zone),
+		responsive:    make(map[ids.Service]map[ids.Instance]ids.Zone),
 		emptyPlans:    make(map[ids.Service]planInput),
 	}
 }
@@ -241,7 +241,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wait := initialSettleTime
-	known := make(map[ids.Life]bool, len(engines))
+	known := make(map[ids.Instance]bool, len(engines))
 	for _, u := range engines {
 		known[u.ID] = true
 		if !p.knownEngines[service][u.ID] {
@@ -305,7 +305,7 @@
 }
 
 // setPending records an order as pending.
-func (p *Placer) setPending(id ids.Life, o pendingOrder) {
+func (p *Placer) setPending(id ids.Instance, o pendingOrder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pending[id] = o
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -26,7 +26,7 @@
 	dir       *directory.Directory
 	rev       int64
 	orders    []string
-	busy      map[ids.Life]bool
+	busy      map[ids.Instance]bool
 	result    Result
 	status    lease.Status
 	lapsed    lease.Status
@@ -41,7 +41,7 @@
 
 func newFleet() *fleet {
 	return &fleet{
-		dir: directory.New(), busy: make(map[ids.Life]bool), result: Begun,
+		dir: directory.New(), busy: make(map[ids.Instance]bool), result: Begun,
 		status: lease.Status{Held: true, Left: time.Hour, Fence: 9},
 	}
 }
@@ -55,7 +55,7 @@
 	defer f.mu.Unlock()
 	f.rev++
 	f.dir.Put(directory.Upstream{
-		ID: ids.Life{Upstream: ids.Upstream(id), Born: born}, Service: "s", Address: id, Zone: "z", Card: "card", Layers: layered.Range{From: from, To: to}, Revision: f.rev,
+		ID: ids.Instance{Upstream: ids.Upstream(id), StartedMs: born}, Service: "s", Address: id, Zone: "z", Card: "card", Layers: layered.Range{From: from, To: to}, Revision: f.rev,
 	})
 }
 
@@ -67,7 +67,7 @@
 }
 
 // restarted records the start time that an engine reported.
-func (f *fleet) restarted(life ids.Life) {
+func (f *fleet) restarted(life ids.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.dir.Restarted(life)
@@ -254,7 +254,7 @@
 	input := func(to int, move bool) planInput {
 		return planInput{
 			model: m, move: map[ids.Zone]bool{"z": move},
-			state: []placement.Engine{{ID: ids.Life{Upstream: "e"}, Holds: layered.Range{To: to}}},
+			state: []placement.Engine{{ID: ids.Instance{Upstream: "e"}, Holds: layered.Range{To: to}}},
 		}
 	}
 	p := New(Options{})
--- a/adapter/placer/shortage.go
+++ b/adapter/placer/shortage.go
@@ -114,8 +114,8 @@
 // until then, since some engines never report it.
 func (p *Placer) recordDepartures(now time.Time, service ids.Service, engines []*directory.Upstream) {
 	previous := p.responsive[service]
-	responsive := make(map[ids.Life]ids.Zone, len(engines))
-	listed := make(map[ids.Life]bool, len(engines))
+	responsive := make(map[ids.Instance]ids.Zone, len(engines))
+	listed := make(map[ids.Instance]bool, len(engines))
 	for _, u := range engines {
 		listed[u.ID] = true
 		if p.opts.SilentFor(u) == 0 {
--- a/adapter/placer/shortage_test.go
+++ b/adapter/placer/shortage_test.go
@@ -78,7 +78,7 @@
 	defer f.mu.Unlock()
 	f.rev++
 	f.dir.Put(directory.Upstream{
-		ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Address: id, Zone: ids.Zone(zone), Card: "card",
+		ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: "s", Address: id, Zone: ids.Zone(zone), Card: "card",
 		Layers: layered.Range{From: from, To: to}, Revision: f.rev,
 	})
 }
@@ -88,7 +88,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev++
-	u := *f.dir.View().Get(ids.Life{Upstream: ids.Upstream(id)})
+	u := *f.dir.View().Get(ids.Instance{Upstream: ids.Upstream(id)})
 	u.Leaving, u.Revision = true, f.rev
 	f.dir.Put(u)
 }
--- a/adapter/placer/simulation_test.go
+++ b/adapter/placer/simulation_test.go
@@ -72,7 +72,7 @@
 	rand           *rand.Rand
 	dir            *directory.Directory
 	rev            int64
-	engines        map[ids.Life]*simEngine
+	engines        map[ids.Instance]*simEngine
 	picker         *chain.Picker
 	conditionTable *condition.Table
 	budget         *retry.Budget
@@ -90,7 +90,7 @@
 func newSimulation(seed uint64) *simulation {
 	conditions := condition.New()
 	s := &simulation{
-		rand: rand.New(rand.NewPCG(seed, 11)), dir: directory.New(), engines: make(map[ids.Life]*simEngine),
+		rand: rand.New(rand.NewPCG(seed, 11)), dir: directory.New(), engines: make(map[ids.Instance]*simEngine),
 		picker: chain.New(conditions), conditionTable: conditions, gapSince: make(map[ids.Zone]time.Time),
 		budget: retry.NewBudget(corefleet.RetryPolicy{BudgetRatio: 0.2, BudgetMin: 20}),
 	}
@@ -109,7 +109,7 @@
 func (s *simulation) addEngine(zone ids.Zone, card, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := ids.Life{Upstream: ids.Upstream(name)}
+	id := ids.Instance{Upstream: ids.Upstream(name)}
 	s.engines[id] = &simEngine{
 		up:      directory.Upstream{ID: id, Service: "s", Address: name, Zone: zone, Card: card, Slots: 192},
 		streams: make(map[*stream]layered.Range),
@@ -191,7 +191,7 @@
 
 // leave shuts an engine down as planned. It either announces this in its entry or
 // its entry disappears at once.
-func (s *simulation) leave(id ids.Life, announced bool) {
+func (s *simulation) leave(id ids.Instance, announced bool) {
 	s.mu.Lock()
 	e := s.engines[id]
 	if announced {
--- a/adapter/relay/relay_test.go
+++ b/adapter/relay/relay_test.go
@@ -70,7 +70,7 @@
 			Services: []routing.Service{{Name: "s", Model: &layered.Model{Layers: 8, Cards: map[string]layered.Card{"c": {MemoryMB: 5}}}}},
 			Accounts: []routing.Account{{Name: "a", Keys: []string{"k"}, Priority: &rank}},
 		},
-		list: []directory.Upstream{{ID: ids.Life{Upstream: "u"}, Service: "s", Address: "1.2.3.4:5", Layers: layered.Range{From: 1, To: 3}, Revision: 7, Leaving: true}},
+		list: []directory.Upstream{{ID: ids.Instance{Upstream: "u"}, Service: "s", Address: "1.2.3.4:5", Layers: layered.Range{From: 1, To: 3}, Revision: 7, Leaving: true}},
 	}
 	address := serve(t, s)
 	news, err := Ask(t.Context(), address, Have{ConfigVersion: 11, Revision: 29})
--- a/adapter/upconn/conn.go
+++ b/adapter/upconn/conn.go
@@ -22,7 +22,7 @@
 
 // Target names the upstream that a connection leads to.
 type Target struct {
-	ID      ids.Life
+	ID      ids.Instance
 	Address string
 }
 
--- a/adapter/upconn/pool.go
+++ b/adapter/upconn/pool.go
@@ -156,7 +156,7 @@
 }
 
 // Forget closes the idle connections of an upstream.
-func (p *Pool) Forget(id ids.Life) {
+func (p *Pool) Forget(id ids.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for t, list := range p.idle {
--- a/adapter/upconn/upconn_test.go
+++ b/adapter/upconn/upconn_test.go
@@ -28,7 +28,7 @@
 			answer(conn)
 		}
 	}()
-	return Target{ID: ids.Life{Upstream: "u"}, Address: l.Addr().String()}
+	return Target{ID: ids.Instance{Upstream: "u"}, Address: l.Addr().String()}
 }
 
 // text writes bytes and closes the connection.
@@ -132,7 +132,7 @@
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	_, err = NewPool(time.Now, nil).Get(t.Context(), Target{ID: ids.Life{Upstream: "u"}, Address: address})
+	_, err = NewPool(time.Now, nil).Get(t.Context(), Target{ID: ids.Instance{Upstream: "u"}, Address: address})
 	var dialed *DialError
 	if !errors.As(err, &dialed) || !dialed.Refused {
 		t.Errorf("error %v", err)
@@ -203,4 +203,4 @@
 }
 
 // life is the one life of an upstream whose start is not told.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/core/ids/ids.go
+++ b/core/ids/ids.go
@@ -32,30 +32,33 @@
 // Attempt numbers the sends of one request, from 1. Zero means no attempt.
 type Attempt int
 
-// Life names one process of an upstream, from its start to its end. A process
-// may start again under the same name: it then holds and knows nothing of what
-// was before, so that what is known of one life never counts for another.
-type Life struct {
+// Instance identifies one run of an upstream's process. A process that restarts
+// under the same name has lost its state, so state recorded about one instance
+// is never applied to another.
+type Instance struct {
 	Upstream Upstream `json:"upstream"`
-	// Born is the Unix time of its start in ms, 0 where it is not told: then the
-	// name alone stands for one life.
-	Born int64 `json:"born,omitempty"`
+	// StartedMs is the start time of the process in Unix milliseconds. 0 means
+	// that the upstream doesn't report it; all its runs then count as one
+	// instance.
+	StartedMs int64 `json:"born,omitempty"`
 }
 
-// String gives the name, with the start behind an @ where it is told.
-func (l Life) String() string {
-	if l.Born == 0 {
-		return string(l.Upstream)
+// String returns the upstream's name, followed by "@" and the start time if it
+// is known.
+func (i Instance) String() string {
+	if i.StartedMs == 0 {
+		return string(i.Upstream)
 	}
-	return string(l.Upstream) + "@" + strconv.FormatInt(l.Born, 10)
+	return string(i.Upstream) + "@" + strconv.FormatInt(i.StartedMs, 10)
 }
 
-// Compare orders lives by name, and those of one name by their start.
-func (l Life) Compare(other Life) int {
-	return cmp.Or(cmp.Compare(l.Upstream, other.Upstream), cmp.Compare(l.Born, other.Born))
+// Compare orders instances by the upstream's name, then by start time.
+func (i Instance) Compare(other Instance) int {
+	return cmp.Or(cmp.Compare(i.Upstream, other.Upstream), cmp.Compare(i.StartedMs, other.StartedMs))
 }
 
-// Later reports whether a life of the same name began after another.
-func (l Life) Later(other Life) bool {
-	return l.Upstream == other.Upstream && l.Born > other.Born
+// NewerThan reports whether i is an instance of the same upstream as other and
+// started later.
+func (i Instance) NewerThan(other Instance) bool {
+	return i.Upstream == other.Upstream && i.StartedMs > other.StartedMs
 }
--- a/core/layered/layered.go
+++ b/core/layered/layered.go
@@ -133,11 +133,11 @@
 
 // Life gives the life that a report speaks for: the one known, or a later one if
 // its sender has started again.
-func (r Report) Life(known ids.Life) ids.Life {
-	if known.Born == 0 {
+func (r Report) Life(known ids.Instance) ids.Instance {
+	if known.StartedMs == 0 {
 		return known
 	}
-	return ids.Life{Upstream: known.Upstream, Born: max(known.Born, r.Born)}
+	return ids.Instance{Upstream: known.Upstream, StartedMs: max(known.StartedMs, r.Born)}
 }
 
 // ZoneLinkUtilization gives the part of the way between two zones that so many tokens a
--- a/decide/chain/chain.go
+++ b/decide/chain/chain.go
@@ -31,8 +31,8 @@
 type Chain []Stage
 
 // Engines returns the IDs of the engines in order.
-func (c Chain) Engines() []ids.Life {
-	out := make([]ids.Life, len(c))
+func (c Chain) Engines() []ids.Instance {
+	out := make([]ids.Instance, len(c))
 	for i, stage := range c {
 		out[i] = stage.Engine.ID
 	}
@@ -53,7 +53,7 @@
 }
 
 // Has reports whether an engine runs a stage of the chain.
-func (c Chain) Has(id ids.Life) bool {
+func (c Chain) Has(id ids.Instance) bool {
 	return slices.ContainsFunc(c, func(s Stage) bool { return s.Engine.ID == id })
 }
 
@@ -76,7 +76,7 @@
 type FullError struct {
 	Service ids.Service
 	// Engine is the engine that has refused.
-	Engine ids.Life
+	Engine ids.Instance
 }
 
 // Error implements error.
--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -31,7 +31,7 @@
 // engine returns an engine that holds the layers from up to, not including, to.
 func engine(id, zone, card string, from, to int) directory.Upstream {
 	return directory.Upstream{
-		ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Address: id, Zone: ids.Zone(zone), Card: card,
+		ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: "s", Address: id, Zone: ids.Zone(zone), Card: card,
 		Layers: layered.Range{From: from, To: to}, Revision: 1,
 	}
 }
@@ -124,7 +124,7 @@
 		}
 		again := request
 		again.PinnedFirst = &c[0]
-		again.Avoid = map[ids.Life]bool{c[len(c)-1].Engine.ID: true}
+		again.Avoid = map[ids.Instance]bool{c[len(c)-1].Engine.ID: true}
 		if other, err := p.Pick(start, model(), v, again); err == nil {
 			if err := Check(other, 80); err != nil {
 				t.Fatalf("seed %d, picked again after %s: %v", seed, c, err)
@@ -204,11 +204,11 @@
 func TestFirstStageIsRestrictedToAllowed(t *testing.T) {
 	v := view(engine("a", "z1", "slow", 0, 40), engine("b", "z1", "fast", 0, 40), engine("c", "z1", "fast", 40, 80))
 	restricted := request
-	restricted.AllowedFirst = map[ids.Life]bool{{Upstream: "a"}: true}
+	restricted.AllowedFirst = map[ids.Instance]bool{{Upstream: "a"}: true}
 	if got := mustPick(t, New(condition.New()), v, restricted); got != "a=0-40,c=40-80" {
 		t.Errorf("chain %s", got)
 	}
-	restricted.AllowedFirst = map[ids.Life]bool{{Upstream: "c"}: true}
+	restricted.AllowedFirst = map[ids.Instance]bool{{Upstream: "c"}: true}
 	var noChain *NoChainError
 	if _, err := New(condition.New()).Pick(start, model(), v, restricted); !errors.As(err, &noChain) {
 		t.Errorf("error %v", err)
@@ -266,7 +266,7 @@
 }
 
 // life returns the ID of an upstream that does not report its start time.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // A chain through an engine that has recently refused a request is picked only if
 // there is no other, and FullEngine returns that engine.
--- a/decide/chain/fleet_test.go
+++ b/decide/chain/fleet_test.go
@@ -44,7 +44,7 @@
 	nodes []*simNode
 	// firstStages is the number of requests that each engine runs or queues as their
 	// first stage.
-	firstStages map[ids.Life]int
+	firstStages map[ids.Instance]int
 	events      eventQueue
 	// Numbers of requests that were accepted, that were accepted but had to queue for
 	// a slot, and that were refused.
@@ -106,7 +106,7 @@
 
 // newSimulation returns a simulation of nodes that have just started.
 func newSimulation(seed uint64, nodes int) *simulation {
-	s := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), view: unevenZones(), firstStages: make(map[ids.Life]int)}
+	s := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), view: unevenZones(), firstStages: make(map[ids.Instance]int)}
 	for range nodes {
 		table := condition.New()
 		n := &simNode{picker: New(table), conditions: table}
@@ -146,7 +146,7 @@
 	n.retries.RecordFirst(now)
 	r := request
 	r.Zone, r.JitterSeed = ids.Zone(fmt.Sprintf("z%d", zone+1)), s.rand.Uint64()|1
-	r.Avoid = make(map[ids.Life]bool)
+	r.Avoid = make(map[ids.Instance]bool)
 	for !s.send(now, n, r) {
 		if len(r.Avoid) == 0 || !n.retries.Allow(now, outcome.UpstreamBusy) {
 			s.refused++
--- a/decide/chain/load_report.go
+++ b/decide/chain/load_report.go
@@ -25,7 +25,7 @@
 // LoadReported records the number of requests that an engine reports to run or
 // queue as their first stage. It has no effect for an engine that this node has
 // no state of, such as one that Forget has removed.
-func (p *Picker) LoadReported(now time.Time, id ids.Life, requests int) {
+func (p *Picker) LoadReported(now time.Time, id ids.Instance, requests int) {
 	s := p.engines[id]
 	if s == nil {
 		return // Forget has removed the engine: don't create its state again
@@ -42,7 +42,7 @@
 // stage an engine is. It is based on the engine's report, or estimated from this
 // node's requests if the report is too old. age is the age of the report as a
 // fraction of reportMaxAge, 1 if there is none or it is too old.
-func (p *Picker) firstStageRequests(now time.Time, id ids.Life) (requests, age float64) {
+func (p *Picker) firstStageRequests(now time.Time, id ids.Instance) (requests, age float64) {
 	s := p.engines[id]
 	if s == nil {
 		return 0, 1
--- a/decide/chain/picker.go
+++ b/decide/chain/picker.go
@@ -13,7 +13,7 @@
 // engine and between zones. Make it with New.
 type Picker struct {
 	conditions *condition.Table
-	engines    map[ids.Life]*engineState
+	engines    map[ids.Instance]*engineState
 	// zoneLinks are the links between zones that requests of this node used.
 	zoneLinks map[zonePair]*zoneLink
 	// nodeCount is the number of nodes. This node's own load, multiplied by it,
@@ -78,7 +78,7 @@
 // New returns a Picker that takes the health of engines from conditions, which
 // may be shared with other pickers.
 func New(conditions *condition.Table) *Picker {
-	return &Picker{conditions: conditions, engines: make(map[ids.Life]*engineState), zoneLinks: make(map[zonePair]*zoneLink), nodeCount: 1}
+	return &Picker{conditions: conditions, engines: make(map[ids.Instance]*engineState), zoneLinks: make(map[zonePair]*zoneLink), nodeCount: 1}
 }
 
 // SetNodeCount sets the number of nodes that share the engines, at least 1.
@@ -86,14 +86,14 @@
 
 // Forget drops the state of an engine that is gone, unless requests of this
 // node still run there.
-func (p *Picker) Forget(id ids.Life) {
+func (p *Picker) Forget(id ids.Instance) {
 	if s := p.engines[id]; s != nil && s.current.streams <= 0 {
 		delete(p.engines, id)
 	}
 }
 
 // engineState returns the state of an engine, created if missing.
-func (p *Picker) engineState(id ids.Life) *engineState {
+func (p *Picker) engineState(id ids.Instance) *engineState {
 	s := p.engines[id]
 	if s == nil {
 		s = &engineState{}
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -21,12 +21,12 @@
 	PromptTokens, OutputTokens float64
 	// Avoid holds the engines that must not be used, for instance because the
 	// request has failed there.
-	Avoid map[ids.Life]bool
+	Avoid map[ids.Instance]bool
 	// PinnedFirst, if set, is the first stage of the chain: the request already
 	// runs there, and only the stages after it are chosen.
 	PinnedFirst *Stage
 	// AllowedFirst, if set, holds the engines that may be the first stage.
-	AllowedFirst map[ids.Life]bool
+	AllowedFirst map[ids.Instance]bool
 	// OutputStarted is set when the caller has received part of the output.
 	OutputStarted bool
 	// JitterSeed seeds a random part of the engines' costs, so that requests at
@@ -49,7 +49,7 @@
 
 // jitterFactor returns the random factor of an engine's cost, at least 1 and at most
 // 1 + maxJitterFraction.
-func (r Request) jitterFactor(id ids.Life) float64 {
+func (r Request) jitterFactor(id ids.Instance) float64 {
 	if r.JitterSeed == 0 {
 		return 1
 	}
@@ -57,7 +57,7 @@
 }
 
 // jitter returns a number in [0, 1) that depends on the request and the engine.
-func (r Request) jitter(id ids.Life) float64 {
+func (r Request) jitter(id ids.Instance) float64 {
 	h := r.JitterSeed ^ fnvOffset
 	for i := range len(id.Upstream) {
 		h = (h ^ uint64(id.Upstream[i])) * fnvPrime
@@ -344,7 +344,7 @@
 // slowdownCost returns the factor by which the slowdown of an engine multiplies
 // its cost: the slowdown itself, 1 at the usual speed, and slowEngineFactor times
 // that from condition.SlowPace on.
-func (p *Picker) slowdownCost(now time.Time, id ids.Life) float64 {
+func (p *Picker) slowdownCost(now time.Time, id ids.Instance) float64 {
 	slowdown := p.conditions.Slowdown(now, id)
 	if slowdown < condition.StalledSlowdown {
 		return slowdown
--- a/decide/chain/shortage_test.go
+++ b/decide/chain/shortage_test.go
@@ -83,7 +83,7 @@
 		engine("a1", "z1", "fast", 0, 40), engine("a2", "z1", "fast", 40, 80), engine("a3", "z1", "fast", 0, 80),
 		engine("b", "z2", "fast", 0, 80),
 	)
-	for _, id := range []ids.Life{life("a1"), life("a2")} {
+	for _, id := range []ids.Instance{life("a1"), life("a2")} {
 		conditions.Failed(start, id)
 		conditions.Unreachable(start, id, "z1")
 	}
--- a/decide/condition/condition.go
+++ b/decide/condition/condition.go
@@ -16,19 +16,19 @@
 
 // Table holds the observed state of each upstream and zone. Create it with New.
 type Table struct {
-	upstreams map[ids.Life]*upstreamState
+	upstreams map[ids.Instance]*upstreamState
 	zones     map[ids.Zone]*zoneState
 	// slow holds the upstreams whose reports are refreshed by ProbesDue.
-	slow map[ids.Life]*upstreamState
+	slow map[ids.Instance]*upstreamState
 	// silent holds the upstreams that have not answered since they last failed.
-	silent map[ids.Life]*upstreamState
+	silent map[ids.Instance]*upstreamState
 }
 
 // zoneState tracks whether an availability zone can be reached from this node.
 type zoneState struct {
 	// unreachable holds the upstreams of the zone that could not be reached since
 	// any upstream of the zone last answered.
-	unreachable  map[ids.Life]bool
+	unreachable  map[ids.Instance]bool
 	suspectUntil time.Time
 	// suspicions counts the suspicions of the zone since it last answered.
 	suspicions int
@@ -58,9 +58,9 @@
 // New returns a Table in which every upstream counts as healthy.
 func New() *Table {
 	return &Table{
-		upstreams: make(map[ids.Life]*upstreamState),
-		slow:      make(map[ids.Life]*upstreamState),
-		silent:    make(map[ids.Life]*upstreamState),
+		upstreams: make(map[ids.Instance]*upstreamState),
+		slow:      make(map[ids.Instance]*upstreamState),
+		silent:    make(map[ids.Instance]*upstreamState),
 		zones:     make(map[ids.Zone]*zoneState),
 	}
 }
@@ -95,7 +95,7 @@
 )
 
 // stateOf returns the state of an upstream and creates it if needed.
-func (t *Table) stateOf(id ids.Life) *upstreamState {
+func (t *Table) stateOf(id ids.Instance) *upstreamState {
 	u := t.upstreams[id]
 	if u == nil {
 		u = &upstreamState{slowdown: 1}
@@ -106,7 +106,7 @@
 
 // Failed records that an upstream did not answer a call at now. It returns true
 // if this starts a new suspicion, and false while one is already running.
-func (t *Table) Failed(now time.Time, id ids.Life) bool {
+func (t *Table) Failed(now time.Time, id ids.Instance) bool {
 	u := t.stateOf(id)
 	if t.silent[id] == nil {
 		t.silent[id] = u
@@ -129,10 +129,10 @@
 // Unreachable records that an upstream's VM did not answer a connection attempt,
 // as in a network partition. It returns true if this starts a suspicion of the
 // upstream's zone.
-func (t *Table) Unreachable(now time.Time, id ids.Life, zone ids.Zone) bool {
+func (t *Table) Unreachable(now time.Time, id ids.Instance, zone ids.Zone) bool {
 	z := t.zones[zone]
 	if z == nil {
-		z = &zoneState{unreachable: make(map[ids.Life]bool)}
+		z = &zoneState{unreachable: make(map[ids.Instance]bool)}
 		t.zones[zone] = z
 	}
 	z.unreachable[id] = true
@@ -166,13 +166,13 @@
 }
 
 // RefusedFull records that an upstream refused a request for lack of capacity.
-func (t *Table) RefusedFull(now time.Time, id ids.Life) {
+func (t *Table) RefusedFull(now time.Time, id ids.Instance) {
 	t.stateOf(id).fullUntil = now.Add(fullPeriod)
 }
 
 // IsFull reports whether an upstream counts as full at now, because it recently
 // refused a request for lack of capacity.
-func (t *Table) IsFull(now time.Time, id ids.Life) bool {
+func (t *Table) IsFull(now time.Time, id ids.Instance) bool {
 	u := t.upstreams[id]
 	return u != nil && now.Before(u.fullUntil)
 }
@@ -183,7 +183,7 @@
 // Refused records that an upstream refused a request although it has capacity,
 // for instance because it drains and the directory doesn't show it yet. The
 // upstream gets no work for a period that doubles with each refusal.
-func (t *Table) Refused(now time.Time, id ids.Life) {
+func (t *Table) Refused(now time.Time, id ids.Instance) {
 	u := t.stateOf(id)
 	if now.Sub(u.refusedAt) > refusalWindow {
 		u.refusals = 0
@@ -196,7 +196,7 @@
 // Answered records that an upstream of a zone answered. It clears the state of
 // the zone, and returns true if the upstream had been suspected since its last
 // answer.
-func (t *Table) Answered(id ids.Life, zone ids.Zone) bool {
+func (t *Table) Answered(id ids.Instance, zone ids.Zone) bool {
 	delete(t.zones, zone)
 	delete(t.silent, id)
 	u := t.upstreams[id]
@@ -210,7 +210,7 @@
 
 // SetSlowdown stores the slowdown that an upstream reports: the factor by which
 // it takes longer than normal. Values below 1 count as 1.
-func (t *Table) SetSlowdown(now time.Time, id ids.Life, slowdown float64) {
+func (t *Table) SetSlowdown(now time.Time, id ids.Instance, slowdown float64) {
 	u := t.stateOf(id)
 	u.slowdown = max(slowdown, 1)
 	u.reportedAt, u.polledAt = now, now
@@ -225,7 +225,7 @@
 // its zone is cut off. Callers that can poll its load report should do so before
 // they send it work: otherwise each end of a suspicion loses streams on stages
 // that are still down.
-func (t *Table) Silent(id ids.Life, zone ids.Zone) bool {
+func (t *Table) Silent(id ids.Instance, zone ids.Zone) bool {
 	if t.silent[id] != nil {
 		return true
 	}
@@ -241,7 +241,7 @@
 
 // SilentFor returns the time since an upstream's first failure after its last
 // answer. It returns 0 for an upstream that is not silent or whose zone is cut off.
-func (t *Table) SilentFor(now time.Time, id ids.Life, zone ids.Zone) time.Duration {
+func (t *Table) SilentFor(now time.Time, id ids.Instance, zone ids.Zone) time.Duration {
 	u := t.silent[id]
 	if u == nil || t.zoneCutOff(zone) {
 		return 0
@@ -252,8 +252,8 @@
 // ProbesDue returns the upstreams whose load report should be polled now: slow ones
 // whose report is slowdownRefreshAge old, and silent ones whose suspicion has ended. It
 // counts them as polled, so that the next call doesn't return them again at once.
-func (t *Table) ProbesDue(now time.Time) []ids.Life {
-	var due []ids.Life
+func (t *Table) ProbesDue(now time.Time) []ids.Instance {
+	var due []ids.Instance
 	for id, u := range t.silent {
 		if !now.Before(u.suspectUntil) && now.Sub(u.polledAt) >= minSuspicion {
 			u.polledAt = now
@@ -274,7 +274,7 @@
 
 // Suspected reports whether an upstream should get no work at now, because a
 // suspicion of it or of its zone is running or it recently refused work.
-func (t *Table) Suspected(now time.Time, id ids.Life, zone ids.Zone) bool {
+func (t *Table) Suspected(now time.Time, id ids.Instance, zone ids.Zone) bool {
 	u := t.upstreams[id]
 	if u != nil && (now.Before(u.suspectUntil) || now.Before(u.refusedUntil)) {
 		return true
@@ -285,7 +285,7 @@
 // Slowdown returns the factor by which an upstream takes longer than normal. It
 // is at least 1, and 1 if the last report is older than slowdownTTL or there is
 // none.
-func (t *Table) Slowdown(now time.Time, id ids.Life) float64 {
+func (t *Table) Slowdown(now time.Time, id ids.Instance) float64 {
 	u := t.upstreams[id]
 	if u == nil || now.Sub(u.reportedAt) >= slowdownTTL {
 		return 1
@@ -294,7 +294,7 @@
 }
 
 // Forget drops the state of an upstream that has been removed.
-func (t *Table) Forget(id ids.Life) {
+func (t *Table) Forget(id ids.Instance) {
 	delete(t.upstreams, id)
 	delete(t.slow, id)
 	delete(t.silent, id)
--- a/decide/condition/condition_test.go
+++ b/decide/condition/condition_test.go
@@ -126,7 +126,7 @@
 // work at once.
 func TestConnectivityRestoredClearsSuspicion(t *testing.T) {
 	table := New()
-	for _, id := range []ids.Life{life("a"), life("b")} {
+	for _, id := range []ids.Instance{life("a"), life("b")} {
 		table.Failed(at(0), id)
 		table.Unreachable(at(0), id, "z")
 	}
@@ -144,5 +144,5 @@
 	}
 }
 
-// life returns the ids.Life of an upstream with no start time.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+// life returns the ids.Instance of an upstream with no start time.
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -18,7 +18,7 @@
 // Upstream is one process of a service, from its start to its end. A process
 // that starts again is another Upstream.
 type Upstream struct {
-	ID      ids.Life
+	ID      ids.Instance
 	Service ids.Service
 	// Address is IP and port, never empty. It may go to another upstream once
 	// this one has ended.
@@ -40,7 +40,7 @@
 
 // RestartedError tells that a process is not the one that was meant: it has
 // started again under its name.
-type RestartedError struct{ Known, Now ids.Life }
+type RestartedError struct{ Known, Now ids.Instance }
 
 // Error implements error.
 func (e *RestartedError) Error() string {
@@ -226,9 +226,9 @@
 
 // Restarted tells that a process says of itself that it began later than the
 // life that the directory knows under its name. It holds nothing.
-func (d *Directory) Restarted(life ids.Life) []Change {
+func (d *Directory) Restarted(life ids.Instance) []Change {
 	old := d.byID[life.Upstream]
-	if old == nil || old.ID.Born == 0 || !life.Later(old.ID) {
+	if old == nil || old.ID.StartedMs == 0 || !life.NewerThan(old.ID) {
 		return nil
 	}
 	now := *old
@@ -259,17 +259,17 @@
 	}
 	d.forgetAside(d.aside[id])
 	old := d.byID[id]
-	if old != nil && old.Revision >= u.Revision && !u.ID.Later(old.ID) {
+	if old != nil && old.Revision >= u.Revision && !u.ID.NewerThan(old.ID) {
 		return changes
 	}
-	if old != nil && u.ID.Born == 0 {
-		u.ID.Born = old.ID.Born
+	if old != nil && u.ID.StartedMs == 0 {
+		u.ID.StartedMs = old.ID.StartedMs
 	}
-	if old != nil && old.ID.Later(u.ID) {
+	if old != nil && old.ID.NewerThan(u.ID) {
 		return changes
 	}
 	delete(d.missing, id)
-	restarted := old != nil && u.ID.Later(old.ID) && old.ID.Born != 0
+	restarted := old != nil && u.ID.NewerThan(old.ID) && old.ID.StartedMs != 0
 	if old != nil && (restarted || old.Address != u.Address) {
 		changes = d.drop(changes, old)
 		old = nil
@@ -355,12 +355,12 @@
 // noted is a change of an entry; inForce tells that it was that of an upstream
 // at its address, and not one set aside.
 type noted struct {
-	life    ids.Life
+	life    ids.Instance
 	inForce bool
 }
 
 // note remembers a change.
-func (d *Directory) note(id ids.Life, inForce bool) {
+func (d *Directory) note(id ids.Instance, inForce bool) {
 	if len(d.recent) == maxRecent {
 		d.recent = slices.Clone(d.recent[maxRecent/2:])
 	}
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -16,7 +16,7 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func upstream(id string, revision int64) Upstream {
-	return Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Address: id + ":1", Revision: revision}
+	return Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: "s", Address: id + ":1", Revision: revision}
 }
 
 // names gives the upstreams of the view, with those leaving marked.
@@ -307,7 +307,7 @@
 }
 
 // life is the one life of an upstream whose start is not told.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // An outage that is too short for entries to lapse hides only what is true.
 func TestRemovalAfterAShortOutageIsBelieved(t *testing.T) {
@@ -316,7 +316,7 @@
 		left int
 	}{{lapseAfter - time.Millisecond, 0}, {lapseAfter, 1}} {
 		d := New()
-		d.Put(Upstream{ID: ids.Life{Upstream: "u"}, Address: "a", Revision: 1})
+		d.Put(Upstream{ID: ids.Instance{Upstream: "u"}, Address: "a", Revision: 1})
 		d.RegistryRecovered(at(1000), one.away)
 		d.Remove(at(1100), "u", 2)
 		if left := len(d.View().All()); left != one.left {
--- a/decide/directory/life_test.go
+++ b/decide/directory/life_test.go
@@ -13,7 +13,7 @@
 // born is an upstream whose start is told.
 func born(id string, at, revision int64) Upstream {
 	u := upstream(id, revision)
-	u.ID.Born = at
+	u.ID.StartedMs = at
 	return u
 }
 
@@ -64,7 +64,7 @@
 		t.Error(diff)
 	}
 	again := a
-	again.ID.Born, again.Revision = 300, 5
+	again.ID.StartedMs, again.Revision = 300, 5
 	d.Put(again)
 	if diff := cmp.Diff([]string{"a"}, names(d)); diff != "" {
 		t.Error(diff)
@@ -75,25 +75,25 @@
 	d := New()
 	d.Put(holding(born("a", 100, 1), 9))
 	mark := d.Mark()
-	if changes := d.Restarted(ids.Life{Upstream: "a", Born: 100}); len(changes) > 0 {
+	if changes := d.Restarted(ids.Instance{Upstream: "a", StartedMs: 100}); len(changes) > 0 {
 		t.Errorf("the same life: %v", kinds(changes))
 	}
-	if changes := d.Restarted(ids.Life{Upstream: "b", Born: 300}); len(changes) > 0 {
+	if changes := d.Restarted(ids.Instance{Upstream: "b", StartedMs: 300}); len(changes) > 0 {
 		t.Errorf("an unknown name: %v", kinds(changes))
 	}
-	changes := d.Restarted(ids.Life{Upstream: "a", Born: 300})
+	changes := d.Restarted(ids.Instance{Upstream: "a", StartedMs: 300})
 	if diff := cmp.Diff([]string{"gone a", "seen a"}, kinds(changes)); diff != "" {
 		t.Error(diff)
 	}
-	if u := d.View().Of("s")[0]; !u.Layers.Empty() || u.ID.Born != 300 {
+	if u := d.View().Of("s")[0]; !u.Layers.Empty() || u.ID.StartedMs != 300 {
 		t.Errorf("%+v", u)
 	}
-	if changed, _, ok := d.View().Since(mark); !ok || len(changed) != 1 || changed[0].ID.Born != 300 {
+	if changed, _, ok := d.View().Since(mark); !ok || len(changed) != 1 || changed[0].ID.StartedMs != 300 {
 		t.Errorf("peers are told %+v", changed)
 	}
 	// The entry of the life before, under way when the process ended.
 	d.Put(holding(born("a", 100, 2), 9))
-	if u := d.View().Of("s")[0]; u.ID.Born != 300 {
+	if u := d.View().Of("s")[0]; u.ID.StartedMs != 300 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	d.Put(born("b", 100, 3))
 	d.Put(upstream("b", 4))
-	if u := d.View().Get(ids.Life{Upstream: "b", Born: 100}); u == nil || u.Revision != 4 {
+	if u := d.View().Get(ids.Instance{Upstream: "b", StartedMs: 100}); u == nil || u.Revision != 4 {
 		t.Errorf("an entry without a start is of the life known: %+v", u)
 	}
 }
--- a/decide/directory/view.go
+++ b/decide/directory/view.go
@@ -31,7 +31,7 @@
 }
 
 // Get gives an upstream; nil if it is not there, or another life of it is.
-func (v *View) Get(id ids.Life) *Upstream {
+func (v *View) Get(id ids.Instance) *Upstream {
 	if v == nil {
 		return nil
 	}
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -24,7 +24,7 @@
 
 // Engine is the planner's view of an engine.
 type Engine struct {
-	ID   ids.Life
+	ID   ids.Instance
 	Zone ids.Zone
 	Card string
 	// Slots is the number of requests it runs concurrently; 0 if unknown.
@@ -56,7 +56,7 @@
 
 // Order tells an engine which layers to hold.
 type Order struct {
-	Engine ids.Life
+	Engine ids.Instance
 	Layers layered.Range
 }
 
@@ -154,7 +154,7 @@
 // orders that tile the model; the result is +Inf if they do not reach the last
 // layer.
 func firstChainMs(m *layered.Model, engines []Engine, orders []Order) float64 {
-	cards := make(map[ids.Life]layered.Card, len(engines))
+	cards := make(map[ids.Instance]layered.Card, len(engines))
 	for _, e := range engines {
 		cards[e.ID] = m.Cards[e.Card]
 	}
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -34,7 +34,7 @@
 		n    int
 	}{{"large", large}, {"medium", medium}, {"small", small}} {
 		for i := range k.n {
-			out = append(out, Engine{ID: ids.Life{Upstream: ids.Upstream(fmt.Sprintf("%s-%s-%d", name, k.card, i))}, Zone: ids.Zone(name), Card: k.card})
+			out = append(out, Engine{ID: ids.Instance{Upstream: ids.Upstream(fmt.Sprintf("%s-%s-%d", name, k.card, i))}, Zone: ids.Zone(name), Card: k.card})
 		}
 	}
 	return out
@@ -90,7 +90,7 @@
 		o := Options{Reassign: spare, Move: move}
 		orders := Plan(m, engines, o)
 		checkServed(t, m, engines, orders)
-		seen := make(map[ids.Life]bool)
+		seen := make(map[ids.Instance]bool)
 		for _, o := range orders {
 			e := find(engines, o.Engine)
 			switch {
@@ -114,7 +114,7 @@
 	}
 }
 
-func find(engines []Engine, id ids.Life) Engine {
+func find(engines []Engine, id ids.Instance) Engine {
 	for _, e := range engines {
 		if e.ID == id {
 			return e
@@ -143,9 +143,9 @@
 func TestNeighboursExtendOverSmallGap(t *testing.T) {
 	m := model()
 	engines := []Engine{
-		{ID: ids.Life{Upstream: "l"}, Zone: "a", Card: "large", Holds: layered.Range{From: 0, To: 24}},
-		{ID: ids.Life{Upstream: "m"}, Zone: "a", Card: "large", Holds: layered.Range{From: 28, To: 52}},
-		{ID: ids.Life{Upstream: "n"}, Zone: "a", Card: "large", Holds: layered.Range{From: 52, To: 80}},
+		{ID: ids.Instance{Upstream: "l"}, Zone: "a", Card: "large", Holds: layered.Range{From: 0, To: 24}},
+		{ID: ids.Instance{Upstream: "m"}, Zone: "a", Card: "large", Holds: layered.Range{From: 28, To: 52}},
+		{ID: ids.Instance{Upstream: "n"}, Zone: "a", Card: "large", Holds: layered.Range{From: 52, To: 80}},
 	}
 	want := []Order{{Engine: life("l"), Layers: layered.Range{From: 0, To: 28}}}
 	if diff := cmp.Diff(want, Plan(m, engines, Options{})); diff != "" {
@@ -157,7 +157,7 @@
 	m := model()
 	var engines []Engine
 	for i, r := range []layered.Range{{From: 0, To: 12}, {From: 0, To: 12}, {From: 24, To: 36}, {From: 36, To: 80}} {
-		engines = append(engines, Engine{ID: ids.Life{Upstream: ids.Upstream(fmt.Sprint(i))}, Zone: "a", Card: "small", Holds: r})
+		engines = append(engines, Engine{ID: ids.Instance{Upstream: ids.Upstream(fmt.Sprint(i))}, Zone: "a", Card: "small", Holds: r})
 	}
 	if orders := Plan(m, engines, Options{}); len(orders) > 0 {
 		t.Errorf("orders in a zone that allows none: %v", orders)
@@ -169,7 +169,7 @@
 }
 
 func TestUnknownCardsGetNothing(t *testing.T) {
-	engines := []Engine{{ID: ids.Life{Upstream: "x"}, Zone: "a", Card: "unheard"}}
+	engines := []Engine{{ID: ids.Instance{Upstream: "x"}, Zone: "a", Card: "unheard"}}
 	if orders := Plan(model(), engines, Options{}); len(orders) > 0 {
 		t.Errorf("orders %v", orders)
 	}
@@ -187,7 +187,7 @@
 		}
 		engines = engines[:size]
 		for i := range engines {
-			engines[i].ID = ids.Life{Upstream: ids.Upstream(fmt.Sprintf("%05d", i))}
+			engines[i].ID = ids.Instance{Upstream: ids.Upstream(fmt.Sprintf("%05d", i))}
 		}
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
@@ -209,4 +209,4 @@
 }
 
 // life returns the life of an upstream whose start time is unknown.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/decide/placement/relocate.go
+++ b/decide/placement/relocate.go
@@ -49,10 +49,10 @@
 // relocatable returns the engines that may move to a gap, those with the fewest
 // layers first. First-stage engines are excluded, because a stream cannot change
 // its first stage.
-func relocatable(ordered []Engine) []ids.Life {
+func relocatable(ordered []Engine) []ids.Instance {
 	free := slices.DeleteFunc(slices.Clone(ordered), func(e Engine) bool { return e.Fixed || e.Holds.From == 0 })
 	slices.SortStableFunc(free, func(a, b Engine) int { return cmp.Compare(a.Holds.Len(), b.Holds.Len()) })
-	var some []ids.Life
+	var some []ids.Instance
 	for _, e := range free[:min(len(free), maxMoveCandidates)] {
 		some = append(some, e.ID)
 	}
@@ -61,7 +61,7 @@
 
 // withRelocated returns the ordered engines with one of them moved to the position
 // of the gap.
-func withRelocated(ordered []Engine, id ids.Life, gap layered.Range) []Engine {
+func withRelocated(ordered []Engine, id ids.Instance, gap layered.Range) []Engine {
 	from := slices.IndexFunc(ordered, func(e Engine) bool { return e.ID == id })
 	moved := slices.Delete(slices.Clone(ordered), from, from+1)
 	to := slices.IndexFunc(moved, func(e Engine) bool { return e.heldAfterOrder().From+e.heldAfterOrder().To > gap.From+gap.To })
--- a/decide/placement/relocate_test.go
+++ b/decide/placement/relocate_test.go
@@ -21,7 +21,7 @@
 		hold("e", "small", 30, 38), hold("f", "small", 38, 46), hold("g", "small", 46, 54), hold("h", "small", 54, 62),
 		hold("i", "small", 62, 70),
 	}
-	emptied := make(map[ids.Life]bool)
+	emptied := make(map[ids.Instance]bool)
 	rounds := 0
 	for ; !CompleteZones(m, engines)["a"] && rounds < 20; rounds++ {
 		orders := Plan(m, engines, allowMoves("a"))
--- a/decide/placement/tiling_test.go
+++ b/decide/placement/tiling_test.go
@@ -124,7 +124,7 @@
 		}
 		tiled++
 		orders := repair(m, engines)
-		seen := make(map[ids.Life]bool)
+		seen := make(map[ids.Instance]bool)
 		for _, o := range orders {
 			e := find(engines, o.Engine)
 			if e.Fixed || seen[o.Engine] || !m.Fits(m.Cards[e.Card], o.Layers.Len()) || o.Layers.From < 0 || o.Layers.To > m.Layers {
--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -35,7 +35,7 @@
 // New.
 type Picker struct {
 	conditions *condition.Table
-	upstreams  map[ids.Life]*state
+	upstreams  map[ids.Instance]*state
 	fleet      float64
 }
 
@@ -48,14 +48,14 @@
 
 // New makes a Book that shares beliefs with others.
 func New(conditions *condition.Table) *Picker {
-	return &Picker{conditions: conditions, upstreams: make(map[ids.Life]*state), fleet: 1}
+	return &Picker{conditions: conditions, upstreams: make(map[ids.Instance]*state), fleet: 1}
 }
 
 // SetNodeCount tells how many nodes share the upstreams.
 func (b *Picker) SetNodeCount(nodes int) { b.fleet = float64(max(nodes, 1)) }
 
 // of gives the state of an upstream.
-func (b *Picker) of(id ids.Life) *state {
+func (b *Picker) of(id ids.Instance) *state {
 	s := b.upstreams[id]
 	if s == nil {
 		s = &state{meanMs: usualMs}
@@ -65,11 +65,11 @@
 }
 
 // RequestStarted counts a request at an upstream.
-func (b *Picker) RequestStarted(id ids.Life) { b.of(id).active++ }
+func (b *Picker) RequestStarted(id ids.Instance) { b.of(id).active++ }
 
 // RequestEnded takes a request off an upstream and notes how long its answer took.
 // Those that say nothing of the upstream have no time.
-func (b *Picker) RequestEnded(now time.Time, id ids.Life, took time.Duration, failed bool) {
+func (b *Picker) RequestEnded(now time.Time, id ids.Instance, took time.Duration, failed bool) {
 	s := b.of(id)
 	s.active--
 	if took <= 0 && !failed {
@@ -87,7 +87,7 @@
 }
 
 // Forget drops what is known of an upstream that is gone.
-func (b *Picker) Forget(id ids.Life) {
+func (b *Picker) Forget(id ids.Instance) {
 	if s := b.upstreams[id]; s != nil && s.active <= 0 {
 		delete(b.upstreams, id)
 	}
@@ -96,7 +96,7 @@
 // Pick gives the upstream for a request, nil if none may take it. Upstreams
 // in avoid are left out; suspected ones are taken only if no other is left.
 // draw is uniform over 0 to 1 and decides among equals.
-func (b *Picker) Pick(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
+func (b *Picker) Pick(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Instance]bool, draw float64) *directory.Upstream {
 	var best *directory.Upstream
 	bestCost := math.Inf(1)
 	for i, u := range list {
--- a/decide/replica/replica_test.go
+++ b/decide/replica/replica_test.go
@@ -13,9 +13,9 @@
 
 func three() []*directory.Upstream {
 	return []*directory.Upstream{
-		{ID: ids.Life{Upstream: "a"}, Zone: "1", Slots: 6},
-		{ID: ids.Life{Upstream: "b"}, Zone: "2", Slots: 6},
-		{ID: ids.Life{Upstream: "c"}, Zone: "3", Slots: 6},
+		{ID: ids.Instance{Upstream: "a"}, Zone: "1", Slots: 6},
+		{ID: ids.Instance{Upstream: "b"}, Zone: "2", Slots: 6},
+		{ID: ids.Instance{Upstream: "c"}, Zone: "3", Slots: 6},
 	}
 }
 
@@ -36,10 +36,10 @@
 	b := New(condition.New())
 	list := three()
 	list[1].Leaving = true
-	if u := b.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
+	if u := b.Pick(start, list, "2", map[ids.Instance]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
 		t.Errorf("chosen %s", u.ID)
 	}
-	if u := b.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
+	if u := b.Pick(start, list, "2", map[ids.Instance]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
 		t.Errorf("chosen %s, though none is left", u.ID)
 	}
 }
@@ -51,7 +51,7 @@
 	if u := b.Pick(start, three(), "2", nil, 0); u.ID == life("b") {
 		t.Error("a suspected one is chosen before others")
 	}
-	if u := b.Pick(start, three(), "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
+	if u := b.Pick(start, three(), "2", map[ids.Instance]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
 		t.Error("a suspected one is not chosen as the last")
 	}
 }
@@ -71,4 +71,4 @@
 }
 
 // life is the one life of an upstream whose start is not told.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/node/entry/growth_test.go
+++ b/node/entry/growth_test.go
@@ -22,7 +22,7 @@
 func fleetOf(n int) []directory.Upstream {
 	var out []directory.Upstream
 	for i := range n {
-		out = append(out, directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(fmt.Sprintf("u-%04d", i))}, Service: "s", Address: fmt.Sprint("at ", i), Revision: int64(i + 1)})
+		out = append(out, directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(fmt.Sprintf("u-%04d", i))}, Service: "s", Address: fmt.Sprint("at ", i), Revision: int64(i + 1)})
 	}
 	return out
 }
@@ -119,7 +119,7 @@
 	if left := len(to.view.Load().All()); left != 3 {
 		t.Errorf("%d of 3 upstreams are left as the first peer is heard", left)
 	}
-	back := directory.Upstream{ID: ids.Life{Upstream: "u-0001"}, Service: "s", Address: "at 1", Revision: 10}
+	back := directory.Upstream{ID: ids.Instance{Upstream: "u-0001"}, Service: "s", Address: "at 1", Revision: 10}
 	from.Changed(listwatch.Changes[directory.Upstream]{Events: []listwatch.Event[directory.Upstream]{{Put: &back}}, Revision: 10})
 	take(to, from)
 	to.change(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
@@ -161,14 +161,14 @@
 }
 
 // life is the one life of an upstream whose start is not told.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // A late word can be followed from the store to the node by the lines of those that it
 // went through.
 func TestChangeTellsWhoseNewsItIs(t *testing.T) {
 	var log bytes.Buffer
 	to := newUpstreams("to", zerolog.New(&log), newNotice())
-	news := relay.News{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Life{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
+	news := relay.News{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Instance{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
 	to.merge("vm-2", news, boottime.Now().Add(-time.Second))
 	var line struct {
 		Event, From, Peer string
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -329,7 +329,7 @@
 }
 
 // restarted takes what a process says of its own start.
-func (u *upstreams) restarted(life ids.Life) {
+func (u *upstreams) restarted(life ids.Instance) {
 	u.change(origin{from: "report"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.Restarted(life) })
 }
 
