--- a/adapter/forward/attempt.go
+++ b/adapter/forward/attempt.go
@@ -24,7 +24,7 @@
 	u      *directory.Upstream
 	conn   *upconn.Conn
 	stop   func() bool
-	answer *upconn.Answer
+	answer *upconn.Response
 	// wrote gets what came of writing a long body; nil if the body was written
 	// with the head.
 	wrote chan error
@@ -58,7 +58,7 @@
 }
 
 // begin connects and sends the request; head is its whole head.
-func (x *exchange) begin(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.Watch) (*attempt, *failure) {
+func (x *exchange) begin(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.WaitFunc) (*attempt, *failure) {
 	a := &attempt{x: x, u: u}
 	conn, err := x.server.pool.Get(ctx, target(u))
 	if err != nil {
@@ -100,7 +100,7 @@
 // others, which come late, are skipped.
 func (a *attempt) head() *failure {
 	for range maxForeign {
-		answer, err := a.conn.ReadAnswer(string(a.x.req.Header.Method()))
+		answer, err := a.conn.ReadResponse(string(a.x.req.Header.Method()))
 		if err != nil {
 			return a.lost(err)
 		}
@@ -156,7 +156,7 @@
 func (a *attempt) lost(err error) *failure {
 	a.abandon()
 	f := &failure{phase: outcome.MaybeSent, reason: outcome.UpstreamLost, cause: err}
-	var silent *upconn.SilentError
+	var silent *upconn.ReadTimeoutError
 	var framing *upconn.FramingError
 	switch {
 	case errors.As(err, &silent):
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -119,7 +119,7 @@
 }
 
 // sendPlain sends the request to one upstream and reads the whole answer.
-func (x *exchange) sendPlain(ctx context.Context, u *directory.Upstream, first bool) (*upconn.Answer, []byte, *failure) {
+func (x *exchange) sendPlain(ctx context.Context, u *directory.Upstream, first bool) (*upconn.Response, []byte, *failure) {
 	start := x.server.opts.Now()
 	x.log("sent").Str("upstream", u.ID.String()).Str("address", u.Address).Str("route", x.route.Name).
 		Int64("directory", x.server.opts.View().Revision).Send()
@@ -146,7 +146,7 @@
 
 // patience gives the wait for an answer. An idempotent request does not wait
 // long for its first upstream.
-func (x *exchange) patience(first bool) upconn.Watch {
+func (x *exchange) patience(first bool) upconn.WaitFunc {
 	// The request's own end comes first, with the answer for it.
 	wait := x.limit.Sub(x.server.opts.Now()) + time.Second
 	if first && x.route.Kind == routing.Idempotent && x.route.Attempts() > 1 {
@@ -155,14 +155,14 @@
 	}
 	return func(waited time.Duration) (time.Duration, error) {
 		if waited >= wait {
-			return 0, &upconn.SilentError{For: waited}
+			return 0, &upconn.ReadTimeoutError{Waited: waited}
 		}
 		return wait - waited, nil
 	}
 }
 
 // exchangePlain does one send and reads the whole answer.
-func (x *exchange) exchangePlain(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.Watch) (*upconn.Answer, []byte, *failure) {
+func (x *exchange) exchangePlain(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.WaitFunc) (*upconn.Response, []byte, *failure) {
 	a, failed := x.begin(ctx, u, head, watch)
 	if failed != nil {
 		return nil, nil, failed
@@ -183,7 +183,7 @@
 }
 
 // answerPlain passes an upstream's answer on.
-func (x *exchange) answerPlain(u *directory.Upstream, answer *upconn.Answer, body []byte) {
+func (x *exchange) answerPlain(u *directory.Upstream, answer *upconn.Response, body []byte) {
 	c := x.client
 	c.copyHead(&answer.Head)
 	c.addHeader("Content-Length", strconv.Itoa(len(body)))
--- a/adapter/forward/server.go
+++ b/adapter/forward/server.go
@@ -133,7 +133,7 @@
 
 // UpstreamRemoved tells that an upstream has left the directory.
 func (s *Server) UpstreamRemoved(u *directory.Upstream) {
-	s.pool.Forget(u.ID)
+	s.pool.CloseIdle(u.ID)
 	s.picks.forget(u.ID)
 	if !u.Leaving {
 		s.culprits.died(u)
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -112,7 +112,7 @@
 	return max(usual, time.Duration(float64(w.s.gap)*slowFactor))
 }
 
-// wait is the upconn.Watch of a stream: once the usual wait is over, the
+// wait is the upconn.WaitFunc of a stream: once the usual wait is over, the
 // engines of the chain are asked. If one is dead, or much slower than another
 // that holds its layers, the request is led around it, or else the attempt
 // ends, if the request may go on elsewhere.
@@ -129,7 +129,7 @@
 		return patience, nil
 	}
 	if len(dead) > 0 && x.quarantined() {
-		return 0, &upconn.SilentError{For: waited}
+		return 0, &upconn.ReadTimeoutError{Waited: waited}
 	}
 	bad := slices.Concat(dead, slow)
 	if w.reroute(bad, len(dead) > 0) {
@@ -141,7 +141,7 @@
 	for _, u := range bad {
 		w.s.req.Avoid[u.ID] = true
 	}
-	return 0, &upconn.SilentError{For: waited}
+	return 0, &upconn.ReadTimeoutError{Waited: waited}
 }
 
 // answered tells what stages said that were asked.
--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -223,7 +223,7 @@
 func call(ctx context.Context, peer string, within time.Duration, method string, params, result any) error {
 	limit, done := context.WithTimeout(ctx, within)
 	defer done()
-	dialer := net.Dialer{Timeout: dialTimeout, Control: upconn.GuardSilence}
+	dialer := net.Dialer{Timeout: dialTimeout, Control: upconn.SetUserTimeout}
 	conn, err := dialer.DialContext(limit, "tcp", peer)
 	if err != nil {
 		return err
--- a/adapter/upconn/answer.go
+++ b/adapter/upconn/answer.go
@@ -29,14 +29,14 @@
 // Unwrap gives the cause.
 func (e *FramingError) Unwrap() error { return e.Cause }
 
-// BodyError tells that an answer is larger than what is held.
-type BodyError struct{ Limit int }
+// BodyTooLargeError tells that an answer is larger than what is held.
+type BodyTooLargeError struct{ Limit int }
 
 // Error implements error.
-func (e *BodyError) Error() string { return fmt.Sprintf("answer of more than %d bytes", e.Limit) }
+func (e *BodyTooLargeError) Error() string { return fmt.Sprintf("answer of more than %d bytes", e.Limit) }
 
-// Answer is an answer whose head was read.
-type Answer struct {
+// Response is an answer whose head was read.
+type Response struct {
 	Head fasthttp.ResponseHeader
 	conn *Conn
 	body io.Reader
@@ -53,10 +53,10 @@
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// ReadAnswer reads the head of the next answer. Those to the method HEAD have
+// ReadResponse reads the head of the next answer. Those to the method HEAD have
 // no body.
-func (c *Conn) ReadAnswer(method string) (*Answer, error) {
-	a := &Answer{conn: c}
+func (c *Conn) ReadResponse(method string) (*Response, error) {
+	a := &Response{conn: c}
 	a.Head.SetNoDefaultContentType(true)
 	for {
 		if err := a.Head.Read(c.r); err != nil {
@@ -81,7 +81,7 @@
 }
 
 // Read gives the body, ended by io.EOF only if it is whole.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
 		if short := a.finish(); short != nil {
@@ -93,7 +93,7 @@
 }
 
 // finish checks that a body which ended is whole.
-func (a *Answer) finish() error {
+func (a *Response) finish() error {
 	if a.ended || a.unframed || a.bodiless {
 		return nil
 	}
@@ -107,7 +107,7 @@
 }
 
 // trailers takes the lines after the last chunk.
-func (a *Answer) trailers() error {
+func (a *Response) trailers() error {
 	for {
 		line, err := a.conn.r.ReadString('\n')
 		if err != nil {
@@ -120,20 +120,20 @@
 }
 
 // Body reads the whole body.
-func (a *Answer) Body() ([]byte, error) {
+func (a *Response) Body() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, maxBody+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > maxBody {
-		return nil, &BodyError{Limit: maxBody}
+		return nil, &BodyTooLargeError{Limit: maxBody}
 	}
 	return body, nil
 }
 
 // Reusable reports whether the connection may carry another exchange, and for
 // how long the upstream said to keep it, 0 where it said nothing.
-func (a *Answer) Reusable() (bool, time.Duration) {
+func (a *Response) Reusable() (bool, time.Duration) {
 	if !a.ended || a.unframed || a.Head.ConnectionClose() || a.conn.r.Buffered() > 0 {
 		return false, 0
 	}
--- a/adapter/upconn/conn.go
+++ b/adapter/upconn/conn.go
@@ -42,16 +42,16 @@
 // Unwrap gives the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// SilentError tells that nothing came for longer than the watch allows.
-type SilentError struct{ For time.Duration }
+// ReadTimeoutError tells that nothing came for longer than the watch allows.
+type ReadTimeoutError struct{ Waited time.Duration }
 
 // Error implements error.
-func (e *SilentError) Error() string { return fmt.Sprintf("nothing came for %v", e.For) }
+func (e *ReadTimeoutError) Error() string { return fmt.Sprintf("nothing came for %v", e.Waited) }
 
-// Watch bounds a wait for bytes. It is asked each time that nothing came for
+// WaitFunc bounds a wait for bytes. It is asked each time that nothing came for
 // the duration it gave before; waited is the whole time so far. It gives how
 // long to wait on, or an error that ends the wait.
-type Watch func(waited time.Duration) (time.Duration, error)
+type WaitFunc func(waited time.Duration) (time.Duration, error)
 
 // Conn is one connection. One goroutine uses it at a time; Abort may be called
 // by any.
@@ -64,7 +64,7 @@
 	usedAt  time.Time
 	idleFor time.Duration
 	reused  bool
-	watch   Watch
+	watch   WaitFunc
 	// failed is why the last read failed.
 	failed error
 }
@@ -78,14 +78,14 @@
 // Reader gives what comes from the upstream.
 func (c *Conn) Reader() *bufio.Reader { return c.r }
 
-// Guard sets the watch for the reads that follow.
-func (c *Conn) Guard(w Watch) { c.watch = w }
+// SetWaitFunc sets the watch for the reads that follow.
+func (c *Conn) SetWaitFunc(w WaitFunc) { c.watch = w }
 
 // Bind guards the reads that follow, and ends them and any write with ctx, whose
 // cause is their error. The returned function ends the tie to ctx; it reports
 // whether ctx had not ended the connection before.
-func (c *Conn) Bind(ctx context.Context, w Watch) (stop func() bool) {
-	c.Guard(func(waited time.Duration) (time.Duration, error) {
+func (c *Conn) Bind(ctx context.Context, w WaitFunc) (stop func() bool) {
+	c.SetWaitFunc(func(waited time.Duration) (time.Duration, error) {
 		if ctx.Err() != nil {
 			return 0, context.Cause(ctx)
 		}
--- a/adapter/upconn/pool.go
+++ b/adapter/upconn/pool.go
@@ -50,14 +50,14 @@
 // Get gives a connection for one exchange: an idle one that is still sound, or
 // a new one. The error is a *DialError.
 func (p *Pool) Get(ctx context.Context, t Target) (*Conn, error) {
-	if c := p.Kept(t); c != nil {
+	if c := p.GetIdle(t); c != nil {
 		return c, nil
 	}
 	return p.Dial(ctx, t)
 }
 
-// Kept gives an idle connection that is still sound, nil if there is none.
-func (p *Pool) Kept(t Target) *Conn {
+// GetIdle gives an idle connection that is still sound, nil if there is none.
+func (p *Pool) GetIdle(t Target) *Conn {
 	for {
 		c := p.take(t)
 		if c == nil {
@@ -86,7 +86,7 @@
 
 // Dial makes a new connection. The error is a *DialError.
 func (p *Pool) Dial(ctx context.Context, t Target) (*Conn, error) {
-	dialer := net.Dialer{Timeout: connectTimeout, Control: GuardSilence, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: connectTimeout, Control: SetUserTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", t.Address)
 	if err != nil {
 		return nil, &DialError{Target: t, Refused: errors.Is(err, syscall.ECONNREFUSED), Cause: err}
@@ -104,9 +104,9 @@
 	return c, nil
 }
 
-// GuardSilence is for net.ListenConfig and net.Dialer: the kernel ends a
+// SetUserTimeout is for net.ListenConfig and net.Dialer: the kernel ends a
 // connection whose sent bytes stay unacknowledged for two seconds.
-func GuardSilence(_, _ string, raw syscall.RawConn) error {
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
@@ -155,8 +155,8 @@
 	}
 }
 
-// Forget closes the idle connections of an upstream.
-func (p *Pool) Forget(id ids.Instance) {
+// CloseIdle closes the idle connections of an upstream.
+func (p *Pool) CloseIdle(id ids.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for t, list := range p.idle {
--- a/adapter/upconn/upconn_test.go
+++ b/adapter/upconn/upconn_test.go
@@ -43,14 +43,14 @@
 func forever(time.Duration) (time.Duration, error) { return 10 * time.Second, nil }
 
 // connect opens a connection with a watch.
-func connect(t *testing.T, p *Pool, target Target, w Watch) *Conn {
+func connect(t *testing.T, p *Pool, target Target, w WaitFunc) *Conn {
 	t.Helper()
 	c, err := p.Get(t.Context(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	c.Guard(w)
+	c.SetWaitFunc(w)
 	return c
 }
 
@@ -75,7 +75,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := connect(t, NewPool(time.Now, nil), serve(t, text(c.bytes)), forever)
-			a, err := conn.ReadAnswer("GET")
+			a, err := conn.ReadResponse("GET")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -98,14 +98,14 @@
 	conn := connect(t, NewPool(time.Now, nil), target, func(waited time.Duration) (time.Duration, error) {
 		asked++
 		if waited >= 20*time.Millisecond {
-			return 0, &SilentError{For: waited}
+			return 0, &ReadTimeoutError{Waited: waited}
 		}
 		return 10 * time.Millisecond, nil
 	})
-	_, err := conn.ReadAnswer("GET")
-	var silent *SilentError
+	_, err := conn.ReadResponse("GET")
+	var silent *ReadTimeoutError
 	if !errors.As(err, &silent) || asked < 3 {
-		t.Errorf("error %v after %d questions, want a *SilentError", err, asked)
+		t.Errorf("error %v after %d questions, want a *ReadTimeoutError", err, asked)
 	}
 }
 
@@ -120,7 +120,7 @@
 	stop := context.AfterFunc(ctx, conn.Abort)
 	defer stop()
 	time.AfterFunc(5*time.Millisecond, cancel)
-	if _, err := conn.ReadAnswer("GET"); !errors.Is(err, context.Canceled) {
+	if _, err := conn.ReadResponse("GET"); !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -148,12 +148,12 @@
 	first := connect(t, p, target, forever)
 	<-open
 	p.Put(first, 10*time.Second)
-	if c := p.Kept(target); c != first || !c.Reused() {
+	if c := p.GetIdle(target); c != first || !c.Reused() {
 		t.Fatal("a sound connection is not given again")
 	}
 	p.Put(first, 10*time.Second)
 	now = now.Add(8 * time.Second)
-	if c := p.Kept(target); c != nil {
+	if c := p.GetIdle(target); c != nil {
 		t.Error("one that its upstream will close soon is given")
 	}
 	second := connect(t, p, target, forever)
@@ -162,15 +162,15 @@
 	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for c := second; c != nil; c = p.Kept(target) {
+	for c := second; c != nil; c = p.GetIdle(target) {
 		// The byte may need a moment to arrive; then the connection is closed.
 		p.Put(c, 0)
 		time.Sleep(time.Millisecond)
 	}
 	third := connect(t, p, target, forever)
 	p.Put(third, 0)
-	p.Forget(life("u"))
-	if c := p.Kept(target); c != nil {
+	p.CloseIdle(life("u"))
+	if c := p.GetIdle(target); c != nil {
 		t.Error("a forgotten upstream's connection is given")
 	}
 	if opened != 3 {
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -266,7 +266,7 @@
 
 // listen opens all sockets, so that a node that cannot serve does not start.
 func (n *Node) listen(ctx context.Context) (*listeners, error) {
-	config := net.ListenConfig{Control: upconn.GuardSilence, KeepAlive: -1}
+	config := net.ListenConfig{Control: upconn.SetUserTimeout, KeepAlive: -1}
 	l := &listeners{}
 	for _, one := range []struct {
 		to      *net.Listener
