--- a/adapter/peer/bases.go
+++ b/adapter/peer/bases.go
@@ -31,13 +31,13 @@
 func newOwnState(digest peerapi.Digest, last *ownState) *ownState {
 	out := &ownState{digest: digest, base: last.base}
 	if out.base != nil && digest.Seq-out.base.Seq < baseRounds {
-		out.update = digest.Against(out.base)
+		out.update = digest.Delta(out.base)
 		if entries(&out.update) <= besideLeast+entries(&digest)/besidePart {
 			return out
 		}
 	}
 	out.base = &out.digest
-	out.update = digest.Against(out.base)
+	out.update = digest.Delta(out.base)
 	return out
 }
 
@@ -95,7 +95,7 @@
 	if !held || base.Boot != d.Boot || base.Seq != d.Base {
 		return d, &unknownBaseError{VM: d.VM, Base: d.Base}
 	}
-	return d.Whole(&base)
+	return d.Expand(&base)
 }
 
 // keep notes a base in place of the one held, which may be the newer: the
--- a/adapter/peer/claim_serve.go
+++ b/adapter/peer/claim_serve.go
@@ -78,7 +78,7 @@
 		return claim.Op{}, false
 	}
 	since := time.Duration(m.ClockAgeNs + m.RemainingNs)
-	since -= since / peerapi.ClockDrift
+	since -= since / peerapi.ClockDriftDivisor
 	op := claim.Op{
 		Kind:      claimKinds[m.Kind],
 		Record:    claimRecord(m.Record),
@@ -126,7 +126,7 @@
 	case a.Kind == claim.ForwardRefused:
 		return peerapi.ClaimReply{State: peerapi.ClaimRefused}
 	case a.Kind == claim.ForwardUncertain:
-		return peerapi.ClaimReply{State: peerapi.ClaimUnsure}
+		return peerapi.ClaimReply{State: peerapi.ClaimUncertain}
 	case a.Result == router.ClaimTaken:
 		prior := tellClaimRecord(a.Prior)
 		return peerapi.ClaimReply{State: peerapi.ClaimDone, Prior: &prior}
--- a/adapter/peer/codec.go
+++ b/adapter/peer/codec.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		return err
 	}
-	if len(plain) > peerapi.MaxMessage {
-		return &peerapi.OversizeError{Field: "message", Size: len(plain), Limit: peerapi.MaxMessage}
+	if len(plain) > peerapi.MaxMessageBytes {
+		return &peerapi.OversizeError{Field: "message", Size: len(plain), Limit: peerapi.MaxMessageBytes}
 	}
 	var packed bytes.Buffer
 	if err := flate.StatelessDeflate(&packed, plain, true, c.wrote); err != nil {
@@ -76,8 +76,8 @@
 	if err != nil {
 		return err
 	}
-	if size > peerapi.MaxMessage {
-		return &peerapi.OversizeError{Field: "message", Size: int(min(size, maxInt)), Limit: peerapi.MaxMessage}
+	if size > peerapi.MaxMessageBytes {
+		return &peerapi.OversizeError{Field: "message", Size: int(min(size, maxInt)), Limit: peerapi.MaxMessageBytes}
 	}
 	plain, err := unpack(io.LimitReader(stream, int64(size)), c.read)
 	if err != nil {
@@ -114,12 +114,12 @@
 		return nil, err
 	}
 	var plain bytes.Buffer
-	n, err := plain.ReadFrom(io.LimitReader(inflater, peerapi.MaxMessage+1))
+	n, err := plain.ReadFrom(io.LimitReader(inflater, peerapi.MaxMessageBytes+1))
 	if err != nil {
 		return nil, &peerapi.InvalidError{Field: "message", Detail: err.Error()}
 	}
-	if n > peerapi.MaxMessage {
-		return nil, &peerapi.OversizeError{Field: "message", Size: int(n), Limit: peerapi.MaxMessage}
+	if n > peerapi.MaxMessageBytes {
+		return nil, &peerapi.OversizeError{Field: "message", Size: int(n), Limit: peerapi.MaxMessageBytes}
 	}
 	if rest, _ := io.Copy(io.Discard, source); rest > 0 {
 		return nil, &peerapi.InvalidError{Field: "message", Detail: "bytes after its end"}
--- a/adapter/peer/codec_test.go
+++ b/adapter/peer/codec_test.go
@@ -58,15 +58,15 @@
 }
 
 func TestCodecRefuses(t *testing.T) {
-	spaces := bytes.Repeat([]byte(" "), peerapi.MaxMessage+1)
+	spaces := bytes.Repeat([]byte(" "), peerapi.MaxMessageBytes+1)
 	bomb := packed(t, bytes.Repeat(spaces, 4))
-	if len(bomb) > peerapi.MaxMessage/100 {
+	if len(bomb) > peerapi.MaxMessageBytes/100 {
 		t.Fatalf("the bomb has %d bytes", len(bomb))
 	}
 	var oversize *peerapi.OversizeError
 	var invalid *peerapi.InvalidError
 	// It must not be unpacked beyond the bound.
-	if err := read(bomb); !errors.As(err, &oversize) || oversize.Size != peerapi.MaxMessage+1 {
+	if err := read(bomb); !errors.As(err, &oversize) || oversize.Size != peerapi.MaxMessageBytes+1 {
 		t.Errorf("bomb: %v", err)
 	}
 	if err := read(packed(t, spaces[1:])); errors.As(err, &oversize) {
--- a/adapter/peer/convert.go
+++ b/adapter/peer/convert.go
@@ -77,7 +77,7 @@
 			Chain:   d.Chain,
 			Outcome: string(d.Outcome),
 			Reason:  string(d.Reason),
-			Detail:  d.Detail[:min(len(d.Detail), peerapi.MaxText)],
+			Detail:  d.Detail[:min(len(d.Detail), peerapi.MaxDetailBytes)],
 			WaitNs:  int64(d.Wait),
 		}
 	})
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -140,24 +140,24 @@
 		ConfigDigest:   own.ConfigDigest,
 		ConfigRevision: own.ConfigRevision,
 		VMsRevision:    s.vms.Load().Revision,
-		Have:           s.bases.of(to.VM, to.Boot),
+		HeldBase:       s.bases.of(to.VM, to.Boot),
 	}
 	if own.Seq > 0 {
-		digest := state.to(to.Have)
+		digest := state.to(to.HeldBase)
 		out.Digest = &digest
 	}
 	if to.VMsRevision == 0 {
-		out.Known = s.known()
+		out.KnownPeers = s.known()
 	}
 	return out
 }
 
 // known lists peers heard from, for a peer that has no list of VMs.
-func (s *Service) known() []peerapi.Known {
-	var out []peerapi.Known
+func (s *Service) known() []peerapi.KnownPeer {
+	var out []peerapi.KnownPeer
 	for _, p := range s.Peers() {
-		if p.State == member.Alive && len(out) < peerapi.MaxKnown {
-			out = append(out, peerapi.Known{VM: p.VM, Zone: p.Zone, Address: p.Address})
+		if p.State == member.Alive && len(out) < peerapi.MaxKnownPeers {
+			out = append(out, peerapi.KnownPeer{VM: p.VM, Zone: p.Zone, Address: p.Address})
 		}
 	}
 	return out
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	list := h.service.vms.Load()
-	if list.Revision <= v.Above || len(list.VMs) > peerapi.MaxVMs {
+	if list.Revision <= v.AfterRevision || len(list.VMs) > peerapi.MaxVMs {
 		return peerapi.VMsReply{}, nil
 	}
 	return peerapi.VMsReply{List: *list}, nil
--- a/adapter/peer/link.go
+++ b/adapter/peer/link.go
@@ -107,7 +107,7 @@
 		k.miss()
 		return
 	}
-	k.vm, k.boot, k.have = reply.VM, reply.Boot, reply.Have
+	k.vm, k.boot, k.have = reply.VM, reply.Boot, reply.HeldBase
 	k.misses = 0
 	k.failures = 0
 	k.service.opts.Count(DigestsSent, 1)
@@ -117,7 +117,7 @@
 // exchange sends a digest and gives the reply.
 func (k *link) exchange(ctx context.Context, own *ownState) (peerapi.DigestReply, error) {
 	digest := own.to(k.have)
-	digest.Have = k.service.bases.of(k.vm, k.boot)
+	digest.HeldBase = k.service.bases.of(k.vm, k.boot)
 	var reply peerapi.DigestReply
 	err := k.service.call(ctx, k.conn, peerapi.MethodDigest, &digest, &reply)
 	return reply, err
--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -218,7 +218,7 @@
 	l.mu.Lock()
 	commands, use := l.members.Replied(now, ev.address, member.Heard{VM: r.VM, Zone: r.Zone, Boot: r.Boot})
 	if l.vms.Load().Revision == 0 {
-		for _, k := range r.Known {
+		for _, k := range r.KnownPeers {
 			l.members.Learn(now, k.VM, k.Zone, k.Address)
 		}
 	}
--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -79,7 +79,7 @@
 // fetchVMs asks for the list of VMs.
 func (p *puller) fetchVMs(ctx context.Context, job pull) {
 	var out peerapi.VMsReply
-	ask := peerapi.VMs{Above: p.vms.Load().Revision}
+	ask := peerapi.VMs{AfterRevision: p.vms.Load().Revision}
 	if err := p.call(ctx, job.conn, peerapi.MethodVMs, ask, &out); err != nil {
 		p.opts.Count(PullsFailed, 1)
 		return
--- a/adapter/peer/wire_test.go
+++ b/adapter/peer/wire_test.go
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = raw.Close() }()
-	head := binary.AppendUvarint(nil, peerapi.MaxMessage+1)
+	head := binary.AppendUvarint(nil, peerapi.MaxMessageBytes+1)
 	if _, err := raw.Write(head); err != nil {
 		t.Fatal(err)
 	}
--- a/adapter/platform/client.go
+++ b/adapter/platform/client.go
@@ -118,7 +118,7 @@
 // exist. It returns the object written. Errors: *ConflictError and those of
 // Get.
 func (c *Client) Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error) {
-	if len(value) > platformapi.MaxValue {
+	if len(value) > platformapi.MaxValueBytes {
 		return platformapi.Object{}, &TooLargeError{Kind: KindPut, Size: len(value)}
 	}
 	return c.object(ctx, call{kind: KindPut, method: fasthttp.MethodPut, key: key, body: value, ifMatch: ifMatch})
--- a/adapter/platform/client_test.go
+++ b/adapter/platform/client_test.go
@@ -165,7 +165,7 @@
 	}
 	var large *TooLargeError
 	c := reply(200, objectBody).serve(t)
-	if _, err := c.Put(context.Background(), key, make([]byte, platformapi.MaxValue+1), 0); !errors.As(err, &large) {
+	if _, err := c.Put(context.Background(), key, make([]byte, platformapi.MaxValueBytes+1), 0); !errors.As(err, &large) {
 		t.Errorf("got %v, want a *TooLargeError", err)
 	}
 }
--- a/adapter/platform/errors.go
+++ b/adapter/platform/errors.go
@@ -87,7 +87,7 @@
 // Unwrap gives the cause.
 func (e *InvalidError) Unwrap() error { return e.Cause }
 
-// TooLargeError tells that a value is larger than platformapi.MaxValue, or an
+// TooLargeError tells that a value is larger than platformapi.MaxValueBytes, or an
 // answer larger than the client takes.
 type TooLargeError struct {
 	Kind Kind
--- a/adapter/upconn/answer.go
+++ b/adapter/upconn/answer.go
@@ -33,7 +33,9 @@
 type BodyTooLargeError struct{ Limit int }
 
 // Error implements error.
-func (e *BodyTooLargeError) Error() string { return fmt.Sprintf("answer of more than %d bytes", e.Limit) }
+func (e *BodyTooLargeError) Error() string {
+	return fmt.Sprintf("answer of more than %d bytes", e.Limit)
+}
 
 // Response is an answer whose head was read.
 type Response struct {
--- a/core/peerapi/calls.go
+++ b/core/peerapi/calls.go
@@ -10,8 +10,8 @@
 	c.name("boot", r.Boot)
 	c.least("config_revision", r.ConfigRevision, 0)
 	c.least("vms_revision", r.VMsRevision, 0)
-	c.size("known", len(r.Known), MaxKnown)
-	for _, k := range r.Known[:min(len(r.Known), MaxKnown)] {
+	c.size("known", len(r.KnownPeers), MaxKnownPeers)
+	for _, k := range r.KnownPeers[:min(len(r.KnownPeers), MaxKnownPeers)] {
 		c.name("known.vm", string(k.VM))
 		c.name("known.zone", string(k.Zone))
 		c.address("known.address", k.Address)
@@ -51,7 +51,7 @@
 	for _, object := range r.Objects {
 		c.name("objects.key", object.Key)
 		c.least("objects.version", object.Version, 1)
-		c.size("objects.value", len(object.Value), platformapi.MaxValue)
+		c.size("objects.value", len(object.Value), platformapi.MaxValueBytes)
 	}
 	return c.err
 }
@@ -59,7 +59,7 @@
 // Validate gives an error as Digest.Validate does.
 func (v *VMs) Validate() error {
 	var c checker
-	c.least("above", v.Above, 0)
+	c.least("above", v.AfterRevision, 0)
 	return c.err
 }
 
@@ -73,10 +73,10 @@
 	}
 	for _, vm := range r.List.VMs {
 		c.name("list.vms.id", vm.ID)
-		c.size("list.vms.address", len(vm.Address), MaxName)
-		c.size("list.vms.zone", len(vm.Zone), MaxName)
-		c.size("list.vms.service", len(vm.Service), MaxName)
-		c.size("list.vms.peer_address", len(vm.PeerAddress), MaxName)
+		c.size("list.vms.address", len(vm.Address), MaxNameBytes)
+		c.size("list.vms.zone", len(vm.Zone), MaxNameBytes)
+		c.size("list.vms.service", len(vm.Service), MaxNameBytes)
+		c.size("list.vms.peer_address", len(vm.PeerAddress), MaxNameBytes)
 	}
 	return c.err
 }
@@ -97,7 +97,7 @@
 	}
 	for _, d := range r.Decisions {
 		c.name("decisions.step", d.Step)
-		c.size("decisions.detail", len(d.Detail), MaxText)
+		c.size("decisions.detail", len(d.Detail), MaxDetailBytes)
 		c.size("decisions.chain", len(d.Chain), MaxUpstreams)
 	}
 	return c.err
--- a/core/peerapi/check_figures.go
+++ b/core/peerapi/check_figures.go
@@ -18,7 +18,7 @@
 	}
 	f := d.Figures
 	c.size("figures.in_flight", len(f.InFlight), MaxUpstreams)
-	c.size("figures.demands", len(f.Demands), MaxUsage)
+	c.size("figures.demands", len(f.Demands), MaxUsageEntries)
 	c.size("figures.running", len(f.Running), MaxUpstreams)
 	c.size("figures.report_ages", len(f.ReportAges), MaxUpstreams)
 	c.size("figures.ages", len(f.Ages), MaxUpstreams)
--- a/core/peerapi/claim.go
+++ b/core/peerapi/claim.go
@@ -13,12 +13,12 @@
 
 // Bounds of claims.
 const (
-	// MaxClaimTime bounds Claim.RemainingNs.
-	MaxClaimTime = 10 * time.Second
+	// MaxClaimRemaining bounds Claim.RemainingNs.
+	MaxClaimRemaining = 10 * time.Second
 	// MaxClockAge bounds Claim.ClockAgeNs. Two clocks drift apart by less
 	// than one part in ClockDrift.
-	MaxClockAge = 10 * time.Second
-	ClockDrift  = 1000
+	MaxClockAge       = 10 * time.Second
+	ClockDriftDivisor = 1000
 )
 
 // Kinds of operations in a Claim.
@@ -74,8 +74,8 @@
 	ClaimDone = "done"
 	// ClaimRefused: the node did not commit the operation and never will.
 	ClaimRefused = "refused"
-	// ClaimUnsure: the node may have committed the operation.
-	ClaimUnsure = "unsure"
+	// ClaimUncertain: the node may have committed the operation.
+	ClaimUncertain = "unsure"
 	// ClaimNoClock: refused, since the message did not bring the clock. It
 	// may be sent again with that of the reply.
 	ClaimNoClock = "no_clock"
@@ -108,7 +108,7 @@
 	c.least("retention_ns", m.RetentionNs, 0)
 	c.least("clock_ns", m.ClockNs, 0)
 	c.span("clock_age_ns", m.ClockAgeNs, MaxClockAge)
-	c.span("remaining_ns", m.RemainingNs, MaxClaimTime)
+	c.span("remaining_ns", m.RemainingNs, MaxClaimRemaining)
 	return c.err
 }
 
@@ -116,7 +116,7 @@
 func (r *ClaimReply) Validate() error {
 	var c checker
 	switch r.State {
-	case ClaimDone, ClaimRefused, ClaimUnsure, ClaimNoClock:
+	case ClaimDone, ClaimRefused, ClaimUncertain, ClaimNoClock:
 	default:
 		c.fail("state", "not known")
 	}
@@ -133,7 +133,7 @@
 	c.name(field+".key", r.Key)
 	c.name(field+".request", string(r.Request))
 	for _, text := range []string{r.Fingerprint, string(r.VM), string(r.Upstream), r.Epoch, r.State} {
-		c.size(field, len(text), MaxName)
+		c.size(field, len(text), MaxNameBytes)
 	}
 	c.least(field+".attempt", int64(r.Attempt), 0)
 }
--- a/core/peerapi/claim_test.go
+++ b/core/peerapi/claim_test.go
@@ -21,7 +21,7 @@
 		"account":        func(m *Claim) { m.Record.Account = "" },
 		"key":            func(m *Claim) { m.Record.Key = "" },
 		"request":        func(m *Claim) { m.Record.Request = "" },
-		"long epoch":     func(m *Claim) { m.Record.Epoch = strings.Repeat("e", MaxName+1) },
+		"long epoch":     func(m *Claim) { m.Record.Epoch = strings.Repeat("e", MaxNameBytes+1) },
 		"attempt":        func(m *Claim) { m.Record.Attempt = -1 },
 		"over":           func(m *Claim) { m.Over.Key = "" },
 		"retention":      func(m *Claim) { m.RetentionNs = -1 },
@@ -29,10 +29,10 @@
 		"future clock":   func(m *Claim) { m.ClockAgeNs = -1 },
 		"old clock":      func(m *Claim) { m.ClockAgeNs = int64(MaxClockAge) + 1 },
 		"no time":        func(m *Claim) { m.RemainingNs = -1 },
-		"too much time":  func(m *Claim) { m.RemainingNs = int64(MaxClaimTime) + 1 },
-		"long name":      func(m *Claim) { m.Nonce = strings.Repeat("n", MaxName+1) },
-		"long state":     func(m *Claim) { m.Record.State = strings.Repeat("s", MaxName+1) },
-		"long key":       func(m *Claim) { m.Record.Key = strings.Repeat("k", MaxName+1) },
+		"too much time":  func(m *Claim) { m.RemainingNs = int64(MaxClaimRemaining) + 1 },
+		"long name":      func(m *Claim) { m.Nonce = strings.Repeat("n", MaxNameBytes+1) },
+		"long state":     func(m *Claim) { m.Record.State = strings.Repeat("s", MaxNameBytes+1) },
+		"long key":       func(m *Claim) { m.Record.Key = strings.Repeat("k", MaxNameBytes+1) },
 		"unnamed record": func(m *Claim) { m.Record = ClaimRecord{} },
 	} {
 		m := valid()
--- a/core/peerapi/figures.go
+++ b/core/peerapi/figures.go
@@ -61,9 +61,9 @@
 // demandDigits are the digits of a demand that are told, less one.
 const demandDigits = 3
 
-// Against gives the digest as what differs from a base, which must be whole
+// Delta gives the digest as what differs from a base, which must be whole
 // and of the same boot. The digest itself is not changed.
-func (d *Digest) Against(base *Digest) Digest {
+func (d *Digest) Delta(base *Digest) Digest {
 	out := *d
 	out.Base = base.Seq
 	out.Figures = &Figures{}
@@ -158,9 +158,9 @@
 	return slices.Sorted(maps.Keys(counts))
 }
 
-// Whole undoes Against. The error is an *InvalidError: the digest is not one
+// Expand undoes Against. The error is an *InvalidError: the digest is not one
 // against this base.
-func (d *Digest) Whole(base *Digest) (Digest, error) {
+func (d *Digest) Expand(base *Digest) (Digest, error) {
 	f := d.Figures
 	if f == nil || d.Base != base.Seq || d.Boot != base.Boot || d.VM != base.VM || d.Zone != base.Zone {
 		return Digest{}, &InvalidError{Field: "base", Detail: "not that of the digest"}
--- a/core/peerapi/figures_test.go
+++ b/core/peerapi/figures_test.go
@@ -36,7 +36,7 @@
 
 func TestAgainstAndWhole(t *testing.T) {
 	base, next := twoRounds()
-	update := next.Against(&base)
+	update := next.Delta(&base)
 	if len(update.InFlight) != 1 || len(update.Usage) != 1 || len(update.Loads) != 1 {
 		t.Fatalf("%+v", update)
 	}
@@ -51,7 +51,7 @@
 	if err := told.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	got, err := told.Whole(&base)
+	got, err := told.Expand(&base)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 
 func TestFiguresAreChecked(t *testing.T) {
 	base, next := twoRounds()
-	update := next.Against(&base)
+	update := next.Delta(&base)
 	cases := map[string]func(*Digest){
 		"no figures":       func(d *Digest) { d.Figures = nil },
 		"no base":          func(d *Digest) { d.Base = 0 },
@@ -114,7 +114,7 @@
 	for name, spoil := range wrong {
 		other := base
 		spoil(&other)
-		if _, err := update.Whole(&other); !errors.As(err, new(*InvalidError)) {
+		if _, err := update.Expand(&other); !errors.As(err, new(*InvalidError)) {
 			t.Errorf("base with other %s: got %v", name, err)
 		}
 	}
--- a/core/peerapi/peerapi.go
+++ b/core/peerapi/peerapi.go
@@ -69,9 +69,9 @@
 	// VMsRevision is that of the newest list of VMs known; 0 means none.
 	VMsRevision int64 `json:"vms_revision"`
 
-	// Have is the Seq of the base that the sender holds of the receiver, to
+	// HeldBase is the Seq of the base that the sender holds of the receiver, to
 	// which the digest in the reply may refer; 0 means none.
-	Have uint64 `json:"have,omitempty"`
+	HeldBase uint64 `json:"have,omitempty"`
 	// Base is the Seq of the digest that Figures refer to; 0 means that this
 	// one is whole.
 	Base uint64 `json:"base,omitempty"`
@@ -139,19 +139,19 @@
 	ConfigDigest   uint64   `json:"config_digest"`
 	ConfigRevision int64    `json:"config_revision"`
 	VMsRevision    int64    `json:"vms_revision"`
-	// Have is the Seq of the base that the replying node holds of the caller;
+	// HeldBase is the Seq of the base that the replying node holds of the caller;
 	// 0 means none.
-	Have uint64 `json:"have,omitempty"`
+	HeldBase uint64 `json:"have,omitempty"`
 	// Digest is the replying node's newest, so that one call carries both
 	// ways; nil before its first round.
 	Digest *Digest `json:"digest,omitempty"`
-	// Known lists peers that the replying node hears from, at most MaxKnown;
+	// KnownPeers lists peers that the replying node hears from, at most MaxKnown;
 	// given to callers that have no list of VMs.
-	Known []Known `json:"known,omitempty"`
+	KnownPeers []KnownPeer `json:"known,omitempty"`
 }
 
-// Known is how to reach a peer.
-type Known struct {
+// KnownPeer is how to reach a peer.
+type KnownPeer struct {
 	VM      ids.VM   `json:"vm"`
 	Zone    ids.Zone `json:"zone"`
 	Address string   `json:"address"`
@@ -179,8 +179,8 @@
 
 // VMs asks for the list of VMs.
 type VMs struct {
-	// Above is the revision that the caller has.
-	Above int64 `json:"above"`
+	// AfterRevision is the revision that the caller has.
+	AfterRevision int64 `json:"above"`
 }
 
 // VMsReply holds the list; its revision is 0 when it is not above the
--- a/core/peerapi/peerapi_test.go
+++ b/core/peerapi/peerapi_test.go
@@ -58,8 +58,8 @@
 		}
 	}
 	oversize := map[string]func(*Digest){
-		"name":       func(d *Digest) { d.VM = ids.VM(strings.Repeat("a", MaxName+1)) },
-		"usage":      func(d *Digest) { d.Usage = make([]AccountUsage, MaxUsage+1) },
+		"name":       func(d *Digest) { d.VM = ids.VM(strings.Repeat("a", MaxNameBytes+1)) },
+		"usage":      func(d *Digest) { d.Usage = make([]AccountUsage, MaxUsageEntries+1) },
 		"quarantine": func(d *Digest) { d.Quarantine = make([]QuarantineEvent, MaxQuarantine+1) },
 		"health":     func(d *Digest) { d.Health = make([]Observation, MaxUpstreams+1) },
 		"leaving":    func(d *Digest) { d.Leaving = make([]ids.Upstream, MaxUpstreams+1) },
@@ -86,10 +86,10 @@
 	}{
 		"reply":              {&DigestReply{VM: "a", Zone: "z", Boot: "b", Digest: &own}, true},
 		"another's digest":   {&DigestReply{VM: "a", Zone: "z", Boot: "b", Digest: &other}, false},
-		"known":              {&DigestReply{VM: "a", Zone: "z", Boot: "b", Known: []Known{{"c", "z", "127.0.0.1:1"}}}, true},
-		"known without zone": {&DigestReply{VM: "a", Zone: "z", Boot: "b", Known: []Known{{"c", "", "127.0.0.1:1"}}}, false},
-		"known by name":      {&DigestReply{VM: "a", Zone: "z", Boot: "b", Known: []Known{{"c", "z", "host:1"}}}, false},
-		"many known":         {&DigestReply{VM: "a", Zone: "z", Boot: "b", Known: make([]Known, MaxKnown+1)}, false},
+		"known":              {&DigestReply{VM: "a", Zone: "z", Boot: "b", KnownPeers: []KnownPeer{{"c", "z", "127.0.0.1:1"}}}, true},
+		"known without zone": {&DigestReply{VM: "a", Zone: "z", Boot: "b", KnownPeers: []KnownPeer{{"c", "", "127.0.0.1:1"}}}, false},
+		"known by name":      {&DigestReply{VM: "a", Zone: "z", Boot: "b", KnownPeers: []KnownPeer{{"c", "z", "host:1"}}}, false},
+		"many known":         {&DigestReply{VM: "a", Zone: "z", Boot: "b", KnownPeers: make([]KnownPeer, MaxKnownPeers+1)}, false},
 		"unnamed reply":      {&DigestReply{Zone: "z", Boot: "b"}, false},
 		"pull":               {&Pull{Summary: []KeyVersion{{Key: "k", Version: 1}}}, true},
 		"negative version":   {&Pull{Summary: []KeyVersion{{Key: "k", Version: -1}}}, false},
@@ -97,11 +97,11 @@
 		"objects":            {&PullReply{Objects: []platformapi.Object{{Key: "k", Version: 1}}}, true},
 		"unversioned object": {&PullReply{Objects: []platformapi.Object{{Key: "k"}}}, false},
 		"large object": {&PullReply{Objects: []platformapi.Object{
-			{Key: "k", Version: 1, Value: make([]byte, platformapi.MaxValue+1)},
+			{Key: "k", Version: 1, Value: make([]byte, platformapi.MaxValueBytes+1)},
 		}}, false},
 		"list":           {&VMsReply{List: platformapi.VMList{VMs: []platformapi.VM{{ID: "a"}}}}, true},
 		"unnamed VM":     {&VMsReply{List: platformapi.VMList{VMs: []platformapi.VM{{}}}}, false},
-		"negative above": {&VMs{Above: -1}, false},
+		"negative above": {&VMs{AfterRevision: -1}, false},
 		"no request":     {&Explain{}, false},
 		"steps":          {&ExplainReply{Decisions: []Decision{{Step: "sent"}}}, true},
 		"unnamed step":   {&ExplainReply{Decisions: []Decision{{}}}, false},
--- a/core/peerapi/validate.go
+++ b/core/peerapi/validate.go
@@ -10,16 +10,16 @@
 
 // Bounds of messages.
 const (
-	// MaxMessage is the most bytes of a message on the wire.
-	MaxMessage = 8 << 20
-	// MaxName is the most bytes of a name or a key.
-	MaxName = 512
-	// MaxText is the most bytes of a sentence for people.
-	MaxText = 4096
+	// MaxMessageBytes is the most bytes of a message on the wire.
+	MaxMessageBytes = 8 << 20
+	// MaxNameBytes is the most bytes of a name or a key.
+	MaxNameBytes = 512
+	// MaxDetailBytes is the most bytes of a sentence for people.
+	MaxDetailBytes = 4096
 	// MaxUpstreams bounds the entries of Digest that are by upstream.
 	MaxUpstreams = 8192
-	// MaxUsage bounds Digest.Usage.
-	MaxUsage = 1024
+	// MaxUsageEntries bounds Digest.Usage.
+	MaxUsageEntries = 1024
 	// MaxQuarantine bounds Digest.Quarantine.
 	MaxQuarantine = 4096
 	// MaxLinks bounds the links in a load report.
@@ -32,8 +32,8 @@
 	MaxObjects = MaxSummary
 	// MaxVMs bounds a list of VMs.
 	MaxVMs = 1 << 14
-	// MaxKnown bounds DigestReply.Known.
-	MaxKnown = 64
+	// MaxKnownPeers bounds DigestReply.Known.
+	MaxKnownPeers = 64
 	// MaxDecisions bounds an ExplainReply.
 	MaxDecisions = 1024
 )
@@ -86,7 +86,7 @@
 	if name == "" {
 		c.fail(field, "missing")
 	}
-	c.size(field, len(name), MaxName)
+	c.size(field, len(name), MaxNameBytes)
 }
 
 // address checks an IP address and port.
@@ -135,7 +135,7 @@
 // sizes bounds the parts of a digest.
 func (c *checker) sizes(d *Digest) {
 	c.size("in_flight", len(d.InFlight), MaxUpstreams)
-	c.size("usage", len(d.Usage), MaxUsage)
+	c.size("usage", len(d.Usage), MaxUsageEntries)
 	c.size("quarantine", len(d.Quarantine), MaxQuarantine)
 	c.size("health", len(d.Health), MaxUpstreams)
 	c.size("leaving", len(d.Leaving), MaxUpstreams)
@@ -155,8 +155,8 @@
 	for _, q := range d.Quarantine {
 		c.name("quarantine.kind", q.Kind)
 		c.name("quarantine.upstream", string(q.Upstream))
-		c.size("quarantine.epoch", len(q.Epoch), MaxName)
-		c.size("quarantine.fingerprint", len(q.Fingerprint), MaxName)
+		c.size("quarantine.epoch", len(q.Epoch), MaxNameBytes)
+		c.size("quarantine.fingerprint", len(q.Fingerprint), MaxNameBytes)
 		c.least("quarantine.age_ns", q.AgeNs, 0)
 	}
 	for _, o := range d.Health {
@@ -175,8 +175,8 @@
 // report checks a load report.
 func (c *checker) report(r engineapi.LoadReport) {
 	c.name("loads.engine", r.Engine)
-	c.size("loads.epoch", len(r.Epoch), MaxName)
-	c.size("loads.model", len(r.Model), MaxName)
+	c.size("loads.epoch", len(r.Epoch), MaxNameBytes)
+	c.size("loads.model", len(r.Model), MaxNameBytes)
 	c.least("loads.first", int64(r.First), 0)
 	c.least("loads.slots", int64(r.Slots), 0)
 	c.least("loads.running", int64(r.Running), 0)
--- a/core/platformapi/platformapi.go
+++ b/core/platformapi/platformapi.go
@@ -23,8 +23,8 @@
 	VMsPath     = "/v1/vms"
 )
 
-// MaxValue is the largest value of an object, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value of an object, in bytes.
+const MaxValueBytes = 1 << 20
 
 // IfMatch is the header of a conditional update.
 const IfMatch = "If-Match"
--- a/decide/claim/codec.go
+++ b/decide/claim/codec.go
@@ -33,7 +33,7 @@
 	fixedBytes = 2*digestBytes + nonceBytes + 1
 	// indexBytes is the maximum size of an index of an interned string, and
 	// lengthBytes that of a length. Three bytes suffice because a value of at
-	// most platformapi.MaxValue bytes cannot hold more strings.
+	// most platformapi.MaxValueBytes bytes cannot hold more strings.
 	indexBytes  = 3
 	lengthBytes = 3
 	// valueOverhead is the maximum size of a value without interned strings and
--- a/decide/claim/settings.go
+++ b/decide/claim/settings.go
@@ -56,7 +56,7 @@
 	// specify it. Default 24h.
 	Retention time.Duration
 	// MaxBytes is the maximum encoded size of a shard's value. The default and
-	// the upper limit are platformapi.MaxValue.
+	// the upper limit are platformapi.MaxValueBytes.
 	MaxBytes int
 	// CacheBytes is the encoded size of all cached values above which idle
 	// shards drop theirs. Default 16 MiB.
@@ -86,12 +86,12 @@
 	s.MaxBatch = defaults.Positive(s.MaxBatch, defaultMaxBatch)
 	s.MaxBackground = defaults.Positive(s.MaxBackground, defaultMaxBackground)
 	s.Retention = defaults.Positive(s.Retention, defaultRetention)
-	s.MaxBytes = defaults.Positive(s.MaxBytes, platformapi.MaxValue)
+	s.MaxBytes = defaults.Positive(s.MaxBytes, platformapi.MaxValueBytes)
 	s.CacheBytes = defaults.Positive(s.CacheBytes, defaultCacheBytes)
 	s.BackoffMin = defaults.Positive(s.BackoffMin, defaultBackoffMin)
 	s.BackoffMax = defaults.Positive(s.BackoffMax, defaultBackoffMax)
 	s.MaxForwards = defaults.Positive(s.MaxForwards, defaultMaxForwards)
 	s.ForwardTimeout = defaults.Positive(s.ForwardTimeout, defaultForwardTimeout)
-	s.MaxBytes = min(s.MaxBytes, platformapi.MaxValue)
+	s.MaxBytes = min(s.MaxBytes, platformapi.MaxValueBytes)
 	return s
 }
--- a/mimosactl/documents/documents.go
+++ b/mimosactl/documents/documents.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return encoded{}, &FileError{Path: f.Path, Cause: err}
 	}
-	if len(value) > platformapi.MaxValue {
+	if len(value) > platformapi.MaxValueBytes {
 		return encoded{}, &FileError{Path: f.Path, Cause: &TooLargeError{Size: len(value)}}
 	}
 	return encoded{File: f, change: change, value: value}, nil
--- a/mimosactl/documents/errors.go
+++ b/mimosactl/documents/errors.go
@@ -37,7 +37,7 @@
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%d bytes with its defaults, at most %d are allowed", e.Size, platformapi.MaxValue)
+	return fmt.Sprintf("%d bytes with its defaults, at most %d are allowed", e.Size, platformapi.MaxValueBytes)
 }
 
 // DuplicateError tells that two files hold the same document.
--- a/scenario/lang/peer.go
+++ b/scenario/lang/peer.go
@@ -31,7 +31,7 @@
 	case "bytes":
 		ts.Check(refusedBytes(args[0], text))
 	case "oversize":
-		ts.Check(refusedBytes(args[0], binary.AppendUvarint(nil, peerapi.MaxMessage+1)))
+		ts.Check(refusedBytes(args[0], binary.AppendUvarint(nil, peerapi.MaxMessageBytes+1)))
 	case "packed":
 		reply, err := peerCall(args[0], text)
 		ts.Check(err)
--- a/standin/platform/handler.go
+++ b/standin/platform/handler.go
@@ -118,7 +118,7 @@
 func (p *Platform) servePut(ctx *fasthttp.RequestCtx, key string, ifMatch int64) {
 	p.stats.writes.Add(1)
 	body := ctx.PostBody()
-	if len(body) > platformapi.MaxValue {
+	if len(body) > platformapi.MaxValueBytes {
 		ctx.SetStatusCode(fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -75,7 +75,7 @@
 	if status, body := call(p, fasthttp.MethodGet, path, nil, -1); status != 200 || !bytes.Contains(body, []byte(`"version":1`)) {
 		t.Errorf("get: %d %s", status, body)
 	}
-	if status, _ := call(p, fasthttp.MethodPut, path, make([]byte, platformapi.MaxValue+1), -1); status != 413 {
+	if status, _ := call(p, fasthttp.MethodPut, path, make([]byte, platformapi.MaxValueBytes+1), -1); status != 413 {
 		t.Errorf("too large: %d", status)
 	}
 	if status, _ := call(p, fasthttp.MethodDelete, path, nil, 1); status != 200 {
