--- a/adapter/listwatch/listwatch.go
+++ b/adapter/listwatch/listwatch.go
@@ -172,7 +172,7 @@
 			f.sink.Changed(changes)
 		}
 		if len(changes.Events) > 0 {
-			every.Pause(ctx, f.opts.Pause)
+			every.Sleep(ctx, f.opts.Pause)
 		}
 		revision = max(revision, changes.Revision)
 	}
@@ -188,9 +188,9 @@
 	}
 	f.lost = true
 	f.sink.Lost(err)
-	wait := backoff.Doubled(f.opts.Backoff, f.opts.MaxBackoff, f.fails)
+	wait := backoff.Exponential(f.opts.Backoff, f.opts.MaxBackoff, f.fails)
 	f.fails++
-	every.Pause(ctx, wait/2+time.Duration(f.rand.Int64N(int64(wait))))
+	every.Sleep(ctx, wait/2+time.Duration(f.rand.Int64N(int64(wait))))
 }
 
 // answered notes that the store answers.
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -22,7 +22,7 @@
 			return
 		}
 		if err != nil {
-			every.Pause(ctx, acceptPause)
+			every.Sleep(ctx, acceptPause)
 			continue
 		}
 		select {
--- a/adapter/platform/client.go
+++ b/adapter/platform/client.go
@@ -44,8 +44,8 @@
 	CallTimeout time.Duration
 	// MaxConnections bounds the connections open at once. Default 64.
 	MaxConnections int
-	// MaxAnswer bounds the body of an answer, in bytes. Default 64 MiB.
-	MaxAnswer int
+	// MaxResponseBytes bounds the body of an answer, in bytes. Default 64 MiB.
+	MaxResponseBytes int
 	// OnCall is told of each call that ended, with its error or nil; may be
 	// nil. Any goroutine calls it.
 	OnCall func(kind Kind, err error)
@@ -77,7 +77,7 @@
 	s.ConnectTimeout = defaults.Positive(s.ConnectTimeout, defaultConnectTimeout)
 	s.CallTimeout = defaults.Positive(s.CallTimeout, defaultCallTimeout)
 	s.MaxConnections = defaults.Positive(s.MaxConnections, defaultMaxConnections)
-	s.MaxAnswer = defaults.Positive(s.MaxAnswer, defaultMaxAnswer)
+	s.MaxResponseBytes = defaults.Positive(s.MaxResponseBytes, defaultMaxAnswer)
 	if s.OnCall == nil {
 		s.OnCall = func(Kind, error) {}
 	}
@@ -90,7 +90,7 @@
 		Addr:                      strings.Join(s.Addresses, ","),
 		MaxConns:                  s.MaxConnections,
 		MaxIdleConnDuration:       idleConnection,
-		MaxResponseBodySize:       s.MaxAnswer,
+		MaxResponseBodySize:       s.MaxResponseBytes,
 		ReadBufferSize:            bufferSize,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) {
--- a/adapter/platform/known.go
+++ b/adapter/platform/put.go
@@ -8,12 +8,12 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// PutState is what is known of a write.
-type PutState int
+// PutOutcome is what is known of a write.
+type PutOutcome int
 
 const (
 	// PutWritten: the write took effect.
-	PutWritten PutState = iota
+	PutWritten PutOutcome = iota
 	// PutConflict: the write was refused, since a newer object stands.
 	PutConflict
 	// PutSuperseded: the answer was lost, and a newer object that is not
@@ -29,7 +29,7 @@
 var putStateNames = [...]string{"written", "conflict", "superseded", "unknown", "failed"}
 
 // String implements fmt.Stringer.
-func (s PutState) String() string {
+func (s PutOutcome) String() string {
 	if s < 0 || int(s) >= len(putStateNames) {
 		return fmt.Sprintf("put_state(%d)", int(s))
 	}
@@ -38,7 +38,7 @@
 
 // PutResult is the outcome of PutKnown.
 type PutResult struct {
-	State PutState
+	Outcome PutOutcome
 	// Object is ours when written, the newer one on conflict or when
 	// superseded; else zero.
 	Object platformapi.Object
@@ -55,18 +55,18 @@
 // Tries of PutKnown after a lost answer.
 const maxPutTries = 3
 
-// PutKnown writes an object and settles a lost answer by reading it back.
+// PutAndVerify writes an object and settles a lost answer by reading it back.
 // isMine tells whether a value is the one written. While the object read back
 // is still at version ifMatch, the lost write may yet arrive: the write is
 // then sent again under the same condition, which lets only one of them take
 // effect.
-func PutKnown(ctx context.Context, store Store, key string, value []byte, ifMatch int64, isMine func(value []byte) bool) PutResult {
+func PutAndVerify(ctx context.Context, store Store, key string, value []byte, ifMatch int64, isMine func(value []byte) bool) PutResult {
 	lost := false
 	var last error
 	for range maxPutTries {
 		object, err := store.Put(ctx, key, value, ifMatch)
 		if err == nil {
-			return PutResult{State: PutWritten, Object: object}
+			return PutResult{Outcome: PutWritten, Object: object}
 		}
 		last = err
 		if current, ok := currentOf(ctx, store, key, err); ok {
@@ -82,9 +82,9 @@
 		}
 	}
 	if lost {
-		return PutResult{State: PutUnknown, Err: last}
+		return PutResult{Outcome: PutUnknown, Err: last}
 	}
-	return PutResult{State: PutFailed, Err: last}
+	return PutResult{Outcome: PutFailed, Err: last}
 }
 
 // currentOf gives the object that refused a write; false when err is no
@@ -105,9 +105,9 @@
 func settled(current platformapi.Object, lost bool, isMine func(value []byte) bool) PutResult {
 	switch {
 	case !lost:
-		return PutResult{State: PutConflict, Object: current}
+		return PutResult{Outcome: PutConflict, Object: current}
 	case !current.Deleted && isMine(current.Value):
-		return PutResult{State: PutWritten, Object: current}
+		return PutResult{Outcome: PutWritten, Object: current}
 	}
-	return PutResult{State: PutSuperseded, Object: current}
+	return PutResult{Outcome: PutSuperseded, Object: current}
 }
--- a/adapter/platform/known_test.go
+++ b/adapter/platform/put_test.go
@@ -62,7 +62,7 @@
 	cases := map[string]struct {
 		start  int64
 		script []step
-		want   PutState
+		want   PutOutcome
 		value  string
 	}{
 		"answered":                        {3, []step{{applies: true}}, PutWritten, "mine"},
@@ -79,9 +79,9 @@
 	for name, tc := range cases {
 		store := &scriptedStore{object: platformapi.Object{Version: tc.start, Value: []byte("old")}, script: tc.script}
 		isMine := func(value []byte) bool { return string(value) == "mine" }
-		got := PutKnown(context.Background(), store, "k", []byte("mine"), 3, isMine)
-		if got.State != tc.want || string(got.Object.Value) != tc.value {
-			t.Errorf("%s: got %v %q, want %v %q", name, got.State, got.Object.Value, tc.want, tc.value)
+		got := PutAndVerify(context.Background(), store, "k", []byte("mine"), 3, isMine)
+		if got.Outcome != tc.want || string(got.Object.Value) != tc.value {
+			t.Errorf("%s: got %v %q, want %v %q", name, got.Outcome, got.Object.Value, tc.want, tc.value)
 		}
 	}
 }
--- a/adapter/upstream/attempt.go
+++ b/adapter/upstream/attempt.go
@@ -111,7 +111,7 @@
 	}
 	resp := &fasthttp.Response{}
 	resp.SkipBody = req.Header.IsHead()
-	if err := l.head(resp, a.runner.options.MaxHead); err != nil {
+	if err := l.head(resp, a.runner.options.MaxHeadBytes); err != nil {
 		return fail(l.reason(), err)
 	}
 	if a.send.Model {
--- a/adapter/upstream/body.go
+++ b/adapter/upstream/body.go
@@ -25,10 +25,10 @@
 	}
 	length := resp.Header.ContentLength()
 	if length <= closeDelimited {
-		return nil, &UnboundedError{}
+		return nil, &UnframedError{}
 	}
 	if length > limit {
-		return nil, &SizeError{Max: limit}
+		return nil, &TooLargeError{LimitBytes: limit}
 	}
 	return readAll(l, stream, max(length, 0), limit)
 }
@@ -41,7 +41,7 @@
 		l.progress()
 		n, err := stream.Read(block)
 		if len(body)+n > limit {
-			return nil, &SizeError{Max: limit}
+			return nil, &TooLargeError{LimitBytes: limit}
 		}
 		body = append(body, block[:n]...)
 		if errors.Is(err, io.EOF) {
@@ -55,8 +55,8 @@
 
 // bodyReason tells what a failed read of a body means.
 func bodyReason(l *link, err error) outcome.Reason {
-	var size *SizeError
-	var unbounded *UnboundedError
+	var size *TooLargeError
+	var unbounded *UnframedError
 	switch {
 	case errors.As(err, &size):
 		return outcome.UpstreamInvalid
--- a/adapter/upstream/control.go
+++ b/adapter/upstream/control.go
@@ -25,7 +25,7 @@
 	var reply engineapi.CancelReply
 	err := control(ctx, fasthttp.MethodDelete, address, streamPath(request), &reply)
 	if err == nil && reply.State == "" {
-		err = &AnswerError{}
+		err = &InvalidReplyError{}
 	}
 	return reply, err
 }
@@ -49,7 +49,7 @@
 		return statusError(status, body)
 	}
 	if err := json.Unmarshal(body, reply); err != nil {
-		return &AnswerError{Cause: err}
+		return &InvalidReplyError{Cause: err}
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 		return 0, nil, err
 	}
 	resp := &fasthttp.Response{}
-	if err := l.head(resp, DefaultMaxHead); err != nil {
+	if err := l.head(resp, DefaultMaxHeadBytes); err != nil {
 		return 0, nil, err
 	}
 	body, err := readBody(l, resp, maxControl)
@@ -102,7 +102,7 @@
 		return
 	}
 	f.detail += ": " + reply.State
-	a.runner.options.Epochs.Note(a.head().Address, reply.Epoch)
+	a.runner.options.Epochs.Record(a.head().Address, reply.Epoch)
 	if a.provesNotRun(reply) {
 		a.refuse()
 	}
--- a/adapter/upstream/control_test.go
+++ b/adapter/upstream/control_test.go
@@ -59,7 +59,7 @@
 			}
 			f := newFake(t, holding(test.reply, onPost, parts...))
 			r := New(Options{})
-			r.options.Epochs.Note(f.address, test.noted)
+			r.options.Epochs.Record(f.address, test.noted)
 			e := runOne(t, ctx, r, modelSend(f.address), chatCall(), s)
 			failIf(t, e.Phase != test.phase || e.Reason != outcome.Cancelled, "end %+v", e)
 			conns, requests := f.counts()
@@ -152,7 +152,7 @@
 	})
 	ctx := t.Context()
 	poller := NewPoller(time.Second)
-	defer poller.Keep(nil)
+	defer poller.Retain(nil)
 	if report, err := poller.Fetch(ctx, f.address); err != nil || report.Epoch != "x" {
 		t.Fatalf("%+v, %v", report, err)
 	}
@@ -163,7 +163,7 @@
 	if _, err := Cancel(ctx, f.address, "gone"); !errors.As(err, &status) || status.Status != 404 || status.Code != engineapi.CodeNotFound {
 		t.Fatalf("gone: %v", err)
 	}
-	var nonsense *AnswerError
+	var nonsense *InvalidReplyError
 	if _, err := Cancel(ctx, f.address, "odd"); !errors.As(err, &nonsense) {
 		t.Fatalf("odd: %v", err)
 	}
@@ -176,8 +176,8 @@
 func TestEpochsAreBounded(t *testing.T) {
 	e := NewEpochs(2)
 	for i := range 5 {
-		e.Note(fmt.Sprint(i), "x")
+		e.Record(fmt.Sprint(i), "x")
 	}
-	e.Note("4", "")
+	e.Record("4", "")
 	failIf(t, len(e.byAddress) != 2 || e.Get("4") != "x", "%v", e.byAddress)
 }
--- a/adapter/upstream/epochs.go
+++ b/adapter/upstream/epochs.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// DefaultEpochs is the most engines whose epoch a Runner remembers by itself.
-const DefaultEpochs = 8192
+// DefaultEpochCapacity is the most engines whose epoch a Runner remembers by itself.
+const DefaultEpochCapacity = 8192
 
 // Epochs remembers the newest known process life of each engine, by address.
 // A cancel's "not started" proves that a request did not run only when the
@@ -20,9 +20,9 @@
 	return &Epochs{capacity: max(capacity, 1), byAddress: make(map[string]string)}
 }
 
-// Note remembers the epoch seen at an address, for instance in a LoadReport.
+// Record remembers the epoch seen at an address, for instance in a LoadReport.
 // An empty epoch is not noted. When full, some other address is forgotten.
-func (e *Epochs) Note(address, epoch string) {
+func (e *Epochs) Record(address, epoch string) {
 	if epoch == "" {
 		return
 	}
--- a/adapter/upstream/errors.go
+++ b/adapter/upstream/errors.go
@@ -14,18 +14,18 @@
 // Error implements error.
 func (e *AddressError) Error() string { return fmt.Sprintf("%q is no IP address and port", e.Address) }
 
-// SizeError tells that an answer or a part of it is larger than allowed.
-type SizeError struct{ Max int }
+// TooLargeError tells that an answer or a part of it is larger than allowed.
+type TooLargeError struct{ LimitBytes int }
 
 // Error implements error.
-func (e *SizeError) Error() string { return fmt.Sprintf("answer exceeds %d bytes", e.Max) }
+func (e *TooLargeError) Error() string { return fmt.Sprintf("answer exceeds %d bytes", e.LimitBytes) }
 
-// UnboundedError tells that an answer's end is not marked by a length or a
+// UnframedError tells that an answer's end is not marked by a length or a
 // last chunk, so that a whole one cannot be told from a truncated one.
-type UnboundedError struct{}
+type UnframedError struct{}
 
 // Error implements error.
-func (*UnboundedError) Error() string { return "answer ends only with its connection" }
+func (*UnframedError) Error() string { return "answer ends only with its connection" }
 
 // StatusError tells that an engine answered a control call with a status
 // other than 200. Code is its Refusal's, empty when it sent none.
@@ -49,14 +49,14 @@
 // Unwrap gives the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// AnswerError tells that an engine answered a control call with nonsense.
-type AnswerError struct{ Cause error }
+// InvalidReplyError tells that an engine answered a control call with nonsense.
+type InvalidReplyError struct{ Cause error }
 
 // Error implements error.
-func (e *AnswerError) Error() string { return fmt.Sprintf("nonsense answer: %v", e.Cause) }
+func (e *InvalidReplyError) Error() string { return fmt.Sprintf("nonsense answer: %v", e.Cause) }
 
 // Unwrap gives the cause; may be nil.
-func (e *AnswerError) Unwrap() error { return e.Cause }
+func (e *InvalidReplyError) Unwrap() error { return e.Cause }
 
 // failure is why an attempt ended without a whole answer. A nil *failure
 // means that it has not failed.
--- a/adapter/upstream/events.go
+++ b/adapter/upstream/events.go
@@ -33,7 +33,7 @@
 		}
 		size += len(line)
 		if size > r.max {
-			return event{}, &SizeError{Max: r.max}
+			return event{}, &TooLargeError{LimitBytes: r.max}
 		}
 		if len(line) > 0 {
 			r.field(&e, line)
@@ -51,7 +51,7 @@
 func (r *eventReader) line() ([]byte, error) {
 	line, err := r.lines.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, &SizeError{Max: r.max}
+		return nil, &TooLargeError{LimitBytes: r.max}
 	}
 	if err != nil {
 		return nil, err
--- a/adapter/upstream/model.go
+++ b/adapter/upstream/model.go
@@ -27,7 +27,7 @@
 		return f
 	}
 	epoch := string(resp.Header.Peek(engineapi.EpochHeader))
-	a.runner.options.Epochs.Note(a.head().Address, epoch)
+	a.runner.options.Epochs.Record(a.head().Address, epoch)
 	a.start(epoch)
 	book := a.ledger()
 	defer func() { a.runner.options.CountStale(book.Stale()) }()
@@ -61,7 +61,7 @@
 // ledger makes the attempt's ledger; of a rejoined stream perhaps only the
 // head is known.
 func (a *attempt) ledger() *ledger.Ledger {
-	reorder := a.runner.options.Reorder
+	reorder := a.runner.options.ReorderWindow
 	if a.send.Resume != nil && !a.send.Chain.Tiles(a.send.Layers) {
 		return ledger.NewRejoin(a.head().ID, a.send.Layers, a.wantAttempt(), a.call.Count(), reorder)
 	}
@@ -74,7 +74,7 @@
 	if a.send.Resume != nil && resp.StatusCode() == fasthttp.StatusNotFound {
 		return &failure{reason: outcome.UpstreamRefused, detail: "not found"}
 	}
-	body, err := readBody(l, resp, a.runner.options.MaxBody)
+	body, err := readBody(l, resp, a.runner.options.MaxBodyBytes)
 	if err != nil {
 		return fail(bodyReason(l, err), err)
 	}
@@ -113,7 +113,7 @@
 // stream reads events until one ends the attempt. Only a token that was taken
 // counts as progress.
 func (a *attempt) stream(ctx context.Context, l *link, body io.Reader, book *ledger.Ledger) *failure {
-	events := &eventReader{lines: bufio.NewReaderSize(body, a.runner.options.MaxEvent), max: a.runner.options.MaxEvent}
+	events := &eventReader{lines: bufio.NewReaderSize(body, a.runner.options.MaxEventBytes), max: a.runner.options.MaxEventBytes}
 	l.progress()
 	for a.phase != outcome.Finished {
 		e, err := events.next()
--- a/adapter/upstream/model_test.go
+++ b/adapter/upstream/model_test.go
@@ -94,7 +94,7 @@
 			f := newFake(t, test.script)
 			c := chatCall()
 			s := &sink{}
-			e := runOne(t, t.Context(), New(Options{MaxEvent: 4096}), modelSend(f.address), c, s)
+			e := runOne(t, t.Context(), New(Options{MaxEventBytes: 4096}), modelSend(f.address), c, s)
 			failIf(t, e.Phase != test.phase || e.Reason != test.reason || e.Upstream != test.upstream || e.Tokens != test.tokens || e.RetryAfter != test.retry, "end %+v", e)
 			if started := len(s.started) == 1; started != (test.phase >= outcome.Started) {
 				t.Fatalf("started %v in phase %v", started, e.Phase)
--- a/adapter/upstream/options.go
+++ b/adapter/upstream/options.go
@@ -16,10 +16,10 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxHead       = 16 << 10
-	DefaultMaxEvent      = 32 << 10
-	DefaultMaxBody       = 1 << 20
-	DefaultReorder       = 16
+	DefaultMaxHeadBytes  = 16 << 10
+	DefaultMaxEventBytes = 32 << 10
+	DefaultMaxBodyBytes  = 1 << 20
+	DefaultReorderWindow = 16
 	DefaultCancelTimeout = time.Second
 )
 
@@ -31,14 +31,14 @@
 
 // Options bounds a Runner. Zero fields take the defaults.
 type Options struct {
-	// MaxHead is the most bytes of an answer's status line and headers.
-	MaxHead int
-	// MaxEvent is the most bytes of one event of a stream.
-	MaxEvent int
-	// MaxBody is the most bytes of a plain answer or a refusal.
-	MaxBody int
-	// Reorder is the most tokens of an attempt held back until their turn.
-	Reorder int
+	// MaxHeadBytes is the most bytes of an answer's status line and headers.
+	MaxHeadBytes int
+	// MaxEventBytes is the most bytes of one event of a stream.
+	MaxEventBytes int
+	// MaxBodyBytes is the most bytes of a plain answer or a refusal.
+	MaxBodyBytes int
+	// ReorderWindow is the most tokens of an attempt held back until their turn.
+	ReorderWindow int
 	// CancelTimeout bounds the call that cancels a request at its engine.
 	CancelTimeout time.Duration
 	// Epochs remembers the engines' process lives; nil makes one of its own.
@@ -53,13 +53,13 @@
 
 // withDefaults fills the zero fields.
 func (o Options) withDefaults() Options {
-	o.MaxHead = defaults.Positive(o.MaxHead, DefaultMaxHead)
-	o.MaxEvent = defaults.Positive(o.MaxEvent, DefaultMaxEvent)
-	o.MaxBody = defaults.Positive(o.MaxBody, DefaultMaxBody)
-	o.Reorder = defaults.Positive(o.Reorder, DefaultReorder)
+	o.MaxHeadBytes = defaults.Positive(o.MaxHeadBytes, DefaultMaxHeadBytes)
+	o.MaxEventBytes = defaults.Positive(o.MaxEventBytes, DefaultMaxEventBytes)
+	o.MaxBodyBytes = defaults.Positive(o.MaxBodyBytes, DefaultMaxBodyBytes)
+	o.ReorderWindow = defaults.Positive(o.ReorderWindow, DefaultReorderWindow)
 	o.CancelTimeout = defaults.Positive(o.CancelTimeout, DefaultCancelTimeout)
 	if o.Epochs == nil {
-		o.Epochs = NewEpochs(DefaultEpochs)
+		o.Epochs = NewEpochs(DefaultEpochCapacity)
 	}
 	if o.CountStale == nil {
 		o.CountStale = func(int) {}
--- a/adapter/upstream/plain.go
+++ b/adapter/upstream/plain.go
@@ -40,7 +40,7 @@
 		return a.plainRefusal(l, resp)
 	}
 	a.start("")
-	body, err := readBody(l, resp, a.runner.options.MaxBody)
+	body, err := readBody(l, resp, a.runner.options.MaxBodyBytes)
 	if err != nil {
 		return fail(bodyReason(l, err), err)
 	}
@@ -64,7 +64,7 @@
 func (a *attempt) plainRefusal(l *link, resp *fasthttp.Response) *failure {
 	a.refuse()
 	var refusal engineapi.Refusal
-	body, err := readBody(l, resp, a.runner.options.MaxBody)
+	body, err := readBody(l, resp, a.runner.options.MaxBodyBytes)
 	if err == nil {
 		err = json.Unmarshal(body, &refusal)
 	}
--- a/adapter/upstream/plain_test.go
+++ b/adapter/upstream/plain_test.go
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFake(t, answer(test.answer))
 			c := plainCall("POST", "/bookings", "{}")
-			e := runOne(t, t.Context(), New(Options{MaxBody: 1000}), plainSend(f.address), c, &sink{})
+			e := runOne(t, t.Context(), New(Options{MaxBodyBytes: 1000}), plainSend(f.address), c, &sink{})
 			failIf(t, e.Phase != test.phase || e.Reason != test.reason || e.RetryAfter != test.retry, "end %+v", e)
 			if a := c.Answer(); a != nil && len(a.Header) != 0 && a.Status != 500 {
 				t.Fatalf("headers %q", a.Header)
--- a/adapter/upstream/poller.go
+++ b/adapter/upstream/poller.go
@@ -62,10 +62,10 @@
 		return report, statusError(resp.StatusCode(), resp.Body())
 	}
 	if err := json.Unmarshal(resp.Body(), &report); err != nil {
-		return report, &AnswerError{Cause: err}
+		return report, &InvalidReplyError{Cause: err}
 	}
 	if report.Engine == "" {
-		return report, &AnswerError{}
+		return report, &InvalidReplyError{}
 	}
 	return report, nil
 }
@@ -91,8 +91,8 @@
 	return c, nil
 }
 
-// Keep forgets every engine but those at the given addresses.
-func (p *Poller) Keep(addresses map[string]bool) {
+// Retain forgets every engine but those at the given addresses.
+func (p *Poller) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, c := range p.clients {
--- a/adapter/upstream/poller_test.go
+++ b/adapter/upstream/poller_test.go
@@ -61,7 +61,7 @@
 	if n := l.taken.Load(); n != 1 {
 		t.Errorf("%d connections for 5 polls", n)
 	}
-	p.Keep(nil)
+	p.Retain(nil)
 	if len(p.clients) != 0 {
 		t.Errorf("%d engines are still kept", len(p.clients))
 	}
--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -6,8 +6,8 @@
 // maxDoublings keeps a wait that doubles within its type.
 const maxDoublings = 10
 
-// Doubled gives the wait after so many failures before this one: first, doubled with
+// Exponential gives the wait after so many failures before this one: first, doubled with
 // each of them, and most at most.
-func Doubled(first, most time.Duration, failures int) time.Duration {
+func Exponential(first, most time.Duration, failures int) time.Duration {
 	return min(first<<min(failures, maxDoublings), most)
 }
--- a/core/every/every.go
+++ b/core/every/every.go
@@ -9,11 +9,11 @@
 // Do calls f once in each interval, the first time after one, until ctx ends.
 // Calls do not overlap; intervals that a long call missed are left out.
 func Do(ctx context.Context, interval time.Duration, f func()) {
-	DoOrSooner(ctx, interval, nil, f)
+	DoOrOnSignal(ctx, interval, nil, f)
 }
 
-// DoOrSooner is Do that also calls f whenever soon is told.
-func DoOrSooner(ctx context.Context, interval time.Duration, soon <-chan struct{}, f func()) {
+// DoOrOnSignal is Do that also calls f whenever soon is told.
+func DoOrOnSignal(ctx context.Context, interval time.Duration, soon <-chan struct{}, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Pause waits so long, not at all for less than nothing, or until ctx ends.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits so long, not at all for less than nothing, or until ctx ends.
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/core/every/every_test.go
+++ b/core/every/every_test.go
@@ -33,7 +33,7 @@
 		var at []time.Duration
 		began := time.Now()
 		time.AfterFunc(300*time.Millisecond, func() { soon <- struct{}{} })
-		DoOrSooner(ctx, time.Second, soon, func() { at = append(at, time.Since(began)) })
+		DoOrOnSignal(ctx, time.Second, soon, func() { at = append(at, time.Since(began)) })
 		if len(at) != 3 || at[0] != 300*time.Millisecond || at[1] != time.Second {
 			t.Errorf("called after %v", at)
 		}
--- a/core/fleet/parse.go
+++ b/core/fleet/parse.go
@@ -9,9 +9,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// MaxDocument is the largest document, in bytes. It leaves room for what
+// MaxDocumentBytes is the largest document, in bytes. It leaves room for what
 // Encode adds within the platform's largest value.
-const MaxDocument = 768 << 10
+const MaxDocumentBytes = 768 << 10
 
 // Parse reads one YAML document and fills in its defaults. Unknown fields are
 // refused. The error is an *InvalidError that lists every violation.
@@ -30,9 +30,9 @@
 
 // parseNode reads the one YAML document in data as a tree.
 func parseNode(data []byte) (*yaml.Node, error) {
-	if len(data) > MaxDocument {
+	if len(data) > MaxDocumentBytes {
 		size := fmt.Sprintf("(%d bytes)", len(data))
-		return nil, invalid(0, size, fmt.Sprintf("at most %d bytes", MaxDocument))
+		return nil, invalid(0, size, fmt.Sprintf("at most %d bytes", MaxDocumentBytes))
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var root, next yaml.Node
--- a/core/fleet/parse_test.go
+++ b/core/fleet/parse_test.go
@@ -127,8 +127,8 @@
 		serviceText + "  - {method: GET, prefix: /slots}\n": {"routes[3]"},
 		serviceText + "  - {method: FETCH, prefix: 'a?'}\n": {"routes[3].method", "routes[3].prefix"},
 		twice: {"accounts[1].rate", "accounts[1].id", "accounts[1].key_sha256"},
-		accountsText + "  - {id: b, services: [], rate: -1}":  {"accounts[1].services", "accounts[1].rate", "accounts[1].key_sha256"},
-		profileText + strings.Repeat("#", MaxDocument) + "\n": {""},
+		accountsText + "  - {id: b, services: [], rate: -1}":       {"accounts[1].services", "accounts[1].rate", "accounts[1].key_sha256"},
+		profileText + strings.Repeat("#", MaxDocumentBytes) + "\n": {""},
 	}
 	for text, paths := range cases {
 		_, err := Parse([]byte(text))
--- a/decide/condition/condition.go
+++ b/decide/condition/condition.go
@@ -123,7 +123,7 @@
 // suspicionPeriod returns the length of a suspicion that follows the given
 // number of earlier ones.
 func suspicionPeriod(suspicions int) time.Duration {
-	return backoff.Doubled(minSuspicion, maxSuspicion, suspicions)
+	return backoff.Exponential(minSuspicion, maxSuspicion, suspicions)
 }
 
 // Unreachable records that an upstream's VM did not answer a connection attempt,
--- a/decide/lease/step.go
+++ b/decide/lease/step.go
@@ -140,7 +140,7 @@
 
 // retryWait returns the maximum wait after a failed call.
 func (l *Lease) retryWait() time.Duration {
-	return backoff.Doubled(l.opts.RetryMin, l.opts.RetryMax, l.failures)
+	return backoff.Exponential(l.opts.RetryMin, l.opts.RetryMax, l.failures)
 }
 
 // jitter returns a random duration between d/2 and d.
--- a/decide/roster/selector.go
+++ b/decide/roster/selector.go
@@ -110,7 +110,7 @@
 	if now.Sub(s.awaySince) < time.Duration(s.roster.rank())*tryStep || now.Before(s.tryAt) {
 		return false
 	}
-	s.tryAt = now.Add(backoff.Doubled(tryFirst, tryMost, s.tries))
+	s.tryAt = now.Add(backoff.Exponential(tryFirst, tryMost, s.tries))
 	s.tries++
 	return true
 }
--- a/mimosactl/documents/publish.go
+++ b/mimosactl/documents/publish.go
@@ -110,9 +110,9 @@
 // write writes one file and tells what is known of it.
 func write(ctx context.Context, store platform.Store, file encoded, ifMatch int64) (platformapi.Object, error) {
 	isMine := func(value []byte) bool { return ChangeOf(value) == file.change }
-	result := platform.PutKnown(ctx, store, file.Key(), file.value, ifMatch, isMine)
+	result := platform.PutAndVerify(ctx, store, file.Key(), file.value, ifMatch, isMine)
 	key, current := file.Key(), result.Object
-	switch result.State {
+	switch result.Outcome {
 	case platform.PutWritten:
 		return current, nil
 	case platform.PutConflict:
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -91,7 +91,7 @@
 	err := p.members.Join(ctx, roster.Member{Name: p.settings.VM, Zone: p.settings.Zone, Peer: p.settings.Peers})
 	if err != nil {
 		p.log.Info().Str("event", "join_failed").Err(err).Send()
-		p.joinAt = time.Now().Add(backoff.Doubled(joinRetry, joinRetryMost, p.joinFails))
+		p.joinAt = time.Now().Add(backoff.Exponential(joinRetry, joinRetryMost, p.joinFails))
 		p.joinFails++
 		return
 	}
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -45,7 +45,7 @@
 
 // run works until ctx ends.
 func (p *probe) run(ctx context.Context) {
-	every.DoOrSooner(ctx, roster.ProbeEvery, p.soon, func() {
+	every.DoOrOnSignal(ctx, roster.ProbeEvery, p.soon, func() {
 		if p.due() {
 			p.send(ctx)
 		}
--- a/node/entry/share.go
+++ b/node/entry/share.go
@@ -142,7 +142,7 @@
 			s.fleet.failed(peer.Name)
 		}
 		// A peer that is lost itself answers at once.
-		every.Pause(ctx, roster.PeerWait-boottime.Now().Sub(asked))
+		every.Sleep(ctx, roster.PeerWait-boottime.Now().Sub(asked))
 	}
 }
 
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -31,7 +31,7 @@
 	n.log.Info().Str("event", "stopping").Int64("active", n.server.Active()).Send()
 	limit, done := context.WithDeadline(ctx, began.Add(n.settings.Grace-killSlack))
 	defer done()
-	every.Pause(limit, readinessLag)
+	every.Sleep(limit, readinessLag)
 	// What comes later could no longer be finished within the grace.
 	_ = l.callers.Close()
 	whole := n.server.Drain(limit)
--- a/node/node.go
+++ b/node/node.go
@@ -123,7 +123,7 @@
 		MaxRequests: s.MaxRequests,
 		Seed:        randomSeed(),
 	})
-	n.epochs = upstream.NewEpochs(upstream.DefaultEpochs)
+	n.epochs = upstream.NewEpochs(upstream.DefaultEpochCapacity)
 	n.runner = upstream.New(upstream.Options{
 		Epochs:     n.epochs,
 		CountStale: func(count int) { n.telemetry.Add("stale_tokens", int64(count)) },
--- a/node/polls.go
+++ b/node/polls.go
@@ -125,7 +125,7 @@
 	}
 	p.revision = list.Revision
 	p.engines = engines
-	p.poller.Keep(addresses)
+	p.poller.Retain(addresses)
 }
 
 // askAll starts a poll of each engine of this node's share that has none under
@@ -163,7 +163,7 @@
 		p.node.tell(router.LoadPollFailed{Upstream: id})
 		return
 	}
-	p.node.epochs.Note(address, report.Epoch)
+	p.node.epochs.Record(address, report.Epoch)
 	p.node.orderReported(report)
 	p.node.tell(seen)
 }
