--- a/adapter/upstream/attempt.go
+++ b/adapter/upstream/attempt.go
@@ -14,27 +14,29 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// Sink takes the events of attempts; it is called from the goroutine of Run.
+// Sink receives the events of attempts. Runner.Run calls it from its own goroutine.
 type Sink interface {
-	// AttemptStarted comes at most once an attempt, before AttemptEnded.
+	// AttemptStarted is called at most once per attempt, before AttemptEnded.
 	AttemptStarted(router.AttemptStarted)
-	// AttemptEnded comes exactly once an attempt, as its last event.
+	// AttemptEnded is called exactly once per attempt, as its last event.
 	AttemptEnded(router.AttemptEnded)
 }
 
-// Runner runs attempts. Any goroutine may call Run; attempts of one call must
-// not overlap.
+// Runner runs attempts at upstreams. Run may be called from any goroutine, but
+// attempts for the same call must not overlap.
 type Runner struct{ options Options }
 
-// New makes a Runner.
+// New returns a Runner with the given options.
 func New(o Options) *Runner { return &Runner{options: o.withDefaults()} }
 
-// Run runs one attempt to its end and tells the sink. Tokens go to c.Push, a
-// plain answer to c.SetAnswer. Cancelling ctx closes the connection and
-// cancels the request at its engine; AttemptEnded follows within the
-// runner's CancelTimeout. A rejoin never claims less than MaybeSent, since the
-// stream it asks for was sent before. A nil c means that the call is over;
-// nothing is sent for it.
+// Run runs one attempt until it ends and reports its events to the sink. Tokens are
+// passed to c.Push, the response of a plain service to c.SetAnswer. When ctx is
+// cancelled, Run closes the connection and cancels the request at its engine;
+// AttemptEnded then follows within Options.CancelTimeout.
+//
+// An attempt that rejoins a stream ends in phase MaybeSent at least, because the
+// request behind the stream was sent by an earlier attempt. A nil c means that the
+// call is over: Run then sends nothing.
 func (r *Runner) Run(ctx context.Context, send router.Send, c *call.Call, sink Sink) {
 	send.ConnectTimeout = defaults.Positive(send.ConnectTimeout, DefaultConnectTimeout)
 	send.StallAfter = defaults.Positive(send.StallAfter, DefaultStallAfter)
@@ -46,7 +48,7 @@
 	if c != nil {
 		f = a.run(ctx)
 	}
-	ended := a.ended(f)
+	ended := a.endedEvent(f)
 	r.options.Log.Debug().Str("request", string(send.ID)).Int("attempt", int(send.Attempt)).
 		Stringer("phase", ended.Phase).Str("reason", string(ended.Reason)).Str("detail", ended.Detail).
 		Msg("attempt ended")
@@ -60,87 +62,93 @@
 	call   *call.Call
 	sink   Sink
 	phase  outcome.Phase
-	// epoch is the engine's process life noted before the send.
+	// epoch is the epoch that was known for the engine just before the request was
+	// sent; empty if none was.
 	epoch string
 }
 
-// head is the engine or plain service that is called.
-func (a *attempt) head() topology.Engine { return a.send.Chain[0] }
+// target returns the upstream that is called: the first engine of the chain or the
+// plain service.
+func (a *attempt) target() topology.Engine { return a.send.Chain[0] }
 
-// reached raises the phase; it never falls, but for a refusal.
-func (a *attempt) reached(p outcome.Phase) { a.phase = max(a.phase, p) }
+// advance raises the phase to p; it never lowers it. Only markRefused does.
+func (a *attempt) advance(p outcome.Phase) { a.phase = max(a.phase, p) }
 
-// run makes the exchange, and the cancel where ctx ended it.
+// run sends the request, reads the response, and cancels the request at the engine
+// if the attempt was abandoned.
 func (a *attempt) run(ctx context.Context) *failure {
 	req, f := a.request()
 	if f != nil {
 		return f
 	}
-	l, err := dial(ctx, a.head().Address, a.send.ConnectTimeout, a.send.StallAfter)
+	conn, err := dial(ctx, a.target().Address, a.send.ConnectTimeout, a.send.StallAfter)
 	if err != nil {
 		return a.dialFailure(ctx, err)
 	}
-	f = a.exchange(ctx, l, req)
-	_ = l.Close() // the answer is read or given up
+	f = a.exchange(ctx, conn, req)
+	_ = conn.Close() // the response has been read or is abandoned
 	if f == nil || a.phase == outcome.NotSent || a.phase == outcome.Refused {
 		return f
 	}
-	return a.abandon(ctx, f)
+	return a.finishAbandoned(ctx, f)
 }
 
-// dialFailure tells a cancelled dial from a failed one.
+// dialFailure distinguishes a dial that ctx cancelled from one that failed.
 func (a *attempt) dialFailure(ctx context.Context, err error) *failure {
 	if ctx.Err() != nil {
-		return fail(outcome.Cancelled, ctx.Err())
+		return newFailure(outcome.Cancelled, ctx.Err())
 	}
-	return fail(outcome.ConnectFailed, err)
+	return newFailure(outcome.ConnectFailed, err)
 }
 
-// exchange writes the request and reads the answer on an open connection,
-// which ctx closes when it ends.
-func (a *attempt) exchange(ctx context.Context, l *link, req *fasthttp.Request) *failure {
-	stop := context.AfterFunc(ctx, closer(l.Conn))
+// exchange writes the request and reads the response on an open connection. The
+// connection is closed when ctx ends.
+func (a *attempt) exchange(ctx context.Context, conn *stallConn, req *fasthttp.Request) *failure {
+	stop := context.AfterFunc(ctx, closeFunc(conn.Conn))
 	defer stop()
 	if ctx.Err() != nil {
-		return fail(outcome.Cancelled, ctx.Err())
+		return newFailure(outcome.Cancelled, ctx.Err())
 	}
-	a.epoch = a.runner.options.Epochs.Get(a.head().Address)
-	a.reached(outcome.MaybeSent)
-	if err := l.send(req); err != nil {
-		return fail(l.reason(), err)
+	a.epoch = a.runner.options.Epochs.Get(a.target().Address)
+	a.advance(outcome.MaybeSent)
+	if err := conn.sendRequest(req); err != nil {
+		return newFailure(conn.failureReason(), err)
 	}
 	resp := &fasthttp.Response{}
 	resp.SkipBody = req.Header.IsHead()
-	if err := l.head(resp, a.runner.options.MaxHeadBytes); err != nil {
-		return fail(l.reason(), err)
+	if err := conn.readHead(resp, a.runner.options.MaxHeadBytes); err != nil {
+		return newFailure(conn.failureReason(), err)
 	}
 	if a.send.Model {
-		return a.model(ctx, l, resp)
+		return a.readModelResponse(ctx, conn, resp)
 	}
-	return a.plain(l, resp)
+	return a.readPlainResponse(conn, resp)
 }
 
-// closer gives a function that closes conn.
-func closer(conn net.Conn) func() {
+// closeFunc returns a function that closes conn.
+func closeFunc(conn net.Conn) func() {
 	return func() { _ = conn.Close() }
 }
 
-// start tells the sink that the upstream confirmed the start.
-func (a *attempt) start(epoch string) {
-	a.reached(outcome.Started)
+// markStarted records that the upstream confirmed the start, and reports it to the
+// sink.
+func (a *attempt) markStarted(epoch string) {
+	a.advance(outcome.Started)
 	a.sink.AttemptStarted(router.AttemptStarted{ID: a.send.ID, Attempt: a.send.Attempt, Epoch: epoch})
 }
 
-// refuse notes that the upstream positively refused before starting. A
-// refused rejoin says nothing about the stream it asked for.
-func (a *attempt) refuse() {
+// markRefused records that the upstream refused the request before starting it. A
+// refusal to rejoin proves nothing about the request behind the stream, so it
+// leaves the phase unchanged.
+func (a *attempt) markRefused() {
 	if a.send.Resume == nil {
 		a.phase = outcome.Refused
 	}
 }
 
-// ended makes the last event; f is nil after a whole answer.
-func (a *attempt) ended(f *failure) router.AttemptEnded {
+// endedEvent returns the last event of the attempt. f is nil after a complete
+// response.
+func (a *attempt) endedEvent(f *failure) router.AttemptEnded {
 	e := router.AttemptEnded{
 		ID:      a.send.ID,
 		Attempt: a.send.Attempt,
@@ -150,7 +158,7 @@
 		e.Tokens = a.call.Count()
 	}
 	if len(a.send.Chain) > 0 {
-		e.Upstream = a.head().ID
+		e.Upstream = a.target().ID
 	}
 	if f == nil {
 		return e
@@ -162,9 +170,10 @@
 	return e
 }
 
-// atFault gives the engine that an upstream blames, if the chain names it;
-// a rejoined chain is not known but for its head.
-func (a *attempt) atFault(engine string) ids.Upstream {
+// blamedEngine returns the ID of the engine that the upstream reports as failed, or
+// "" if the chain does not contain it. Of a rejoined stream only the first engine
+// may be known, so any name is accepted there.
+func (a *attempt) blamedEngine(engine string) ids.Upstream {
 	for _, e := range a.send.Chain {
 		if string(e.ID) == engine {
 			return e.ID
--- a/adapter/upstream/body.go
+++ b/adapter/upstream/body.go
@@ -9,16 +9,17 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// closeDelimited is fasthttp's content length of an answer that ends only
-// with its connection.
+// closeDelimited is fasthttp's content length of a response whose body ends only
+// when the connection closes.
 const closeDelimited = -2
 
-// readBlock is the most bytes of a body read at once.
-const readBlock = 32 << 10
+// readBlockBytes is the size of the buffer for one read of a body.
+const readBlockBytes = 32 << 10
 
-// readBody reads a whole body of at most limit bytes; every block read is
-// progress. An answer that may not have a body gives none.
-func readBody(l *link, resp *fasthttp.Response, limit int) ([]byte, error) {
+// readBody reads a complete body of at most limit bytes. Each read extends the read
+// deadline. It returns nil for a response that cannot have a body. Errors:
+// *TooLargeError, *UnframedError, or that of the connection.
+func readBody(conn *stallConn, resp *fasthttp.Response, limit int) ([]byte, error) {
 	stream := resp.BodyStream()
 	if stream == nil {
 		return nil, nil
@@ -30,15 +31,16 @@
 	if length > limit {
 		return nil, &TooLargeError{LimitBytes: limit}
 	}
-	return readAll(l, stream, max(length, 0), limit)
+	return readAll(conn, stream, max(length, 0), limit)
 }
 
-// readAll reads to the marked end of a body.
-func readAll(l *link, stream io.Reader, length, limit int) ([]byte, error) {
+// readAll reads until the end that the length or the last chunk marks. length is
+// the expected size, 0 if unknown.
+func readAll(conn *stallConn, stream io.Reader, length, limit int) ([]byte, error) {
 	body := make([]byte, 0, length)
-	block := make([]byte, readBlock)
+	block := make([]byte, readBlockBytes)
 	for {
-		l.progress()
+		conn.extendReadDeadline()
 		n, err := stream.Read(block)
 		if len(body)+n > limit {
 			return nil, &TooLargeError{LimitBytes: limit}
@@ -53,16 +55,17 @@
 	}
 }
 
-// bodyReason tells what a failed read of a body means.
-func bodyReason(l *link, err error) outcome.Reason {
-	var size *TooLargeError
-	var unbounded *UnframedError
+// bodyFailureReason returns the reason for a failed attempt after readBody or an
+// event reader returned err.
+func bodyFailureReason(conn *stallConn, err error) outcome.Reason {
+	var tooLarge *TooLargeError
+	var unframed *UnframedError
 	switch {
-	case errors.As(err, &size):
+	case errors.As(err, &tooLarge):
 		return outcome.UpstreamInvalid
-	case errors.As(err, &unbounded), errors.Is(err, io.EOF):
+	case errors.As(err, &unframed), errors.Is(err, io.EOF):
 		return outcome.UpstreamLost
 	default:
-		return l.reason()
+		return conn.failureReason()
 	}
 }
--- a/adapter/upstream/control.go
+++ b/adapter/upstream/control.go
@@ -12,15 +12,15 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// controlTimeout bounds a control call whose context has no deadline.
+// controlTimeout bounds a control call, in addition to the deadline of its context.
 const controlTimeout = 2 * time.Second
 
-// maxControl is the most bytes of a control call's answer.
-const maxControl = 256 << 10
+// maxControlBytes limits the response body of a control call or a load poll.
+const maxControlBytes = 256 << 10
 
-// Cancel cancels a request at the engine that is its head, on a connection of
-// its own. Errors: *CallError, *StatusError, *AnswerError; the request's fate
-// is then not known. Any goroutine may call it.
+// Cancel cancels a request at the first engine of its chain, over a new connection.
+// Errors: *CallError, *StatusError, *InvalidReplyError; after any of them the
+// request may still be running. Cancel may be called from any goroutine.
 func Cancel(ctx context.Context, address string, request ids.Request) (engineapi.CancelReply, error) {
 	var reply engineapi.CancelReply
 	err := control(ctx, fasthttp.MethodDelete, address, streamPath(request), &reply)
@@ -30,18 +30,18 @@
 	return reply, err
 }
 
-// control makes one call and decodes its JSON answer.
+// control makes one call without a body and decodes its JSON reply.
 func control(ctx context.Context, method, address, uri string, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	l, err := dial(ctx, address, controlTimeout, controlTimeout)
+	conn, err := dial(ctx, address, controlTimeout, controlTimeout)
 	if err != nil {
 		return &CallError{Address: address, Cause: err}
 	}
-	defer func() { _ = l.Close() }()
-	stop := context.AfterFunc(ctx, closer(l.Conn))
+	defer func() { _ = conn.Close() }()
+	stop := context.AfterFunc(ctx, closeFunc(conn.Conn))
 	defer stop()
-	status, body, err := roundTrip(l, newRequest(method, address, uri))
+	status, body, err := roundTrip(conn, newRequest(method, address, uri))
 	if err != nil {
 		return &CallError{Address: address, Cause: err}
 	}
@@ -54,31 +54,34 @@
 	return nil
 }
 
-// roundTrip sends a request and reads its whole answer.
-func roundTrip(l *link, req *fasthttp.Request) (int, []byte, error) {
-	if err := l.send(req); err != nil {
+// roundTrip sends a request and returns the status and the complete body of the
+// response.
+func roundTrip(conn *stallConn, req *fasthttp.Request) (int, []byte, error) {
+	if err := conn.sendRequest(req); err != nil {
 		return 0, nil, err
 	}
 	resp := &fasthttp.Response{}
-	if err := l.head(resp, DefaultMaxHeadBytes); err != nil {
+	if err := conn.readHead(resp, DefaultMaxHeadBytes); err != nil {
 		return 0, nil, err
 	}
-	body, err := readBody(l, resp, maxControl)
+	body, err := readBody(conn, resp, maxControlBytes)
 	return resp.StatusCode(), body, err
 }
 
-// statusError reads the Refusal of an answer other than 200, if it has one.
+// statusError returns the error for a status other than 200, with the code of the
+// Refusal in the body if there is one.
 func statusError(status int, body []byte) error {
 	var refusal engineapi.Refusal
-	_ = json.Unmarshal(body, &refusal) // without one the code stays empty
+	_ = json.Unmarshal(body, &refusal) // without a refusal the code stays empty
 	return &StatusError{Status: status, Code: refusal.Code}
 }
 
-// abandon ends an attempt that failed after its send may have arrived: when
-// ctx was cancelled or the caller takes no more, the engine is told too.
-func (a *attempt) abandon(ctx context.Context, f *failure) *failure {
+// finishAbandoned completes an attempt that failed after its request may have
+// reached the engine. If ctx was cancelled or the caller stopped taking tokens, it
+// cancels the request at the engine too.
+func (a *attempt) finishAbandoned(ctx context.Context, f *failure) *failure {
 	if ctx.Err() != nil {
-		f = fail(outcome.Cancelled, ctx.Err())
+		f = newFailure(outcome.Cancelled, ctx.Err())
 		f.abandoned = true
 	}
 	if f.abandoned {
@@ -87,8 +90,9 @@
 	return f
 }
 
-// cancelUpstream cancels the work at a model engine. Plain services have no
-// cancel, and a rejoined stream of another request may have other readers.
+// cancelUpstream cancels the request at a model engine and appends the result to
+// the detail of f. It does nothing for plain services, which have no cancel call,
+// and for a rejoined stream of another request, which may have other readers.
 func (a *attempt) cancelUpstream(f *failure) {
 	resume := a.send.Resume
 	if !a.send.Model || (resume != nil && resume.Request != a.send.ID) {
@@ -96,20 +100,21 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), a.runner.options.CancelTimeout)
 	defer cancel()
-	reply, err := Cancel(ctx, a.head().Address, a.send.ID)
+	reply, err := Cancel(ctx, a.target().Address, a.send.ID)
 	if err != nil {
 		f.detail += ": " + err.Error()
 		return
 	}
 	f.detail += ": " + reply.State
-	a.runner.options.Epochs.Record(a.head().Address, reply.Epoch)
+	a.runner.options.Epochs.Record(a.target().Address, reply.Epoch)
 	if a.provesNotRun(reply) {
-		a.refuse()
+		a.markRefused()
 	}
 }
 
-// provesNotRun reports whether a cancel met a request that never started, in
-// the process life that it was sent to.
+// provesNotRun reports whether the reply to a cancel proves that the request never
+// ran: the engine had not started it and is still in the epoch in which the request
+// was sent.
 func (a *attempt) provesNotRun(reply engineapi.CancelReply) bool {
 	return a.phase == outcome.MaybeSent &&
 		reply.State == engineapi.CancelNotStarted &&
--- a/adapter/upstream/control_test.go
+++ b/adapter/upstream/control_test.go
@@ -22,17 +22,17 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// holding answers a request with parts, then waits for the close; a DELETE it
-// answers with reply. onPost is called when a request came.
-func holding(reply string, onPost func(), parts ...string) script {
+// respondAndWait writes parts in response to a request, calls onPost and waits
+// until the client closes the connection. It writes reply in response to a DELETE.
+func respondAndWait(reply string, onPost func(), parts ...string) script {
 	return func(conn net.Conn, req *fasthttp.Request) {
 		if req.Header.IsDelete() {
-			answer(reply)(conn, req)
+			respond(reply)(conn, req)
 			return
 		}
-		answer(parts...)(conn, req)
+		respond(parts...)(conn, req)
 		onPost()
-		_, _ = conn.Read(make([]byte, 1)) // until the other side closes
+		_, _ = conn.Read(make([]byte, 1)) // until the client closes the connection
 	}
 }
 
@@ -57,7 +57,7 @@
 			if test.head {
 				s.onStart, onPost, parts = cancel, func() {}, []string{streamHead}
 			}
-			f := newFake(t, holding(test.reply, onPost, parts...))
+			f := newFake(t, respondAndWait(test.reply, onPost, parts...))
 			r := New(Options{})
 			r.options.Epochs.Record(f.address, test.noted)
 			e := runOne(t, ctx, r, modelSend(f.address), chatCall(), s)
@@ -69,7 +69,7 @@
 }
 
 func TestCancelBeforeSendWritesNothing(t *testing.T) {
-	f := newFake(t, answer())
+	f := newFake(t, respond())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	e := runOne(t, ctx, New(Options{}), modelSend(f.address), chatCall(), &sink{})
@@ -80,7 +80,7 @@
 
 func TestSlowCallerCancelsItsWork(t *testing.T) {
 	stopped := jsonAnswer(engineapi.CancelReply{State: engineapi.CancelStopped})
-	f := newFake(t, holding(stopped, func() {}, streamHead, tokChunk(tok(0)), tokChunk(tok(1))))
+	f := newFake(t, respondAndWait(stopped, func() {}, streamHead, tokChunk(tok(0)), tokChunk(tok(1))))
 	c := call.New("r1", call.Options{Capacity: 1, StallAfter: 1})
 	c.Chat = chatCall().Chat
 	e := runOne(t, t.Context(), New(Options{}), modelSend(f.address), c, &sink{})
@@ -91,7 +91,7 @@
 
 func TestRejoin(t *testing.T) {
 	one := func(index, attempt int) string {
-		return edited(index, func(t *engineapi.Token) { t.Attempt = attempt })
+		return editedTokChunk(index, func(t *engineapi.Token) { t.Attempt = attempt })
 	}
 	done := chunk("event: done\ndata: " + asJSON(engineapi.Done{Attempt: 5, Tokens: 2}) + "\n\n")
 	for name, test := range map[string]struct {
@@ -100,15 +100,15 @@
 		phase  outcome.Phase
 		reason outcome.Reason
 	}{
-		"rest":             {answer(streamHead, one(1, 5), done), "e1", outcome.Finished, ""},
-		"epoch not known":  {answer(streamHead, one(1, 5), done), "", outcome.Finished, ""},
-		"other epoch":      {answer(streamHead, one(1, 5), done), "e0", outcome.MaybeSent, outcome.UpstreamRefused},
-		"not found":        {answer(refusal(404, engineapi.Refusal{Code: engineapi.CodeNotFound})), "e1", outcome.MaybeSent, outcome.UpstreamRefused},
-		"refused":          {answer(refusal(503, engineapi.Refusal{Code: engineapi.CodeBusy})), "e1", outcome.MaybeSent, outcome.UpstreamBusy},
-		"delivered again":  {answer(streamHead, one(0, 5)), "e1", outcome.Started, outcome.LedgerViolation},
-		"lost":             {answer(streamHead, one(1, 5)), "e1", outcome.Started, outcome.UpstreamLost},
-		"other attempt":    {answer(streamHead, one(1, 4), lastOfChunks), "e1", outcome.Started, outcome.UpstreamLost},
-		"not from the run": {answer("HTTP/1.1 502 X\r\nContent-Length: 0\r\n\r\n"), "e1", outcome.MaybeSent, outcome.UpstreamInvalid},
+		"rest":             {respond(streamHead, one(1, 5), done), "e1", outcome.Finished, ""},
+		"epoch not known":  {respond(streamHead, one(1, 5), done), "", outcome.Finished, ""},
+		"other epoch":      {respond(streamHead, one(1, 5), done), "e0", outcome.MaybeSent, outcome.UpstreamRefused},
+		"not found":        {respond(refusal(404, engineapi.Refusal{Code: engineapi.CodeNotFound})), "e1", outcome.MaybeSent, outcome.UpstreamRefused},
+		"refused":          {respond(refusal(503, engineapi.Refusal{Code: engineapi.CodeBusy})), "e1", outcome.MaybeSent, outcome.UpstreamBusy},
+		"delivered again":  {respond(streamHead, one(0, 5)), "e1", outcome.Started, outcome.LedgerViolation},
+		"lost":             {respond(streamHead, one(1, 5)), "e1", outcome.Started, outcome.UpstreamLost},
+		"other attempt":    {respond(streamHead, one(1, 4), lastChunk), "e1", outcome.Started, outcome.UpstreamLost},
+		"not from the run": {respond("HTTP/1.1 502 X\r\nContent-Length: 0\r\n\r\n"), "e1", outcome.MaybeSent, outcome.UpstreamInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFake(t, test.script)
@@ -128,7 +128,7 @@
 func TestCancelledRejoinLeavesOthersStream(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f := newFake(t, holding("", func() {}, streamHead))
+	f := newFake(t, respondAndWait("", func() {}, streamHead))
 	send := modelSend(f.address)
 	send.Resume = &router.Resume{Request: "r0", Attempt: 1}
 	e := runOne(t, ctx, New(Options{}), send, chatCall(), &sink{onStart: cancel})
@@ -141,13 +141,13 @@
 	f := newFake(t, func(conn net.Conn, req *fasthttp.Request) {
 		switch string(req.Header.RequestURI()) {
 		case engineapi.LoadPath:
-			answer(jsonAnswer(engineapi.LoadReport{Engine: "e1", Epoch: "x"}))(conn, req)
+			respond(jsonAnswer(engineapi.LoadReport{Engine: "e1", Epoch: "x"}))(conn, req)
 		case "/v1/streams/a%2Fb":
-			answer(jsonAnswer(engineapi.CancelReply{State: engineapi.CancelFinished}))(conn, req)
+			respond(jsonAnswer(engineapi.CancelReply{State: engineapi.CancelFinished}))(conn, req)
 		case "/v1/streams/gone":
-			answer(refusal(404, engineapi.Refusal{Code: engineapi.CodeNotFound}))(conn, req)
+			respond(refusal(404, engineapi.Refusal{Code: engineapi.CodeNotFound}))(conn, req)
 		default:
-			answer(okBody("{}"))(conn, req)
+			respond(okBody("{}"))(conn, req)
 		}
 	})
 	ctx := t.Context()
@@ -161,15 +161,15 @@
 	}
 	var status *StatusError
 	if _, err := Cancel(ctx, f.address, "gone"); !errors.As(err, &status) || status.Status != 404 || status.Code != engineapi.CodeNotFound {
-		t.Fatalf("gone: %v", err)
+		t.Fatalf("cancel of an unknown request: got %v, want a *StatusError", err)
 	}
-	var nonsense *InvalidReplyError
-	if _, err := Cancel(ctx, f.address, "odd"); !errors.As(err, &nonsense) {
-		t.Fatalf("odd: %v", err)
+	var invalid *InvalidReplyError
+	if _, err := Cancel(ctx, f.address, "odd"); !errors.As(err, &invalid) {
+		t.Fatalf("reply without a state: got %v, want an *InvalidReplyError", err)
 	}
 	var failed *CallError
 	if _, err := poller.Fetch(ctx, "name:1"); !errors.As(err, &failed) {
-		t.Fatalf("name: %v", err)
+		t.Fatalf("address with a host name: got %v, want a *CallError", err)
 	}
 }
 
--- a/adapter/upstream/events.go
+++ b/adapter/upstream/events.go
@@ -6,22 +6,23 @@
 	"errors"
 )
 
-// event is one server-sent event. data holds until the next one is read.
+// event is one server-sent event. data is valid until the next event is read.
 type event struct {
 	name string
 	id   string
 	data []byte
 }
 
-// eventReader reads the events of a text/event-stream of at most max bytes each.
+// eventReader reads the events of a text/event-stream.
 type eventReader struct {
-	lines *bufio.Reader
-	max   int
-	data  []byte
+	lines    *bufio.Reader
+	maxBytes int
+	data     []byte
 }
 
-// next reads one event that has data or a name. Errors: io.EOF when the
-// stream ended, within an event or not, *SizeError, or the reader's own.
+// next returns the next event that has data or a name. Errors: io.EOF if the stream
+// ended, even within an event; *TooLargeError if the event exceeds maxBytes; or
+// that of the underlying reader.
 func (r *eventReader) next() (event, error) {
 	e := event{}
 	r.data = r.data[:0]
@@ -32,26 +33,26 @@
 			return event{}, err
 		}
 		size += len(line)
-		if size > r.max {
-			return event{}, &TooLargeError{LimitBytes: r.max}
+		if size > r.maxBytes {
+			return event{}, &TooLargeError{LimitBytes: r.maxBytes}
 		}
 		if len(line) > 0 {
-			r.field(&e, line)
+			r.addField(&e, line)
 			continue
 		}
 		if len(r.data) > 0 || e.name != "" {
 			e.data = r.data
 			return e, nil
 		}
-		e, size = event{}, 0 // nothing but comments
+		e, size = event{}, 0 // only comments so far
 	}
 }
 
-// line reads one line without its end.
+// line returns one line without its line ending.
 func (r *eventReader) line() ([]byte, error) {
 	line, err := r.lines.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, &TooLargeError{LimitBytes: r.max}
+		return nil, &TooLargeError{LimitBytes: r.maxBytes}
 	}
 	if err != nil {
 		return nil, err
@@ -59,8 +60,8 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte{'\r'}), nil
 }
 
-// field takes one line into e; comments and unknown fields are ignored.
-func (r *eventReader) field(e *event, line []byte) {
+// addField adds the field in a line to e. Comments and unknown fields are ignored.
+func (r *eventReader) addField(e *event, line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
--- a/adapter/upstream/fake_test.go
+++ b/adapter/upstream/fake_test.go
@@ -19,11 +19,12 @@
 	"mimosaarch.example/decide/topology"
 )
 
-// testStall is long, so that only the tests of stalls meet it.
+// testStall is too long to end an attempt in tests that are not about stalls.
 const testStall = 30 * time.Second
 
-// fake is an upstream that records each request and answers by a script; the
-// connection closes when the script returns.
+// fake is an upstream that records each request and runs a script for it. It
+// half-closes the connection after the script, so that a second request on it would
+// still be recorded.
 type fake struct {
 	address string
 	mu      sync.Mutex
@@ -32,11 +33,14 @@
 	wg      sync.WaitGroup
 }
 
-// script answers one request; req is nil when noRead is set.
+// script writes the response to one request; req is nil if the fake does not read
+// requests.
 type script func(conn net.Conn, req *fasthttp.Request)
 
 func newFake(t *testing.T, s script) *fake { return startFake(t, s, false) }
 
+// startFake starts a fake and stops it at the end of the test. With noRead it runs
+// the script without reading a request.
 func startFake(t *testing.T, s script, noRead bool) *fake {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,7 +79,7 @@
 		f.mu.Unlock()
 		s(conn, req)
 		if half, ok := conn.(*net.TCPConn); ok {
-			_ = half.CloseWrite() // a second request on this connection would still be seen
+			_ = half.CloseWrite()
 		}
 	}
 }
@@ -92,8 +96,8 @@
 	return f.seen[0]
 }
 
-// answer gives a script that writes these parts.
-func answer(parts ...string) script {
+// respond returns a script that writes the given parts.
+func respond(parts ...string) script {
 	return func(conn net.Conn, _ *fasthttp.Request) {
 		for _, p := range parts {
 			_, _ = conn.Write([]byte(p))
@@ -103,7 +107,7 @@
 
 const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nMimosa-Engine-Epoch: e1\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-const lastOfChunks = "0\r\n\r\n"
+const lastChunk = "0\r\n\r\n"
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
@@ -134,7 +138,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// modelSend gives a send of two stages, the head at address.
+// modelSend returns a router.Send for a chain of two stages, the first at address.
 func modelSend(address string) router.Send {
 	return router.Send{
 		ID: "r1", Attempt: 2, Model: true, Layers: 8, Remaining: time.Second, StallAfter: testStall,
@@ -167,7 +171,8 @@
 }
 func (s *sink) AttemptEnded(e router.AttemptEnded) { s.ended = append(s.ended, e) }
 
-// runOne runs an attempt and gives its end; exactly one must come.
+// runOne runs an attempt and returns its AttemptEnded event. It fails the test
+// unless there is exactly one.
 func runOne(t *testing.T, ctx context.Context, r *Runner, send router.Send, c *call.Call, s *sink) router.AttemptEnded {
 	t.Helper()
 	r.Run(ctx, send, c, s)
@@ -177,7 +182,7 @@
 	return e
 }
 
-// must, equal and failIf end the test.
+// must, equal and failIf stop the test on failure.
 func must(t *testing.T, err error) {
 	t.Helper()
 	failIf(t, err != nil, "%v", err)
--- a/adapter/upstream/model.go
+++ b/adapter/upstream/model.go
@@ -18,26 +18,27 @@
 	"mimosaarch.example/decide/ledger"
 )
 
-// model reads a model engine's answer.
-func (a *attempt) model(ctx context.Context, l *link, resp *fasthttp.Response) *failure {
+// readModelResponse reads the response of a model engine.
+func (a *attempt) readModelResponse(ctx context.Context, conn *stallConn, resp *fasthttp.Response) *failure {
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return a.modelRefusal(l, resp)
+		return a.readModelRefusal(conn, resp)
 	}
 	if f := a.checkHead(resp); f != nil {
 		return f
 	}
 	epoch := string(resp.Header.Peek(engineapi.EpochHeader))
-	a.runner.options.Epochs.Record(a.head().Address, epoch)
-	a.start(epoch)
-	book := a.ledger()
-	defer func() { a.runner.options.CountStale(book.Stale()) }()
-	return a.stream(ctx, l, resp.BodyStream(), book)
+	a.runner.options.Epochs.Record(a.target().Address, epoch)
+	a.markStarted(epoch)
+	led := a.newLedger()
+	defer func() { a.runner.options.CountStale(led.Stale()) }()
+	return a.readStream(ctx, conn, resp.BodyStream(), led)
 }
 
-// checkHead checks that a confirmed start is the one asked for.
+// checkHead checks that the headers of a response with status 200 belong to the
+// expected attempt and, for a rejoined stream, to the expected epoch.
 func (a *attempt) checkHead(resp *fasthttp.Response) *failure {
 	got := string(resp.Header.Peek(engineapi.AttemptHeader))
-	if got != "" && got != strconv.Itoa(int(a.wantAttempt())) {
+	if got != "" && got != strconv.Itoa(int(a.expectedAttempt())) {
 		return &failure{reason: outcome.UpstreamInvalid, detail: "answer belongs to attempt " + got}
 	}
 	resume := a.send.Resume
@@ -50,43 +51,45 @@
 	return nil
 }
 
-// wantAttempt is the attempt whose tokens are taken.
-func (a *attempt) wantAttempt() ids.Attempt {
+// expectedAttempt returns the number of the attempt whose tokens are accepted: for
+// a rejoined stream that of the attempt which started it.
+func (a *attempt) expectedAttempt() ids.Attempt {
 	if a.send.Resume != nil {
 		return a.send.Resume.Attempt
 	}
 	return a.send.Attempt
 }
 
-// ledger makes the attempt's ledger; of a rejoined stream perhaps only the
-// head is known.
-func (a *attempt) ledger() *ledger.Ledger {
+// newLedger returns the ledger that checks the tokens of the attempt. Of a rejoined
+// stream only the first engine may be known; its ledger then takes the chain from
+// the first token.
+func (a *attempt) newLedger() *ledger.Ledger {
 	reorder := a.runner.options.ReorderWindow
 	if a.send.Resume != nil && !a.send.Chain.Tiles(a.send.Layers) {
-		return ledger.NewRejoin(a.head().ID, a.send.Layers, a.wantAttempt(), a.call.Count(), reorder)
+		return ledger.NewRejoin(a.target().ID, a.send.Layers, a.expectedAttempt(), a.call.Count(), reorder)
 	}
-	return ledger.New(a.send.Chain, a.send.Layers, a.wantAttempt(), a.call.Count(), reorder)
+	return ledger.New(a.send.Chain, a.send.Layers, a.expectedAttempt(), a.call.Count(), reorder)
 }
 
-// modelRefusal reads an answer other than 200. Only a whole Refusal body is a
-// positive refusal.
-func (a *attempt) modelRefusal(l *link, resp *fasthttp.Response) *failure {
+// readModelRefusal reads a response with a status other than 200. Only a complete
+// Refusal body proves that the engine refused the request.
+func (a *attempt) readModelRefusal(conn *stallConn, resp *fasthttp.Response) *failure {
 	if a.send.Resume != nil && resp.StatusCode() == fasthttp.StatusNotFound {
 		return &failure{reason: outcome.UpstreamRefused, detail: "not found"}
 	}
-	body, err := readBody(l, resp, a.runner.options.MaxBodyBytes)
+	body, err := readBody(conn, resp, a.runner.options.MaxBodyBytes)
 	if err != nil {
-		return fail(bodyReason(l, err), err)
+		return newFailure(bodyFailureReason(conn, err), err)
 	}
 	var refusal engineapi.Refusal
 	if json.Unmarshal(body, &refusal) != nil || refusal.Code == "" {
 		return &failure{reason: outcome.UpstreamInvalid, detail: "status " + strconv.Itoa(resp.StatusCode()) + " without a refusal"}
 	}
-	a.refuse()
+	a.markRefused()
 	return refusalFailure(refusal, resp)
 }
 
-// refusalFailure tells what a refusal says.
+// refusalFailure returns the failure for a refusal.
 func refusalFailure(refusal engineapi.Refusal, resp *fasthttp.Response) *failure {
 	f := &failure{reason: outcome.UpstreamRefused, detail: refusal.Code, retryAfter: retryAfter(refusal, resp)}
 	if refusal.Message != "" {
@@ -98,7 +101,8 @@
 	return f
 }
 
-// retryAfter takes the body's advice, else the header's in whole seconds.
+// retryAfter returns the delay given in the body of a refusal, or else that of the
+// Retry-After header in whole seconds. It returns 0 if there is neither.
 func retryAfter(refusal engineapi.Refusal, resp *fasthttp.Response) time.Duration {
 	if refusal.RetryAfterMs > 0 {
 		return time.Duration(refusal.RetryAfterMs) * time.Millisecond
@@ -110,42 +114,44 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// stream reads events until one ends the attempt. Only a token that was taken
-// counts as progress.
-func (a *attempt) stream(ctx context.Context, l *link, body io.Reader, book *ledger.Ledger) *failure {
-	events := &eventReader{lines: bufio.NewReaderSize(body, a.runner.options.MaxEventBytes), max: a.runner.options.MaxEventBytes}
-	l.progress()
+// readStream reads events until one of them ends the attempt. Only an accepted
+// token extends the read deadline.
+func (a *attempt) readStream(ctx context.Context, conn *stallConn, body io.Reader, led *ledger.Ledger) *failure {
+	events := &eventReader{lines: bufio.NewReaderSize(body, a.runner.options.MaxEventBytes), maxBytes: a.runner.options.MaxEventBytes}
+	conn.extendReadDeadline()
 	for a.phase != outcome.Finished {
 		e, err := events.next()
 		if err != nil {
-			return fail(bodyReason(l, err), err)
+			return newFailure(bodyFailureReason(conn, err), err)
 		}
-		if f := a.event(ctx, l, e, book); f != nil {
+		if f := a.handleEvent(ctx, conn, e, led); f != nil {
 			return f
 		}
 	}
 	return nil
 }
 
-// event takes one event of the stream. Events of unknown names are ignored.
-func (a *attempt) event(ctx context.Context, l *link, e event, book *ledger.Ledger) *failure {
+// handleEvent handles one event of the stream. Events with unknown names are
+// ignored.
+func (a *attempt) handleEvent(ctx context.Context, conn *stallConn, e event, led *ledger.Ledger) *failure {
 	switch e.name {
 	case "", "message":
-		return a.token(ctx, l, e, book)
+		return a.handleToken(ctx, conn, e, led)
 	case engineapi.DoneEvent:
-		return a.done(e, book)
+		return a.handleDone(e, led)
 	case engineapi.ErrorEvent:
-		return a.streamError(e)
+		return a.handleStreamError(e)
 	default:
 		return nil
 	}
 }
 
-// token passes a token through the ledger to the caller.
-func (a *attempt) token(ctx context.Context, l *link, e event, book *ledger.Ledger) *failure {
+// handleToken checks a token against the ledger and passes the tokens that are now
+// in order to the caller.
+func (a *attempt) handleToken(ctx context.Context, conn *stallConn, e event, led *ledger.Ledger) *failure {
 	var t engineapi.Token
 	if err := json.Unmarshal(e.data, &t); err != nil {
-		return fail(outcome.UpstreamInvalid, err)
+		return newFailure(outcome.UpstreamInvalid, err)
 	}
 	if e.id != "" && e.id != strconv.Itoa(t.Index) {
 		return &failure{reason: outcome.UpstreamInvalid, detail: "event id " + strconv.Quote(e.id) + " is not the token's index"}
@@ -153,26 +159,26 @@
 	if limit := a.call.Chat.MaxTokens; limit > 0 && t.Index >= limit {
 		return &failure{reason: outcome.UpstreamInvalid, detail: "more tokens than asked for"}
 	}
-	stale := book.Stale()
-	ready, err := book.Accept(t)
+	stale := led.Stale()
+	ready, err := led.Accept(t)
 	if err != nil {
-		return a.violation(err)
+		return a.ledgerFailure(err)
 	}
 	for _, r := range ready {
 		if err := a.call.Push(ctx, r); err != nil {
 			return pushFailure(err)
 		}
 	}
-	if book.Stale() == stale {
-		l.progress()
+	if led.Stale() == stale {
+		conn.extendReadDeadline()
 	}
 	return nil
 }
 
-// violation makes a ledger's failure. An engine of the chain that ran its own
-// stage with wrong layers is at fault.
-func (a *attempt) violation(err error) *failure {
-	f := fail(outcome.LedgerViolation, err)
+// ledgerFailure returns the failure for a token that the ledger rejected. It blames
+// an engine of the chain if that engine ran wrong layers in its own stage.
+func (a *attempt) ledgerFailure(err error) *failure {
+	f := newFailure(outcome.LedgerViolation, err)
 	var steps *ledger.StepsError
 	if errors.As(err, &steps) && steps.Stage < len(a.send.Chain) {
 		if e := a.send.Chain[steps.Stage]; string(e.ID) == steps.Got.Engine {
@@ -182,49 +188,50 @@
 	return f
 }
 
-// pushFailure tells why the caller's side took no token.
+// pushFailure returns the failure for a token that the call did not take: the
+// caller was too slow or is gone, or ctx ended.
 func pushFailure(err error) *failure {
 	reason := outcome.Cancelled
 	var slow *call.SlowError
 	if errors.As(err, &slow) {
 		reason = outcome.CallerGone
 	}
-	f := fail(reason, err)
+	f := newFailure(reason, err)
 	f.abandoned = true
 	return f
 }
 
-// done takes the end marker.
-func (a *attempt) done(e event, book *ledger.Ledger) *failure {
+// handleDone handles the end marker. One of another attempt is ignored.
+func (a *attempt) handleDone(e event, led *ledger.Ledger) *failure {
 	var d engineapi.Done
 	if err := json.Unmarshal(e.data, &d); err != nil {
-		return fail(outcome.UpstreamInvalid, err)
+		return newFailure(outcome.UpstreamInvalid, err)
 	}
-	err := book.Done(d)
+	err := led.Done(d)
 	var stale *ledger.StaleError
 	if errors.As(err, &stale) {
 		return nil
 	}
 	if err != nil {
-		return fail(outcome.LedgerViolation, err)
+		return newFailure(outcome.LedgerViolation, err)
 	}
 	a.call.SetFinishReason(d.Finish)
-	a.reached(outcome.Finished)
+	a.advance(outcome.Finished)
 	return nil
 }
 
-// streamError takes the event that ends a stream which could not be finished;
-// one of another attempt is dropped.
-func (a *attempt) streamError(e event) *failure {
+// handleStreamError handles the event with which an engine ends a stream early. One
+// of another attempt is ignored.
+func (a *attempt) handleStreamError(e event) *failure {
 	var s engineapi.StreamError
 	if err := json.Unmarshal(e.data, &s); err != nil {
-		return fail(outcome.UpstreamInvalid, err)
+		return newFailure(outcome.UpstreamInvalid, err)
 	}
-	if ids.Attempt(s.Attempt) != a.wantAttempt() {
+	if ids.Attempt(s.Attempt) != a.expectedAttempt() {
 		a.runner.options.CountStale(1)
 		return nil
 	}
-	f := &failure{reason: outcome.StageFailed, detail: s.Code, upstream: a.atFault(s.Engine)}
+	f := &failure{reason: outcome.StageFailed, detail: s.Code, upstream: a.blamedEngine(s.Engine)}
 	if s.Code == engineapi.CodeCancelled {
 		f.reason = outcome.Cancelled
 	}
--- a/adapter/upstream/model_test.go
+++ b/adapter/upstream/model_test.go
@@ -18,8 +18,8 @@
 	"mimosaarch.example/decide/router"
 )
 
-func TestModelAnswerIsWholeAndGoesOnAfterDelivered(t *testing.T) {
-	f := newFake(t, answer(streamHead, tokChunk(tok(2)), tokChunk(tok(1)), doneChunk(3)))
+func TestModelAnswerContinuesAfterDeliveredTokens(t *testing.T) {
+	f := newFake(t, respond(streamHead, tokChunk(tok(2)), tokChunk(tok(1)), doneChunk(3)))
 	c := chatCall()
 	must(t, c.Push(t.Context(), engineapi.Token{Index: 0, Text: "t0"}))
 	s := &sink{}
@@ -40,7 +40,7 @@
 	}
 }
 
-func edited(index int, edit func(*engineapi.Token)) string {
+func editedTokChunk(index int, edit func(*engineapi.Token)) string {
 	t := tok(index)
 	edit(&t)
 	return tokChunk(t)
@@ -60,35 +60,35 @@
 		tokens   int
 		retry    time.Duration
 	}{
-		"busy":               {answer(refusal(503, engineapi.Refusal{Code: engineapi.CodeBusy, RetryAfterMs: 70})), outcome.Refused, outcome.UpstreamBusy, "e1", 0, 70 * time.Millisecond},
-		"leaving":            {answer(refusal(503, engineapi.Refusal{Code: engineapi.CodeLeaving})), outcome.Refused, outcome.UpstreamRefused, "e1", 0, 0},
-		"no refusal":         {answer("HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}"), outcome.MaybeSent, outcome.UpstreamInvalid, "e1", 0, 0},
-		"refusal cut":        {answer("HTTP/1.1 503 X\r\nContent-Length: 99\r\n\r\n{\"code\":\"busy\"}"), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
-		"refusal unbounded":  {answer("HTTP/1.1 503 X\r\n\r\n{\"code\":\"busy\"}"), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
-		"closed after read":  {answer(), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
-		"half a head":        {answer("HTTP/1.1 200 OK\r\nConten"), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
-		"not HTTP":           {answer("hello\r\n\r\n"), outcome.MaybeSent, outcome.UpstreamInvalid, "e1", 0, 0},
-		"other attempt":      {answer("HTTP/1.1 200 OK\r\nMimosa-Attempt: 1\r\n\r\n"), outcome.MaybeSent, outcome.UpstreamInvalid, "e1", 0, 0},
-		"closed after start": {answer(streamHead), outcome.Started, outcome.UpstreamLost, "e1", 0, 0},
-		"no end marker":      {answer(streamHead, tokChunk(tok(0)), lastOfChunks), outcome.Started, outcome.UpstreamLost, "e1", 1, 0},
-		"cut in a chunk":     {answer(streamHead, tokChunk(tok(0)), cut[:len(cut)-9]), outcome.Started, outcome.UpstreamLost, "e1", 1, 0},
-		"cut in an event":    {answer(streamHead, chunk("data: "+asJSON(tok(0))+"\n"), lastOfChunks), outcome.Started, outcome.UpstreamLost, "e1", 0, 0},
-		"bad chunk":          {answer(streamHead, "zz\r\n"), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
-		"nonsense":           {answer(streamHead, chunk("data: {]\n\n")), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
-		"wrong id":           {answer(streamHead, chunk("id: 4\ndata: "+asJSON(tok(0))+"\n\n")), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
-		"large event":        {answer(streamHead, chunk("data: "+strings.Repeat("x", 5000)+"\n\n")), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
-		"too many tokens":    {answer(streamHead, tokChunk(tok(8))), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
-		"wrong engine":       {answer(streamHead, tokChunk(tok(0)), edited(1, func(t *engineapi.Token) { t.Steps[1].Engine = "e3" })), outcome.Started, outcome.LedgerViolation, "e1", 1, 0},
-		"missing layer":      {answer(streamHead, edited(0, func(t *engineapi.Token) { t.Steps[1].First = 5 })), outcome.Started, outcome.LedgerViolation, "e2", 0, 0},
-		"repeated":           {answer(streamHead, tokChunk(tok(0)), tokChunk(tok(0))), outcome.Started, outcome.LedgerViolation, "e1", 1, 0},
-		"gap at the end":     {answer(streamHead, tokChunk(tok(1)), doneChunk(2)), outcome.Started, outcome.LedgerViolation, "e1", 0, 0},
-		"wrong count":        {answer(streamHead, tokChunk(tok(0)), doneChunk(2)), outcome.Started, outcome.LedgerViolation, "e1", 1, 0},
-		"late token":         {answer(streamHead, edited(0, func(t *engineapi.Token) { t.Attempt = 1; t.Text = "old" }), tokChunk(tok(0)), doneChunk(1)), outcome.Finished, "", "e1", 1, 0},
-		"late end":           {answer(streamHead, chunk("event: done\ndata: {\"attempt\":1}\n\n"), lastOfChunks), outcome.Started, outcome.UpstreamLost, "e1", 0, 0},
-		"stage failed":       {answer(streamHead, tokChunk(tok(0)), streamErr(engineapi.StreamError{Attempt: 2, Code: engineapi.CodeStageFailed, Engine: "e2"})), outcome.Started, outcome.StageFailed, "e2", 1, 0},
-		"stranger blamed":    {answer(streamHead, streamErr(engineapi.StreamError{Attempt: 2, Code: engineapi.CodeLinkFailed, Engine: "e9"})), outcome.Started, outcome.StageFailed, "e1", 0, 0},
-		"late stream error":  {answer(streamHead, streamErr(engineapi.StreamError{Attempt: 1, Code: engineapi.CodeStageFailed}), tokChunk(tok(0)), doneChunk(1)), outcome.Finished, "", "e1", 1, 0},
-		"interim answer":     {answer("HTTP/1.1 103 X\r\n\r\n", streamHead, doneChunk(0)), outcome.Finished, "", "e1", 0, 0},
+		"busy":               {respond(refusal(503, engineapi.Refusal{Code: engineapi.CodeBusy, RetryAfterMs: 70})), outcome.Refused, outcome.UpstreamBusy, "e1", 0, 70 * time.Millisecond},
+		"leaving":            {respond(refusal(503, engineapi.Refusal{Code: engineapi.CodeLeaving})), outcome.Refused, outcome.UpstreamRefused, "e1", 0, 0},
+		"no refusal":         {respond("HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}"), outcome.MaybeSent, outcome.UpstreamInvalid, "e1", 0, 0},
+		"refusal cut":        {respond("HTTP/1.1 503 X\r\nContent-Length: 99\r\n\r\n{\"code\":\"busy\"}"), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
+		"refusal unbounded":  {respond("HTTP/1.1 503 X\r\n\r\n{\"code\":\"busy\"}"), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
+		"closed after read":  {respond(), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
+		"half a head":        {respond("HTTP/1.1 200 OK\r\nConten"), outcome.MaybeSent, outcome.UpstreamLost, "e1", 0, 0},
+		"not HTTP":           {respond("hello\r\n\r\n"), outcome.MaybeSent, outcome.UpstreamInvalid, "e1", 0, 0},
+		"other attempt":      {respond("HTTP/1.1 200 OK\r\nMimosa-Attempt: 1\r\n\r\n"), outcome.MaybeSent, outcome.UpstreamInvalid, "e1", 0, 0},
+		"closed after start": {respond(streamHead), outcome.Started, outcome.UpstreamLost, "e1", 0, 0},
+		"no end marker":      {respond(streamHead, tokChunk(tok(0)), lastChunk), outcome.Started, outcome.UpstreamLost, "e1", 1, 0},
+		"cut in a chunk":     {respond(streamHead, tokChunk(tok(0)), cut[:len(cut)-9]), outcome.Started, outcome.UpstreamLost, "e1", 1, 0},
+		"cut in an event":    {respond(streamHead, chunk("data: "+asJSON(tok(0))+"\n"), lastChunk), outcome.Started, outcome.UpstreamLost, "e1", 0, 0},
+		"bad chunk":          {respond(streamHead, "zz\r\n"), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
+		"nonsense":           {respond(streamHead, chunk("data: {]\n\n")), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
+		"wrong id":           {respond(streamHead, chunk("id: 4\ndata: "+asJSON(tok(0))+"\n\n")), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
+		"large event":        {respond(streamHead, chunk("data: "+strings.Repeat("x", 5000)+"\n\n")), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
+		"too many tokens":    {respond(streamHead, tokChunk(tok(8))), outcome.Started, outcome.UpstreamInvalid, "e1", 0, 0},
+		"wrong engine":       {respond(streamHead, tokChunk(tok(0)), editedTokChunk(1, func(t *engineapi.Token) { t.Steps[1].Engine = "e3" })), outcome.Started, outcome.LedgerViolation, "e1", 1, 0},
+		"missing layer":      {respond(streamHead, editedTokChunk(0, func(t *engineapi.Token) { t.Steps[1].First = 5 })), outcome.Started, outcome.LedgerViolation, "e2", 0, 0},
+		"repeated":           {respond(streamHead, tokChunk(tok(0)), tokChunk(tok(0))), outcome.Started, outcome.LedgerViolation, "e1", 1, 0},
+		"gap at the end":     {respond(streamHead, tokChunk(tok(1)), doneChunk(2)), outcome.Started, outcome.LedgerViolation, "e1", 0, 0},
+		"wrong count":        {respond(streamHead, tokChunk(tok(0)), doneChunk(2)), outcome.Started, outcome.LedgerViolation, "e1", 1, 0},
+		"late token":         {respond(streamHead, editedTokChunk(0, func(t *engineapi.Token) { t.Attempt = 1; t.Text = "old" }), tokChunk(tok(0)), doneChunk(1)), outcome.Finished, "", "e1", 1, 0},
+		"late end":           {respond(streamHead, chunk("event: done\ndata: {\"attempt\":1}\n\n"), lastChunk), outcome.Started, outcome.UpstreamLost, "e1", 0, 0},
+		"stage failed":       {respond(streamHead, tokChunk(tok(0)), streamErr(engineapi.StreamError{Attempt: 2, Code: engineapi.CodeStageFailed, Engine: "e2"})), outcome.Started, outcome.StageFailed, "e2", 1, 0},
+		"stranger blamed":    {respond(streamHead, streamErr(engineapi.StreamError{Attempt: 2, Code: engineapi.CodeLinkFailed, Engine: "e9"})), outcome.Started, outcome.StageFailed, "e1", 0, 0},
+		"late stream error":  {respond(streamHead, streamErr(engineapi.StreamError{Attempt: 1, Code: engineapi.CodeStageFailed}), tokChunk(tok(0)), doneChunk(1)), outcome.Finished, "", "e1", 1, 0},
+		"interim answer":     {respond("HTTP/1.1 103 X\r\n\r\n", streamHead, doneChunk(0)), outcome.Finished, "", "e1", 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFake(t, test.script)
@@ -97,14 +97,14 @@
 			e := runOne(t, t.Context(), New(Options{MaxEventBytes: 4096}), modelSend(f.address), c, s)
 			failIf(t, e.Phase != test.phase || e.Reason != test.reason || e.Upstream != test.upstream || e.Tokens != test.tokens || e.RetryAfter != test.retry, "end %+v", e)
 			if started := len(s.started) == 1; started != (test.phase >= outcome.Started) {
-				t.Fatalf("started %v in phase %v", started, e.Phase)
+				t.Fatalf("AttemptStarted was reported: %v, but the attempt ended in phase %v", started, e.Phase)
 			}
 			if conns, requests := f.counts(); conns != 1 || requests != 1 {
 				t.Fatalf("%d connections, %d requests", conns, requests)
 			}
 			for _, text := range c.Delivered() {
 				if text == "old" {
-					t.Fatal("a late token was delivered")
+					t.Fatal("a token of an earlier attempt was delivered")
 				}
 			}
 		})
@@ -113,7 +113,7 @@
 
 func TestUpstreamThatClosesAtOnceIsCalledOnce(t *testing.T) {
 	for _, plain := range []bool{false, true} {
-		f := startFake(t, answer(), true)
+		f := startFake(t, respond(), true)
 		send, c := modelSend(f.address), chatCall()
 		if plain {
 			send, c = plainSend(f.address), plainCall("GET", "/slots", "")
@@ -121,7 +121,7 @@
 		e := runOne(t, t.Context(), New(Options{}), send, c, &sink{})
 		failIf(t, e.Phase != outcome.MaybeSent || e.Reason != outcome.UpstreamLost, "end %+v", e)
 		if conns, _ := f.counts(); conns != 1 {
-			t.Fatalf("%d connections", conns)
+			t.Fatalf("%d connections, want 1", conns)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	must(t, err)
 	closed := l.Addr().String()
 	must(t, l.Close())
-	f := newFake(t, answer())
+	f := newFake(t, respond())
 	named := strings.Replace(f.address, "127.0.0.1", "localhost", 1)
 	for _, address := range []string{closed, named, ""} {
 		e := runOne(t, t.Context(), New(Options{}), modelSend(address), chatCall(), &sink{})
@@ -145,7 +145,7 @@
 	send := modelSend(closed)
 	send.Resume = &router.Resume{Request: "r0", Attempt: 1}
 	if e := runOne(t, t.Context(), New(Options{}), send, chatCall(), &sink{}); e.Phase != outcome.MaybeSent {
-		t.Fatalf("a rejoin that failed to connect claims %v", e.Phase)
+		t.Fatalf("a rejoin that failed to connect ended in phase %v, want maybe_sent", e.Phase)
 	}
 	if e := runOne(t, t.Context(), New(Options{}), router.Send{ID: "r1", Model: true}, chatCall(), &sink{}); e.Phase != outcome.NotSent || e.Reason != outcome.NoUpstream {
 		t.Fatalf("empty chain: end %+v", e)
@@ -162,8 +162,8 @@
 	}
 	silent := func(parts ...string) script {
 		return func(conn net.Conn, req *fasthttp.Request) {
-			answer(parts...)(conn, req)
-			_, _ = conn.Read(make([]byte, 1)) // until the other side closes
+			respond(parts...)(conn, req)
+			_, _ = conn.Read(make([]byte, 1)) // until the client closes the connection
 		}
 	}
 	for name, test := range map[string]struct {
@@ -185,8 +185,9 @@
 	}
 }
 
-// paced runs a stream on a fake clock whose events come 3 s apart.
-func paced(t *testing.T, stall time.Duration, events ...string) (f *failure, took time.Duration) {
+// runPacedStream reads a stream whose events arrive 3 s apart on a fake clock. It
+// returns the failure, if any, and the time taken.
+func runPacedStream(t *testing.T, stallTimeout time.Duration, events ...string) (f *failure, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		var writer sync.WaitGroup
@@ -204,9 +205,9 @@
 		c := chatCall()
 		defer c.Finish(nil)
 		a := &attempt{runner: New(Options{}), send: modelSend(""), call: c, sink: &sink{}}
-		l := &link{Conn: near, stall: stall}
+		l := &stallConn{Conn: near, stallTimeout: stallTimeout}
 		before := time.Now()
-		f = a.stream(t.Context(), l, l, a.ledger())
+		f = a.readStream(t.Context(), l, l, a.newLedger())
 		took = time.Since(before)
 	})
 	return f, took
@@ -220,8 +221,8 @@
 	}
 	fresh, stale := func(*engineapi.Token) {}, func(tk *engineapi.Token) { tk.Attempt = 1 }
 	done := "event: done\ndata: " + asJSON(engineapi.Done{Attempt: 2, Tokens: 3}) + "\n\n"
-	f, took := paced(t, 5*time.Second, event(fresh, 0), event(fresh, 1), event(fresh, 2), done)
+	f, took := runPacedStream(t, 5*time.Second, event(fresh, 0), event(fresh, 1), event(fresh, 2), done)
 	failIf(t, f != nil || took != 12*time.Second, "tokens 3s apart: %+v after %v", f, took)
-	f, took = paced(t, 5*time.Second, event(fresh, 0), event(stale, 1), event(stale, 2), ": comment\n\n")
+	f, took = runPacedStream(t, 5*time.Second, event(fresh, 0), event(stale, 1), event(stale, 2), ": comment\n\n")
 	failIf(t, f == nil || f.reason != outcome.UpstreamStalled || took != 8*time.Second, "stale tokens: %+v after %v", f, took)
 }
--- a/adapter/upstream/options.go
+++ b/adapter/upstream/options.go
@@ -1,9 +1,10 @@
-// Package upstream runs the attempts that the router decides on: one fresh
-// TCP connection for each, used for one request and closed after it. Nothing
-// is ever sent again by this package, so a failed dial proves that nothing
-// was sent, and whatever comes after the first write is told by the exact
-// phase. The HTTP messages are written and read by fasthttp's codecs; its
-// clients are not used, since they send some requests again by themselves.
+// Package upstream runs the attempts that the router decides on. Each attempt uses
+// a new TCP connection for one request and closes it afterwards. The package never
+// sends a request twice, so a failed dial proves that nothing was sent, and the
+// phase of an attempt says what is known after the first write.
+//
+// HTTP messages are written and read with fasthttp's codecs. Its clients are used
+// only for load polls, since they resend some requests on their own.
 package upstream
 
 import (
@@ -23,35 +24,39 @@
 	DefaultCancelTimeout = time.Second
 )
 
-// Bounds of a send that brings none.
+// Defaults for a router.Send without timeouts of its own.
 const (
 	DefaultConnectTimeout = 500 * time.Millisecond
 	DefaultStallAfter     = 5 * time.Second
 )
 
-// Options bounds a Runner. Zero fields take the defaults.
+// Options configures a Runner. Zero fields take the defaults.
 type Options struct {
-	// MaxHeadBytes is the most bytes of an answer's status line and headers.
+	// MaxHeadBytes limits the status line and headers of a response.
 	MaxHeadBytes int
-	// MaxEventBytes is the most bytes of one event of a stream.
+	// MaxEventBytes limits one event of a stream.
 	MaxEventBytes int
-	// MaxBodyBytes is the most bytes of a plain answer or a refusal.
+	// MaxBodyBytes limits the body of a plain response or a refusal.
 	MaxBodyBytes int
-	// ReorderWindow is the most tokens of an attempt held back until their turn.
+	// ReorderWindow is the maximum number of out-of-order tokens that an attempt
+	// buffers.
 	ReorderWindow int
 	// CancelTimeout bounds the call that cancels a request at its engine.
 	CancelTimeout time.Duration
-	// Epochs remembers the engines' process lives; nil makes one of its own.
-	// Without a note of an engine, no cancel there proves "not run".
+	// Epochs holds the known epochs of the engines; nil creates one for this
+	// Runner. Without a known epoch a cancel never proves that a request did not
+	// run.
 	Epochs *Epochs
-	// CountStale is told the tokens and end markers of other attempts that
-	// an attempt dropped; nil means not counted. Any goroutine may call it.
+	// CountStale is called with the number of tokens and end markers of other
+	// attempts that an attempt ignored; nil means that they are not counted. It is
+	// called from any goroutine.
 	CountStale func(n int)
-	// Log takes debug lines of ended attempts; the zero Logger writes nothing.
+	// Log receives a debug line for each ended attempt; the zero Logger discards
+	// it.
 	Log zerolog.Logger
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns o with the zero fields set to their defaults.
 func (o Options) withDefaults() Options {
 	o.MaxHeadBytes = defaults.Positive(o.MaxHeadBytes, DefaultMaxHeadBytes)
 	o.MaxEventBytes = defaults.Positive(o.MaxEventBytes, DefaultMaxEventBytes)
--- a/adapter/upstream/plain.go
+++ b/adapter/upstream/plain.go
@@ -11,12 +11,13 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// NotStartedHeader, set to "true" by a plain service on a 503 or 429, says
-// that the call was not started and never will be.
+// NotStartedHeader is a response header of plain services. The value "true" on a
+// 503 or 429 means that the service has not started the call and never will.
 const NotStartedHeader = "Mimosa-Not-Started"
 
-// answerHeaders are the names of a plain answer's headers that pass to the caller.
-var answerHeaders = []string{
+// forwardedHeaderNames are the response headers of a plain service that are passed
+// to the caller.
+var forwardedHeaderNames = []string{
 	fasthttp.HeaderContentType,
 	fasthttp.HeaderContentEncoding,
 	fasthttp.HeaderContentLanguage,
@@ -30,26 +31,26 @@
 	fasthttp.HeaderVary,
 }
 
-// plain reads a plain service's answer. Any status but a refusal is a whole
-// answer, passed to the caller as it is.
-func (a *attempt) plain(l *link, resp *fasthttp.Response) *failure {
+// readPlainResponse reads the response of a plain service. Unless it is a refusal,
+// it is passed to the caller whatever its status.
+func (a *attempt) readPlainResponse(conn *stallConn, resp *fasthttp.Response) *failure {
 	if resp.StatusCode() < fasthttp.StatusOK {
 		return &failure{reason: outcome.UpstreamInvalid, detail: "status " + strconv.Itoa(resp.StatusCode())}
 	}
 	if notStarted(resp) {
-		return a.plainRefusal(l, resp)
+		return a.readPlainRefusal(conn, resp)
 	}
-	a.start("")
-	body, err := readBody(l, resp, a.runner.options.MaxBodyBytes)
+	a.markStarted("")
+	body, err := readBody(conn, resp, a.runner.options.MaxBodyBytes)
 	if err != nil {
-		return fail(bodyReason(l, err), err)
+		return newFailure(bodyFailureReason(conn, err), err)
 	}
-	a.call.SetAnswer(call.PlainAnswer{Status: resp.StatusCode(), Header: passedHeaders(resp), Body: body})
-	a.reached(outcome.Finished)
+	a.call.SetAnswer(call.PlainAnswer{Status: resp.StatusCode(), Header: forwardedHeaders(resp), Body: body})
+	a.advance(outcome.Finished)
 	return nil
 }
 
-// notStarted reports whether the service positively refused before starting.
+// notStarted reports whether the service refused the call before starting it.
 func notStarted(resp *fasthttp.Response) bool {
 	switch resp.StatusCode() {
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
@@ -59,12 +60,13 @@
 	}
 }
 
-// plainRefusal reads what a refusal says; its head alone is proof. 429 means
-// busy, as does CodeBusy.
-func (a *attempt) plainRefusal(l *link, resp *fasthttp.Response) *failure {
-	a.refuse()
+// readPlainRefusal reads the details of a refusal. The headers alone prove the
+// refusal, so an unreadable body does not matter. Status 429 means busy, as
+// CodeBusy does.
+func (a *attempt) readPlainRefusal(conn *stallConn, resp *fasthttp.Response) *failure {
+	a.markRefused()
 	var refusal engineapi.Refusal
-	body, err := readBody(l, resp, a.runner.options.MaxBodyBytes)
+	body, err := readBody(conn, resp, a.runner.options.MaxBodyBytes)
 	if err == nil {
 		err = json.Unmarshal(body, &refusal)
 	}
@@ -78,10 +80,10 @@
 	return f
 }
 
-// passedHeaders copies the headers that pass to the caller.
-func passedHeaders(resp *fasthttp.Response) [][2]string {
+// forwardedHeaders returns the headers of a response that are passed to the caller.
+func forwardedHeaders(resp *fasthttp.Response) [][2]string {
 	var out [][2]string
-	for _, name := range answerHeaders {
+	for _, name := range forwardedHeaderNames {
 		for _, value := range resp.Header.PeekAll(name) {
 			if len(value) > 0 {
 				out = append(out, [2]string{name, string(value)})
--- a/adapter/upstream/plain_test.go
+++ b/adapter/upstream/plain_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestPlainCallIsPassedAsItIs(t *testing.T) {
-	f := newFake(t, answer("HTTP/1.1 201 X\r\nContent-Type: text/plain\r\nServer: x\r\nETag: \"1\"\r\nContent-Length: 2\r\n\r\nok"))
+	f := newFake(t, respond("HTTP/1.1 201 X\r\nContent-Type: text/plain\r\nServer: x\r\nETag: \"1\"\r\nContent-Length: 2\r\n\r\nok"))
 	c := plainCall("POST", "/a%2e/b ?c\r\n", "body")
 	c.Plain.Query = "q=1%20"
 	c.Plain.Header = [][2]string{{"Content-Type", "text/x"}}
@@ -39,7 +39,7 @@
 	equal(t, want, got)
 	req := f.first()
 	if uri := string(req.Header.RequestURI()); uri != "/a%252e/b%20%3Fc%0D%0A?q=1%20" {
-		t.Fatalf("URI %s", uri)
+		t.Fatalf("request URI %s", uri)
 	}
 	heads := []string{string(req.Header.Method()), string(req.Header.ContentType()), string(req.Body()), string(req.Header.Peek(RequestHeader)), string(req.Header.Peek(TimeoutHeader))}
 	equal(t, []string{"POST", "text/x", "body", "r1", "2"}, heads)
@@ -61,22 +61,22 @@
 		"not started 503":  {"HTTP/1.1 503 X\r\n" + notStarted, outcome.Refused, outcome.UpstreamRefused, 2 * time.Second, 0},
 		"not started 429":  {"HTTP/1.1 429 X\r\n" + notStarted, outcome.Refused, outcome.UpstreamBusy, 2 * time.Second, 0},
 		"not started 500":  {"HTTP/1.1 500 X\r\n" + notStarted, outcome.Finished, "", 0, 500},
-		"chunked":          {"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("ab") + lastOfChunks, outcome.Finished, "", 0, 200},
+		"chunked":          {"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("ab") + lastChunk, outcome.Finished, "", 0, 200},
 		"length not met":   {"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf", outcome.Started, outcome.UpstreamLost, 0, 0},
 		"length, no body":  {"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n", outcome.Started, outcome.UpstreamLost, 0, 0},
 		"chunk end gone":   {"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("ab"), outcome.Started, outcome.UpstreamLost, 0, 0},
 		"last chunk cut":   {"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("ab") + "0\r\n", outcome.Started, outcome.UpstreamLost, 0, 0},
 		"ends by close":    {"HTTP/1.1 200 X\r\n\r\nwhole?", outcome.Started, outcome.UpstreamLost, 0, 0},
 		"length too large": {"HTTP/1.1 200 X\r\nContent-Length: 2000\r\n\r\n", outcome.Started, outcome.UpstreamInvalid, 0, 0},
-		"chunks too large": {"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(strings.Repeat("x", 2000)) + lastOfChunks, outcome.Started, outcome.UpstreamInvalid, 0, 0},
+		"chunks too large": {"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(strings.Repeat("x", 2000)) + lastChunk, outcome.Started, outcome.UpstreamInvalid, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFake(t, answer(test.answer))
+			f := newFake(t, respond(test.answer))
 			c := plainCall("POST", "/bookings", "{}")
 			e := runOne(t, t.Context(), New(Options{MaxBodyBytes: 1000}), plainSend(f.address), c, &sink{})
 			failIf(t, e.Phase != test.phase || e.Reason != test.reason || e.RetryAfter != test.retry, "end %+v", e)
 			if a := c.Answer(); a != nil && len(a.Header) != 0 && a.Status != 500 {
-				t.Fatalf("headers %q", a.Header)
+				t.Fatalf("unexpected response headers %q", a.Header)
 			}
 			if a := c.Answer(); (a != nil) != (test.status != 0) || a != nil && a.Status != test.status {
 				t.Fatalf("answer %+v", a)
@@ -89,7 +89,7 @@
 }
 
 func TestPlainCallIsNeverRejoined(t *testing.T) {
-	f := newFake(t, answer("HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"))
+	f := newFake(t, respond("HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"))
 	send := plainSend(f.address)
 	send.Resume = &router.Resume{Request: "r0", Attempt: 1}
 	e := runOne(t, t.Context(), New(Options{}), send, plainCall("POST", "/bookings", "{}"), &sink{})
--- a/adapter/upstream/poller.go
+++ b/adapter/upstream/poller.go
@@ -11,28 +11,29 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// pollConns is the most connections kept to one engine: one in use, and one
-// that a silent one was given up for.
-const pollConns = 2
+// maxPollConns is the maximum number of connections to one engine. Two allow a new
+// poll while another still waits on a connection that does not respond.
+const maxPollConns = 2
 
-// Poller asks engines for their reports of themselves, over connections that it
-// keeps: engines are asked several times a second, and opening a connection
-// costs more than the question. Asking twice is harmless, so the library's own
-// retry on a connection that was closed meanwhile may stay on. Any goroutine may
-// call any method.
+// Poller fetches the load reports of engines. It keeps connections open, because
+// engines are polled several times a second and opening a connection costs more
+// than the poll itself. A poll may safely be repeated, so the HTTP client may retry
+// it on a connection that the engine closed in the meantime. Methods may be called
+// from any goroutine.
 type Poller struct {
 	timeout time.Duration
 	mu      sync.Mutex
 	clients map[string]*fasthttp.HostClient
 }
 
-// NewPoller makes a Poller that gives each poll at most the timeout.
+// NewPoller returns a Poller that limits each poll to the timeout.
 func NewPoller(timeout time.Duration) *Poller {
 	return &Poller{timeout: timeout, clients: make(map[string]*fasthttp.HostClient)}
 }
 
-// Fetch gets the report of the engine at an IP address and port. Errors:
-// *CallError, *StatusError, *AnswerError.
+// Fetch returns the load report of the engine at an IP address and port. It ends at
+// the deadline of ctx or after the timeout, whichever is earlier. Errors:
+// *CallError, *StatusError, *InvalidReplyError.
 func (p *Poller) Fetch(ctx context.Context, address string) (engineapi.LoadReport, error) {
 	client, err := p.client(address)
 	if err != nil {
@@ -44,18 +45,18 @@
 	req.Header.SetMethod(fasthttp.MethodGet)
 	req.SetRequestURI("http://" + address + engineapi.LoadPath)
 	deadline := time.Now().Add(p.timeout)
-	if at, ok := ctx.Deadline(); ok && at.Before(deadline) {
-		deadline = at
+	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
+		deadline = d
 	}
 	if err := client.DoDeadline(req, resp, deadline); err != nil {
-		// A connection without an answer may have gone silent for good.
+		// A connection without a response may be dead: the next poll must not use it.
 		client.CloseIdleConnections()
 		return engineapi.LoadReport{}, &CallError{Address: address, Cause: err}
 	}
 	return readReport(resp)
 }
 
-// readReport reads an engine's answer to a poll.
+// readReport decodes the response to a poll.
 func readReport(resp *fasthttp.Response) (engineapi.LoadReport, error) {
 	var report engineapi.LoadReport
 	if resp.StatusCode() != fasthttp.StatusOK {
@@ -70,7 +71,7 @@
 	return report, nil
 }
 
-// client gives the client of an address, made at its first use.
+// client returns the HTTP client for an address and creates it on first use.
 func (p *Poller) client(address string) (*fasthttp.HostClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,16 +83,17 @@
 	}
 	c := &fasthttp.HostClient{
 		Addr:                address,
-		MaxConns:            pollConns,
+		MaxConns:            maxPollConns,
 		ReadTimeout:         p.timeout,
 		WriteTimeout:        p.timeout,
-		MaxResponseBodySize: maxControl,
+		MaxResponseBodySize: maxControlBytes,
 	}
 	p.clients[address] = c
 	return c, nil
 }
 
-// Retain forgets every engine but those at the given addresses.
+// Retain closes the idle connections of all engines except those at the given
+// addresses, and drops their clients.
 func (p *Poller) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/adapter/upstream/poller_test.go
+++ b/adapter/upstream/poller_test.go
@@ -13,22 +13,23 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// countingListener counts the connections taken.
+// countingListener counts the accepted connections.
 type countingListener struct {
 	net.Listener
-	taken atomic.Int64
+	accepted atomic.Int64
 }
 
 // Accept implements net.Listener.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		l.taken.Add(1)
+		l.accepted.Add(1)
 	}
 	return c, err
 }
 
-// startReports serves reports with a handler's change to the answer.
+// startReports serves a load report to every request, after change has modified the
+// response. It returns the listener.
 func startReports(t *testing.T, change func(*fasthttp.RequestCtx)) *countingListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,17 +59,16 @@
 			t.Fatalf("%+v, %v", report, err)
 		}
 	}
-	if n := l.taken.Load(); n != 1 {
-		t.Errorf("%d connections for 5 polls", n)
+	if n := l.accepted.Load(); n != 1 {
+		t.Errorf("%d connections for 5 polls, want 1", n)
 	}
 	p.Retain(nil)
 	if len(p.clients) != 0 {
-		t.Errorf("%d engines are still kept", len(p.clients))
+		t.Errorf("%d clients remain after Retain(nil)", len(p.clients))
 	}
 }
 
-// TestSilentPollIsGivenUp leaves a connection that went silent: the next poll
-// goes over a new one.
+// A poll that gets no response times out, and the next poll uses a new connection.
 func TestSilentPollIsGivenUp(t *testing.T) {
 	var polls atomic.Int64
 	release := make(chan struct{})
@@ -87,7 +87,7 @@
 			t.Fatalf("poll %d: %v", i, err)
 		}
 	}
-	if n := l.taken.Load(); n != 2 {
-		t.Errorf("%d connections, want a second one after the silence", n)
+	if n := l.accepted.Load(); n != 2 {
+		t.Errorf("%d connections, want 2: a new one after the poll without a response", n)
 	}
 }
--- a/adapter/upstream/request.go
+++ b/adapter/upstream/request.go
@@ -16,22 +16,23 @@
 
 // Headers sent to plain services.
 const (
-	// RequestHeader names the request.
+	// RequestHeader carries the ID of the request.
 	RequestHeader = "Mimosa-Request"
-	// TimeoutHeader is the time until the request's deadline, in milliseconds.
+	// TimeoutHeader carries the time left until the deadline of the request, in
+	// milliseconds.
 	TimeoutHeader = "Mimosa-Timeout-Ms"
 )
 
-// userAgent names the sender.
+// userAgent is sent as the User-Agent of every request.
 const userAgent = "mimosad"
 
-// jsonType and eventType are content types.
+// Content types of requests and responses.
 const (
 	jsonType  = "application/json"
 	eventType = "text/event-stream"
 )
 
-// request makes the HTTP request of the attempt.
+// request returns the HTTP request of the attempt.
 func (a *attempt) request() (*fasthttp.Request, *failure) {
 	if f := a.checkSend(); f != nil {
 		return nil, f
@@ -46,7 +47,7 @@
 	}
 }
 
-// checkSend refuses a send that does not fit its call.
+// checkSend returns a failure if the router.Send does not match the call.
 func (a *attempt) checkSend() *failure {
 	switch {
 	case len(a.send.Chain) == 0:
@@ -60,7 +61,8 @@
 	}
 }
 
-// newRequest makes a request without a body.
+// newRequest returns a request without a body that asks the upstream to close the
+// connection afterwards.
 func newRequest(method, address, uri string) *fasthttp.Request {
 	req := &fasthttp.Request{}
 	req.Header.SetMethod(method)
@@ -71,7 +73,8 @@
 	return req
 }
 
-// chatRequest starts a model attempt; it goes on after the delivered tokens.
+// chatRequest returns the request that starts a model attempt. The engine continues
+// after the tokens already delivered.
 func (a *attempt) chatRequest() (*fasthttp.Request, *failure) {
 	chat := *a.call.Chat
 	chat.Stream = true
@@ -82,9 +85,9 @@
 	chat.DeadlineMs = milliseconds(a.send.Remaining)
 	body, err := json.Marshal(&chat)
 	if err != nil {
-		return nil, fail(outcome.BadRequest, err)
+		return nil, newFailure(outcome.BadRequest, err)
 	}
-	req := newRequest(fasthttp.MethodPost, a.head().Address, engineapi.ChatPath)
+	req := newRequest(fasthttp.MethodPost, a.target().Address, engineapi.ChatPath)
 	req.Header.SetContentType(jsonType)
 	req.Header.Set(fasthttp.HeaderAccept, eventType)
 	req.Header.Set(engineapi.AttemptHeader, strconv.Itoa(chat.Attempt))
@@ -92,18 +95,20 @@
 	return req, nil
 }
 
-// resumeRequest rejoins a running stream after the tokens delivered.
+// resumeRequest returns the request that rejoins a running stream after the tokens
+// already delivered.
 func (a *attempt) resumeRequest() *fasthttp.Request {
-	req := newRequest(fasthttp.MethodGet, a.head().Address, streamPath(a.send.Resume.Request))
+	req := newRequest(fasthttp.MethodGet, a.target().Address, streamPath(a.send.Resume.Request))
 	req.Header.Set(fasthttp.HeaderAccept, eventType)
 	req.Header.Set(engineapi.LastEventID, strconv.Itoa(a.call.Count()-1))
 	return req
 }
 
-// plainRequest passes a plain call on.
+// plainRequest returns the request for a plain service, with the method, path,
+// query, headers and body of the call.
 func (a *attempt) plainRequest() *fasthttp.Request {
 	p := a.call.Plain
-	req := newRequest(p.Method, a.head().Address, plainURI(p.Path, p.Query))
+	req := newRequest(p.Method, a.target().Address, plainURI(p.Path, p.Query))
 	for _, pair := range p.Header {
 		req.Header.Add(pair[0], pair[1])
 	}
@@ -116,12 +121,12 @@
 	return req
 }
 
-// streamPath names a request's stream at its engine.
+// streamPath returns the path of a request's stream in the engine protocol.
 func streamPath(request ids.Request) string {
 	return engineapi.StreamsPath + url.PathEscape(string(request))
 }
 
-// plainURI encodes a decoded path and appends the query as it is.
+// plainURI escapes a decoded path and appends the query unchanged.
 func plainURI(path, query string) string {
 	uri := (&url.URL{Path: path}).EscapedPath()
 	if query != "" {
@@ -130,7 +135,7 @@
 	return uri
 }
 
-// stages gives the chain in the engines' protocol.
+// stages converts a chain to the engine protocol.
 func stages(chain topology.Chain) []engineapi.Stage {
 	out := make([]engineapi.Stage, 0, len(chain))
 	for _, e := range chain {
@@ -139,7 +144,8 @@
 	return out
 }
 
-// milliseconds rounds up; zero or less means no deadline and gives 0.
+// milliseconds converts a duration to milliseconds, rounded up. It returns 0, which
+// means no deadline, if d is not positive.
 func milliseconds(d time.Duration) int64 {
 	if d <= 0 {
 		return 0
