--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -1,10 +1,11 @@
-// Package directory keeps what is known of upstreams: who is there, who is
-// leaving, and what each engine holds. It is fed by lists and changes of a
-// registry that forgets entries when it loses touch with them, so absence is
-// believed at once only while the registry is well.
+// Package directory keeps the entries of a service registry: which upstreams exist,
+// which are leaving, and which layers each engine holds. It applies lists and changes
+// of the registry, in the order of their revisions. The registry drops entries that it
+// loses contact with, so after an outage of the registry a missing entry is removed
+// only after a grace period.
 //
-// A Directory is used by one goroutine and reads no clock. The Views it gives
-// never change, so any goroutine may read them.
+// A Directory is used by one goroutine and reads no clock. Its Views are immutable and
+// safe for concurrent use.
 package directory
 
 import (
@@ -15,121 +16,126 @@
 	"mimosaarch.example/core/layered"
 )
 
-// Upstream is one process of a service, from its start to its end. A process
-// that starts again is another Upstream.
+// Upstream is the entry of one process of a service, from its start to its end. A
+// process that restarts is another upstream.
 type Upstream struct {
 	ID      ids.Life
 	Service ids.Service
-	// Address is IP and port, never empty. It may go to another upstream once
-	// this one has ended.
+	// Address is the IP address and port, never empty. It may pass to another upstream
+	// once this one has ended.
 	Address string
 	Zone    ids.Zone
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the upstream runs at once.
 	Slots int
 	// Leaving upstreams get no new work.
 	Leaving bool
-	// Card is the kind of accelerator of an engine.
+	// Card is the type of an engine's accelerator.
 	Card string
-	// Layers is what an engine holds; empty for none.
+	// Layers are the model layers that an engine holds, empty for none.
 	Layers layered.Range
-	// Busy engines carry out an order.
+	// Busy is true while an engine carries out an order.
 	Busy bool
-	// Revision is that of the registry's entry.
+	// Revision is the registry's revision of the entry.
 	Revision int64
 }
 
-// RestartedError tells that a process is not the one that was meant: it has
-// started again under its name.
+// RestartedError reports that the process under a name is not the expected one, because
+// it has restarted.
 type RestartedError struct{ Known, Now ids.Life }
 
 // Error implements error.
 func (e *RestartedError) Error() string {
-	return "upstream " + e.Known.String() + " has started again as " + e.Now.String()
+	return "upstream " + e.Known.String() + " has restarted as " + e.Now.String()
 }
 
-// RemovalGrace is how long after an outage of the registry an entry that is
-// missing is still believed: living upstreams are entered again within about
-// two seconds of its return, and one that left in truth must get nothing new
-// two seconds after its absence was seen. This stays below both.
+// RemovalGrace is how long after an outage of the registry a missing entry stays in
+// force. Live upstreams register again within about two seconds of the registry's
+// return, and an upstream that has left must get no new work two seconds after its
+// absence was seen. The grace period is shorter than both.
 const RemovalGrace = 1500 * time.Millisecond
 
-// ChangeKind is what happened to an upstream.
+// ChangeKind is the kind of a change to an entry.
 type ChangeKind string
 
 // Kinds of changes.
 const (
-	Added          ChangeKind = "seen"
-	Changed        ChangeKind = "changed"
+	Added   ChangeKind = "seen"
+	Changed ChangeKind = "changed"
+	// LeavingStarted means that the upstream is leaving and gets no new work.
 	LeavingStarted ChangeKind = "left"
-	// Missing: its entry is missing after an outage, and stands for a while.
+	// Missing means that the entry is absent after an outage, and stays in force for
+	// RemovalGrace.
 	Missing ChangeKind = "doubted"
 	Removed ChangeKind = "gone"
 )
 
-// Change is one belief that changed, for the log.
+// Change is one change to the entries in force.
 type Change struct {
 	Kind     ChangeKind
 	Upstream *Upstream
 }
 
-// Directory is the writer's side. Make it with New.
+// Directory holds the current entries. Create it with New.
 type Directory struct {
 	revision int64
 	byID     map[ids.Upstream]*Upstream
-	// at names the upstreams that were entered with each address, the present
-	// one last: an address goes to another only after its process has ended, and
-	// the entry of that one may stand until its heartbeats are missed. Views
-	// show the present one only.
-	at map[string][]ids.Upstream
-	// missing holds, for entries not found after an outage, until when they
-	// are believed.
-	missing map[ids.Upstream]time.Time
-	// graceUntil is until when removals count as an outage's effect.
+	// byAddress holds the upstreams registered with each address, the current one last.
+	// An address passes to another upstream only after its process has ended, but the
+	// ended process's entry may remain until its heartbeats are missed. Views contain the
+	// current upstream only.
+	byAddress map[string][]ids.Upstream
+	// missingUntil holds the entries that are missing after an outage, with the end of
+	// their grace period.
+	missingUntil map[ids.Upstream]time.Time
+	// graceUntil is the time until which a removal may be an effect of an outage.
 	graceUntil time.Time
-	// mark counts all changes; recent names the upstreams of the last ones.
-	// Views share it, so it is only appended to, or replaced.
-	mark   uint64
-	recent []noted
-	// services are those that are configured, nil before that is known; aside
-	// holds the entries of others, which name no upstream and take no address.
-	services map[ids.Service]bool
-	aside    map[ids.Upstream]*Upstream
+	// mark counts all changes of entries. recentChanges holds the latest of them. Views
+	// share its array, so it is only appended to or replaced.
+	mark          uint64
+	recentChanges []changeRecord
+	// services are the configured services, nil until they are known. unconfigured holds
+	// the entries of other services, which occupy no address.
+	services     map[ids.Service]bool
+	unconfigured map[ids.Upstream]*Upstream
 }
 
-// maxRecent is how many changes are remembered at most, and half of it at
-// least: a minute of a release of 3,000 upstreams at 50 changes a second.
-const maxRecent = 6000
+// maxRecentChanges bounds recentChanges, of which at least half are kept. It covers a
+// minute of a rollout of 3,000 upstreams at 50 changes a second.
+const maxRecentChanges = 6000
 
-// New makes an empty Directory.
+// New returns an empty Directory.
 func New() *Directory {
 	return &Directory{
-		byID:    make(map[ids.Upstream]*Upstream),
-		at:      make(map[string][]ids.Upstream),
-		missing: make(map[ids.Upstream]time.Time),
-		aside:   make(map[ids.Upstream]*Upstream),
+		byID:         make(map[ids.Upstream]*Upstream),
+		byAddress:    make(map[string][]ids.Upstream),
+		missingUntil: make(map[ids.Upstream]time.Time),
+		unconfigured: make(map[ids.Upstream]*Upstream),
 	}
 }
 
-// lapseAfter is less than any outage of the registry that lets entries lapse: it removes
-// those whose heartbeats, more than a second apart, it has missed three times.
-const lapseAfter = 2 * time.Second
-
-// RegistryRecovered tells that the registry is heard of again, after it was not for some time.
-// What a shorter time hid is true: to doubt it as well would have an upstream that left
-// get new work for longer than the time and the grace each allow.
-func (d *Directory) RegistryRecovered(now time.Time, away time.Duration) {
-	if away >= lapseAfter {
+// minExpiryOutage is the shortest outage of the registry in which entries of live
+// upstreams can expire. The registry removes an entry after three missed heartbeats,
+// which are more than a second apart.
+const minExpiryOutage = 2 * time.Second
+
+// RegistryRecovered is called when the registry is reachable again, with the length of
+// the outage. In an outage shorter than minExpiryOutage no entry of a live upstream
+// expires, so removals take effect at once. A grace period would only let an upstream
+// that has left get new work for longer.
+func (d *Directory) RegistryRecovered(now time.Time, outage time.Duration) {
+	if outage >= minExpiryOutage {
 		d.graceUntil = now.Add(RemovalGrace)
 	}
 }
 
-// Mark counts the changes of entries.
+// Mark returns the number of changes of entries so far. View.Since takes it.
 func (d *Directory) Mark() uint64 { return d.mark }
 
-// Revision gives the newest revision seen.
+// Revision returns the newest revision applied.
 func (d *Directory) Revision() int64 { return d.revision }
 
-// Replace takes a whole list as of revision. An older one is ignored.
+// Replace applies the complete list of entries at a revision. A list older than the
+// directory is ignored.
 func (d *Directory) Replace(now time.Time, list []Upstream, revision int64) []Change {
 	present := make([]ids.Upstream, len(list))
 	for i := range list {
@@ -138,39 +144,40 @@
 	return d.Merge(now, list, present, revision)
 }
 
-// Merge takes the entries that changed since the own revision, and the names of
-// all that are there as of revision. An older one is ignored.
+// Merge applies the entries that changed since the directory's revision, and removes
+// all that are not in present, the names of all entries at the given revision. An older
+// revision is ignored.
 func (d *Directory) Merge(now time.Time, changed []Upstream, present []ids.Upstream, revision int64) []Change {
-	changes, newer := d.take(changed, revision)
+	changes, newer := d.applyChanged(changed, revision)
 	if !newer {
 		return nil
 	}
-	there := make(map[ids.Upstream]bool, len(present))
+	listed := make(map[ids.Upstream]bool, len(present))
 	for _, id := range present {
-		there[id] = true
+		listed[id] = true
 	}
 	for id, u := range d.byID {
-		if !there[id] {
+		if !listed[id] {
 			changes = d.remove(changes, now, u)
 		}
 	}
-	for id, u := range d.aside {
-		if !there[id] {
-			d.forgetAside(u)
+	for id, u := range d.unconfigured {
+		if !listed[id] {
+			d.removeUnconfigured(u)
 		}
 	}
 	return changes
 }
 
-// Update takes the entries that changed and the names of those that went, as of
-// revision. An older one is ignored.
+// Update applies the entries that changed and the names of those that were removed, as
+// of a revision. An older revision is ignored.
 func (d *Directory) Update(now time.Time, changed []Upstream, gone []ids.Upstream, revision int64) []Change {
-	changes, newer := d.take(changed, revision)
+	changes, newer := d.applyChanged(changed, revision)
 	if !newer {
 		return nil
 	}
 	for _, id := range gone {
-		d.forgetAside(d.aside[id])
+		d.removeUnconfigured(d.unconfigured[id])
 		if u := d.byID[id]; u != nil {
 			changes = d.remove(changes, now, u)
 		}
@@ -178,9 +185,9 @@
 	return changes
 }
 
-// take goes on to a revision, with the entries that changed; false for an older
-// one.
-func (d *Directory) take(changed []Upstream, revision int64) ([]Change, bool) {
+// applyChanged advances to a revision and applies changed entries. It returns false for
+// an older revision.
+func (d *Directory) applyChanged(changed []Upstream, revision int64) ([]Change, bool) {
 	if revision < d.revision {
 		return nil, false
 	}
@@ -192,17 +199,17 @@
 	return changes, true
 }
 
-// Put takes one entry that was added or changed.
+// Put applies one entry that was added or changed.
 func (d *Directory) Put(u Upstream) []Change {
 	d.revision = max(d.revision, u.Revision)
 	return d.put(nil, &u)
 }
 
-// Remove takes the removal of an entry at a revision.
+// Remove applies the removal of an entry at a revision.
 func (d *Directory) Remove(now time.Time, id ids.Upstream, revision int64) []Change {
 	d.revision = max(d.revision, revision)
-	if u := d.aside[id]; u != nil && u.Revision <= revision {
-		d.forgetAside(u)
+	if u := d.unconfigured[id]; u != nil && u.Revision <= revision {
+		d.removeUnconfigured(u)
 	}
 	u := d.byID[id]
 	if u == nil || u.Revision > revision {
@@ -211,12 +218,12 @@
 	return d.remove(nil, now, u)
 }
 
-// Invalidate takes an entry that names no upstream at a revision, for another writer
-// has spoilt it. What it named gets nothing new from now on, whatever became of
-// it: unlike a missing entry, this one is no effect of an outage.
+// Invalidate applies an entry that was overwritten with invalid content at a revision.
+// Its upstream is removed at once: unlike a missing entry, an invalid one is no effect
+// of an outage.
 func (d *Directory) Invalidate(id ids.Upstream, revision int64) []Change {
 	d.revision = max(d.revision, revision)
-	d.forgetAside(d.aside[id])
+	d.removeUnconfigured(d.unconfigured[id])
 	u := d.byID[id]
 	if u == nil || u.Revision > revision {
 		return nil
@@ -224,8 +231,8 @@
 	return d.drop(nil, u)
 }
 
-// Restarted tells that a process says of itself that it began later than the
-// life that the directory knows under its name. It holds nothing.
+// Restarted applies a process's own report that it started later than the life in the
+// directory. The new life holds no layers.
 func (d *Directory) Restarted(life ids.Life) []Change {
 	old := d.byID[life.Upstream]
 	if old == nil || old.ID.Born == 0 || !life.Later(old.ID) {
@@ -236,10 +243,10 @@
 	return d.put(nil, &now)
 }
 
-// Expire removes the missing entries whose grace is over.
+// Expire removes the missing entries whose grace period has ended.
 func (d *Directory) Expire(now time.Time) []Change {
 	var changes []Change
-	for id, until := range d.missing {
+	for id, until := range d.missingUntil {
 		if !now.Before(until) {
 			changes = d.drop(changes, d.byID[id])
 		}
@@ -247,17 +254,17 @@
 	return changes
 }
 
-// put adds or changes an entry. A leaving upstream stays leaving for the life
-// that it leaves; a later life has nothing of the one before, and an earlier one
-// has ended.
+// put adds or changes an entry. An upstream that is leaving stays so until it restarts.
+// A later life inherits nothing from the one before, and an entry of an earlier life is
+// ignored.
 func (d *Directory) put(changes []Change, u *Upstream) []Change {
 	id := u.ID.Upstream
 	if d.services != nil && !d.services[u.Service] {
 		changes = append(changes, d.Invalidate(id, u.Revision)...)
-		d.setAside(u)
+		d.addUnconfigured(u)
 		return changes
 	}
-	d.forgetAside(d.aside[id])
+	d.removeUnconfigured(d.unconfigured[id])
 	old := d.byID[id]
 	if old != nil && old.Revision >= u.Revision && !u.ID.Later(old.ID) {
 		return changes
@@ -268,7 +275,7 @@
 	if old != nil && old.ID.Later(u.ID) {
 		return changes
 	}
-	delete(d.missing, id)
+	delete(d.missingUntil, id)
 	restarted := old != nil && u.ID.Later(old.ID) && old.ID.Born != 0
 	if old != nil && (restarted || old.Address != u.Address) {
 		changes = d.drop(changes, old)
@@ -280,47 +287,47 @@
 	d.byID[id] = u
 	switch {
 	case old == nil:
-		return d.arrive(changes, u)
-	case !d.present(u):
+		return d.add(changes, u)
+	case !d.isCurrent(u):
 		return changes
 	}
-	d.note(u.ID, true)
+	d.recordChange(u.ID, true)
 	if u.Leaving && !old.Leaving {
 		return append(changes, Change{LeavingStarted, u})
 	}
 	return append(changes, Change{Changed, u})
 }
 
-// arrive enters a new entry at its address. It takes the place of the one there,
-// unless that is newer, or this one was seen before and only sent a late
-// heartbeat.
-func (d *Directory) arrive(changes []Change, u *Upstream) []Change {
-	others := d.at[u.Address]
+// add registers a new entry at its address. The entry replaces the current one there,
+// unless that has a newer revision, or the new entry was in force recently and has only
+// sent a late heartbeat.
+func (d *Directory) add(changes []Change, u *Upstream) []Change {
+	others := d.byAddress[u.Address]
 	if len(others) > 0 {
-		there := d.byID[others[len(others)-1]]
-		if there.Revision >= u.Revision || slices.Contains(d.recent, noted{u.ID, true}) {
-			d.at[u.Address] = slices.Insert(others, 0, u.ID.Upstream)
+		current := d.byID[others[len(others)-1]]
+		if current.Revision >= u.Revision || slices.Contains(d.recentChanges, changeRecord{u.ID, true}) {
+			d.byAddress[u.Address] = slices.Insert(others, 0, u.ID.Upstream)
 			return changes
 		}
-		d.note(there.ID, true)
-		changes = append(changes, Change{Removed, there})
+		d.recordChange(current.ID, true)
+		changes = append(changes, Change{Removed, current})
 	}
-	d.at[u.Address] = append(others, u.ID.Upstream)
-	d.note(u.ID, true)
+	d.byAddress[u.Address] = append(others, u.ID.Upstream)
+	d.recordChange(u.ID, true)
 	return append(changes, Change{Added, u})
 }
 
-// present reports whether an entry is the one in force at its address.
-func (d *Directory) present(u *Upstream) bool {
-	there := d.at[u.Address]
-	return there[len(there)-1] == u.ID.Upstream
+// isCurrent reports whether an entry is the one in force at its address.
+func (d *Directory) isCurrent(u *Upstream) bool {
+	registered := d.byAddress[u.Address]
+	return registered[len(registered)-1] == u.ID.Upstream
 }
 
-// remove takes an entry out, or lets it stand for a while after an outage.
+// remove removes an entry, or starts its grace period after an outage.
 func (d *Directory) remove(changes []Change, now time.Time, u *Upstream) []Change {
-	if now.Before(d.graceUntil) && !u.Leaving && d.present(u) {
-		if _, waiting := d.missing[u.ID.Upstream]; !waiting {
-			d.missing[u.ID.Upstream] = now.Add(RemovalGrace)
+	if now.Before(d.graceUntil) && !u.Leaving && d.isCurrent(u) {
+		if _, waiting := d.missingUntil[u.ID.Upstream]; !waiting {
+			d.missingUntil[u.ID.Upstream] = now.Add(RemovalGrace)
 			changes = append(changes, Change{Missing, u})
 		}
 		return changes
@@ -328,42 +335,42 @@
 	return d.drop(changes, u)
 }
 
-// drop takes an entry out. What stood at its address before is in force again:
-// it was the other that had ended.
+// drop removes an entry. If another entry with its address is left, that is in force
+// again.
 func (d *Directory) drop(changes []Change, u *Upstream) []Change {
-	present := d.present(u)
+	present := d.isCurrent(u)
 	delete(d.byID, u.ID.Upstream)
-	delete(d.missing, u.ID.Upstream)
-	rest := slices.DeleteFunc(d.at[u.Address], func(id ids.Upstream) bool { return id == u.ID.Upstream })
-	d.at[u.Address] = rest
+	delete(d.missingUntil, u.ID.Upstream)
+	rest := slices.DeleteFunc(d.byAddress[u.Address], func(id ids.Upstream) bool { return id == u.ID.Upstream })
+	d.byAddress[u.Address] = rest
 	if len(rest) == 0 {
-		delete(d.at, u.Address)
+		delete(d.byAddress, u.Address)
 	}
 	if !present {
 		return changes
 	}
-	d.note(u.ID, true)
+	d.recordChange(u.ID, true)
 	changes = append(changes, Change{Removed, u})
 	if len(rest) == 0 {
 		return changes
 	}
-	back := d.byID[rest[len(rest)-1]]
-	d.note(back.ID, true)
-	return append(changes, Change{Added, back})
+	restored := d.byID[rest[len(rest)-1]]
+	d.recordChange(restored.ID, true)
+	return append(changes, Change{Added, restored})
 }
 
-// noted is a change of an entry; inForce tells that it was that of an upstream
-// at its address, and not one set aside.
-type noted struct {
-	life    ids.Life
-	inForce bool
+// changeRecord is a change of an entry. active is false if the entry's service was not
+// configured.
+type changeRecord struct {
+	life   ids.Life
+	active bool
 }
 
-// note remembers a change.
-func (d *Directory) note(id ids.Life, inForce bool) {
-	if len(d.recent) == maxRecent {
-		d.recent = slices.Clone(d.recent[maxRecent/2:])
+// recordChange adds a change to recentChanges.
+func (d *Directory) recordChange(id ids.Life, active bool) {
+	if len(d.recentChanges) == maxRecentChanges {
+		d.recentChanges = slices.Clone(d.recentChanges[maxRecentChanges/2:])
 	}
-	d.recent = append(d.recent, noted{id, inForce})
+	d.recentChanges = append(d.recentChanges, changeRecord{id, active})
 	d.mark++
 }
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -12,15 +12,16 @@
 
 var start = time.Unix(1000, 0)
 
-// at gives a time by ms from the start.
+// at returns the time that many milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func upstream(id string, revision int64) Upstream {
 	return Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Address: id + ":1", Revision: revision}
 }
 
-// names gives the upstreams of the view, with those leaving marked.
-func names(d *Directory) []string {
+// viewNames returns the names of the upstreams in the view, with "!" after those that are
+// leaving.
+func viewNames(d *Directory) []string {
 	var out []string
 	for _, u := range d.View().Of("s") {
 		name := string(u.ID.Upstream)
@@ -32,8 +33,8 @@
 	return out
 }
 
-// kinds gives the changes as text.
-func kinds(changes []Change) []string {
+// changeTexts returns the changes as text.
+func changeTexts(changes []Change) []string {
 	var out []string
 	for _, c := range changes {
 		out = append(out, string(c.Kind)+" "+string(c.Upstream.ID.Upstream))
@@ -41,19 +42,19 @@
 	return out
 }
 
-func TestListIsTakenAsADifference(t *testing.T) {
+func TestReplaceReportsOnlyDifferences(t *testing.T) {
 	d := New()
 	d.Replace(start, []Upstream{upstream("a", 1), upstream("b", 2)}, 5)
 	b := upstream("b", 7)
 	b.Leaving = true
 	changes := d.Replace(start, []Upstream{b, upstream("c", 8)}, 9)
-	if diff := cmp.Diff([]string{"left b", "seen c", "gone a"}, kinds(changes)); diff != "" {
+	if diff := cmp.Diff([]string{"left b", "seen c", "gone a"}, changeTexts(changes)); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"b!", "c"}, names(d)); diff != "" {
+	if diff := cmp.Diff([]string{"b!", "c"}, viewNames(d)); diff != "" {
 		t.Error(diff)
 	}
-	if d.Replace(start, nil, 8) != nil || len(names(d)) != 2 {
+	if d.Replace(start, nil, 8) != nil || len(viewNames(d)) != 2 {
 		t.Error("an older list took effect")
 	}
 }
@@ -64,7 +65,7 @@
 	u.Leaving = true
 	d.Put(u)
 	d.Put(upstream("a", 2))
-	if diff := cmp.Diff([]string{"a!"}, names(d)); diff != "" {
+	if diff := cmp.Diff([]string{"a!"}, viewNames(d)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -75,41 +76,41 @@
 	if d.Put(upstream("a", 4)) != nil {
 		t.Error("an older entry took effect")
 	}
-	if d.Remove(start, "a", 4) != nil || len(names(d)) != 1 {
-		t.Error("a removal from before the entry took effect")
+	if d.Remove(start, "a", 4) != nil || len(viewNames(d)) != 1 {
+		t.Error("a removal older than the entry took effect")
 	}
-	if got := kinds(d.Remove(start, "a", 6)); !cmp.Equal(got, []string{"gone a"}) {
+	if got := changeTexts(d.Remove(start, "a", 6)); !cmp.Equal(got, []string{"gone a"}) {
 		t.Errorf("removal: %v", got)
 	}
 }
 
-func TestEntriesMissingAfterAnOutageStandForAWhile(t *testing.T) {
+func TestEntriesMissingAfterAnOutageStayForTheGracePeriod(t *testing.T) {
 	d := New()
 	d.Replace(start, []Upstream{upstream("a", 1), upstream("b", 2), upstream("c", 3)}, 5)
 	d.RegistryRecovered(at(10_000), time.Minute)
 	d.Replace(at(10_010), []Upstream{upstream("a", 1)}, 6)
-	if diff := cmp.Diff([]string{"a", "b", "c"}, names(d)); diff != "" {
+	if diff := cmp.Diff([]string{"a", "b", "c"}, viewNames(d)); diff != "" {
 		t.Error("just after the outage:", diff)
 	}
 	d.Put(upstream("b", 7))
 	if changes := d.Expire(at(11_400)); changes != nil {
-		t.Errorf("expired early: %v", kinds(changes))
+		t.Errorf("expired early: %v", changeTexts(changes))
 	}
-	if got := kinds(d.Expire(at(11_520))); !cmp.Equal(got, []string{"gone c"}) {
-		t.Errorf("after the grace: %v, want c gone, as b came back", got)
+	if got := changeTexts(d.Expire(at(11_520))); !cmp.Equal(got, []string{"gone c"}) {
+		t.Errorf("after the grace period: %v, want c gone, as b was entered again", got)
 	}
-	if got := kinds(d.Remove(at(12_000), "b", 9)); !cmp.Equal(got, []string{"gone b"}) {
-		t.Errorf("a removal long after the outage: %v", got)
+	if got := changeTexts(d.Remove(at(12_000), "b", 9)); !cmp.Equal(got, []string{"gone b"}) {
+		t.Errorf("removal long after the outage: %v", got)
 	}
 }
 
-func TestOneThatWasLeavingIsGoneAtOnceAfterAnOutage(t *testing.T) {
+func TestMissingLeavingEntryIsRemovedAtOnceAfterAnOutage(t *testing.T) {
 	d := New()
 	u := upstream("a", 1)
 	u.Leaving = true
 	d.Replace(start, []Upstream{u}, 5)
 	d.RegistryRecovered(at(1000), time.Minute)
-	if got := kinds(d.Replace(at(1000), nil, 6)); !cmp.Equal(got, []string{"gone a"}) {
+	if got := changeTexts(d.Replace(at(1000), nil, 6)); !cmp.Equal(got, []string{"gone a"}) {
 		t.Errorf("changes %v", got)
 	}
 }
@@ -120,16 +121,16 @@
 	before := d.View()
 	d.Remove(start, "a", 2)
 	if before.Get(life("a")) == nil || len(before.All()) != 1 {
-		t.Error("a view changed after it was given")
+		t.Error("a view changed after it was taken")
 	}
 	var none *View
 	if none.Get(life("a")) != nil || none.Of("s") != nil || none.All() != nil {
-		t.Error("no view knows upstreams")
+		t.Error("a nil view contains upstreams")
 	}
 }
 
-// since gives what changed since a mark as text.
-func since(t *testing.T, d *Directory, mark uint64) []string {
+// changesSince returns the changes since a mark as text.
+func changesSince(t *testing.T, d *Directory, mark uint64) []string {
 	t.Helper()
 	changed, gone, ok := d.View().Since(mark)
 	if !ok {
@@ -145,43 +146,43 @@
 	return out
 }
 
-func TestChangesSinceAViewAreNamed(t *testing.T) {
+func TestViewReportsChangesSinceAMark(t *testing.T) {
 	d := New()
 	d.Replace(start, []Upstream{upstream("a", 1), upstream("b", 2), upstream("c", 3)}, 5)
 	mark := d.View().Mark
-	if diff := cmp.Diff([]string{}, since(t, d, mark)); diff != "" {
+	if diff := cmp.Diff([]string{}, changesSince(t, d, mark)); diff != "" {
 		t.Error(diff)
 	}
 	d.Put(upstream("a", 6))
 	d.Remove(start, "b", 7)
 	d.Put(upstream("a", 8))
-	if diff := cmp.Diff([]string{"+a", "-b"}, since(t, d, mark)); diff != "" {
+	if diff := cmp.Diff([]string{"+a", "-b"}, changesSince(t, d, mark)); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"unknown"}, since(t, d, mark+9)); diff != "" {
-		t.Error("of a mark that was never given:", diff)
+	if diff := cmp.Diff([]string{"unknown"}, changesSince(t, d, mark+9)); diff != "" {
+		t.Error("since a mark in the future:", diff)
 	}
 	var none *View
 	if _, _, ok := none.Since(0); ok {
-		t.Error("no view knows changes")
+		t.Error("a nil view reports changes")
 	}
 }
 
-// follow has one directory take over what changed in another since a mark, checks
-// that both show the same, and gives the next mark.
-func follow(t *testing.T, from, to *Directory, mark uint64) uint64 {
+// syncFollower applies the changes of one directory since a mark to another, checks that both
+// have the same view, and returns the next mark.
+func syncFollower(t *testing.T, from, to *Directory, mark uint64) uint64 {
 	t.Helper()
 	view := from.View()
 	changed, gone, ok := view.Since(mark)
 	if !ok {
-		t.Fatalf("changes since %d unknown at %d", mark, view.Mark)
+		t.Fatalf("the changes since mark %d are not known at mark %d", mark, view.Mark)
 	}
 	var list []Upstream
 	for _, u := range changed {
 		list = append(list, *u)
 	}
 	to.Update(start, list, gone, view.Revision)
-	if diff := cmp.Diff(names(from), names(to)); diff != "" {
+	if diff := cmp.Diff(viewNames(from), viewNames(to)); diff != "" {
 		t.Fatalf("at mark %d: %s", view.Mark, diff)
 	}
 	return view.Mark
@@ -190,7 +191,7 @@
 func TestFollowerOfChangesHasTheSameView(t *testing.T) {
 	from, to := New(), New()
 	mark := uint64(0)
-	for i := range 4 * maxRecent {
+	for i := range 4 * maxRecentChanges {
 		id := string(rune('a' + i%7))
 		if i%3 == 2 {
 			from.Remove(start, ids.Upstream(id), int64(i+1))
@@ -200,56 +201,56 @@
 		if i%5 != 0 {
 			continue
 		}
-		mark = follow(t, from, to, mark)
+		mark = syncFollower(t, from, to, mark)
 	}
 	if _, _, ok := from.View().Since(0); ok {
-		t.Error("changes are remembered without bound")
+		t.Error("changes are kept without bound")
 	}
 }
 
 func TestOlderUpdateIsIgnored(t *testing.T) {
 	d := New()
 	d.Replace(start, []Upstream{upstream("a", 1)}, 5)
-	if d.Update(start, nil, []ids.Upstream{"a"}, 4) != nil || len(names(d)) != 1 {
+	if d.Update(start, nil, []ids.Upstream{"a"}, 4) != nil || len(viewNames(d)) != 1 {
 		t.Error("an older update took effect")
 	}
-	if got := kinds(d.Update(start, []Upstream{upstream("b", 6)}, []ids.Upstream{"a", "x"}, 6)); !cmp.Equal(got, []string{"seen b", "gone a"}) {
+	if got := changeTexts(d.Update(start, []Upstream{upstream("b", 6)}, []ids.Upstream{"a", "x"}, 6)); !cmp.Equal(got, []string{"seen b", "gone a"}) {
 		t.Errorf("changes %v", got)
 	}
 }
 
-func TestNewUpstreamAtAnAddressEndsTheOneBefore(t *testing.T) {
+func TestNewUpstreamAtAnAddressReplacesTheOneBefore(t *testing.T) {
 	d := New()
 	d.Put(upstream("a", 1))
 	d.Put(upstream("b", 2))
 	next := upstream("a2", 5)
 	next.Address = "a:1"
-	if diff := cmp.Diff([]string{"gone a", "seen a2"}, kinds(d.Put(next))); diff != "" {
+	if diff := cmp.Diff([]string{"gone a", "seen a2"}, changeTexts(d.Put(next))); diff != "" {
 		t.Error(diff)
 	}
-	// Its entry still stands in the registry.
+	// The ended upstream's entry is still in the registry.
 	if changes := d.Replace(start, []Upstream{upstream("a", 1), upstream("b", 2), next}, 6); changes != nil {
-		t.Errorf("a list brought back the one before: %v", kinds(changes))
+		t.Errorf("a list restored the ended upstream: %v", changeTexts(changes))
 	}
-	// A late heartbeat changes its entry, or enters it once more.
+	// A late heartbeat changes the entry, or enters it again after its removal.
 	if changes := d.Put(upstream("a", 7)); changes != nil {
-		t.Errorf("a late heartbeat brought it back: %v", kinds(changes))
+		t.Errorf("a late heartbeat restored it: %v", changeTexts(changes))
 	}
-	if diff := cmp.Diff([]string{"a2", "b"}, names(d)); diff != "" {
+	if diff := cmp.Diff([]string{"a2", "b"}, viewNames(d)); diff != "" {
 		t.Error(diff)
 	}
-	if got := kinds(d.Remove(start, "a", 8)); got != nil {
-		t.Errorf("its removal: %v", got)
+	if got := changeTexts(d.Remove(start, "a", 8)); got != nil {
+		t.Errorf("removal of the ended upstream: %v", got)
 	}
 	if changes := d.Put(upstream("a", 9)); changes != nil {
-		t.Errorf("a heartbeat after its removal brought it back: %v", kinds(changes))
+		t.Errorf("a heartbeat after its removal restored it: %v", changeTexts(changes))
 	}
 	d.Remove(start, "a", 10)
 	d.Remove(start, "a2", 11)
 	again := upstream("a3", 12)
 	again.Address = "a:1"
-	if got := kinds(d.Put(again)); !cmp.Equal(got, []string{"seen a3"}) {
-		t.Errorf("the next at a free address: %v", got)
+	if got := changeTexts(d.Put(again)); !cmp.Equal(got, []string{"seen a3"}) {
+		t.Errorf("new upstream at a free address: %v", got)
 	}
 }
 
@@ -261,30 +262,30 @@
 	d.Put(moved)
 	other := upstream("b", 3)
 	other.Address = "a:1"
-	if diff := cmp.Diff([]string{"seen b"}, kinds(d.Put(other))); diff != "" {
+	if diff := cmp.Diff([]string{"seen b"}, changeTexts(d.Put(other))); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestOneThatWasTakenForOverIsBackOnceItIsAlone(t *testing.T) {
+func TestReplacedEntryIsRestoredWhenTheOtherIsRemoved(t *testing.T) {
 	d := New()
 	late := upstream("late", 5)
 	late.Address = "x:1"
 	real := upstream("real", 3)
 	real.Address = "x:1"
-	// In a first list nothing tells which is the newer but the revision.
+	// In a first list, only the revision shows which entry is newer.
 	d.Replace(start, []Upstream{late, real}, 6)
-	if diff := cmp.Diff([]string{"late"}, names(d)); diff != "" {
+	if diff := cmp.Diff([]string{"late"}, viewNames(d)); diff != "" {
 		t.Fatal(diff)
 	}
 	mark := d.View().Mark
-	if diff := cmp.Diff([]string{"gone late", "seen real"}, kinds(d.Remove(start, "late", 7))); diff != "" {
+	if diff := cmp.Diff([]string{"gone late", "seen real"}, changeTexts(d.Remove(start, "late", 7))); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"real"}, names(d)); diff != "" {
+	if diff := cmp.Diff([]string{"real"}, viewNames(d)); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"+real", "-late"}, since(t, d, mark)); diff != "" {
+	if diff := cmp.Diff([]string{"+real", "-late"}, changesSince(t, d, mark)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -302,25 +303,25 @@
 			u.Address = fmt.Sprint("at", i*7%23%5)
 			from.Put(u)
 		}
-		mark = follow(t, from, to, mark)
+		mark = syncFollower(t, from, to, mark)
 	}
 }
 
-// life is the one life of an upstream whose start is not told.
+// life returns the life of an upstream without a known start time.
 func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
 
-// An outage that is too short for entries to lapse hides only what is true.
-func TestRemovalAfterAShortOutageIsBelieved(t *testing.T) {
+// An outage too short for live entries to expire starts no grace period.
+func TestRemovalAfterAShortOutageTakesEffectAtOnce(t *testing.T) {
 	for _, one := range []struct {
-		away time.Duration
-		left int
-	}{{lapseAfter - time.Millisecond, 0}, {lapseAfter, 1}} {
+		outage time.Duration
+		left   int
+	}{{minExpiryOutage - time.Millisecond, 0}, {minExpiryOutage, 1}} {
 		d := New()
 		d.Put(Upstream{ID: ids.Life{Upstream: "u"}, Address: "a", Revision: 1})
-		d.RegistryRecovered(at(1000), one.away)
+		d.RegistryRecovered(at(1000), one.outage)
 		d.Remove(at(1100), "u", 2)
 		if left := len(d.View().All()); left != one.left {
-			t.Errorf("after %v: %d left, want %d", one.away, left, one.left)
+			t.Errorf("after an outage of %v: %d entries left, want %d", one.outage, left, one.left)
 		}
 	}
 }
--- a/decide/directory/view.go
+++ b/decide/directory/view.go
@@ -7,22 +7,22 @@
 	"mimosaarch.example/core/ids"
 )
 
-// View is the directory at one moment, for readers.
+// View is an immutable snapshot of a Directory. A nil View is empty.
 type View struct {
-	// Revision is the registry's revision that the view stands for.
+	// Revision is the registry's revision of the snapshot.
 	Revision int64
-	// Mark counts the changes of the Directory that gave the view.
+	// Mark is the number of changes that the Directory had made.
 	Mark     uint64
 	services map[ids.Service][]*Upstream
-	// byID also holds the entries whose service is not configured.
+	// byID also contains the entries whose service is not configured.
 	byID map[ids.Upstream]*Upstream
-	// recent are the last changes, the newest last, which is the one that Mark
-	// counts.
-	recent []noted
+	// recentChanges are the latest changes, oldest first. The last one is change number
+	// Mark.
+	recentChanges []changeRecord
 }
 
-// Of gives the upstreams of a service in the order of their names, with those
-// that are leaving; the slice must not be changed.
+// Of returns the upstreams of a service, including those that are leaving, sorted by
+// ID. The slice must not be modified.
 func (v *View) Of(service ids.Service) []*Upstream {
 	if v == nil {
 		return nil
@@ -30,7 +30,7 @@
 	return v.services[service]
 }
 
-// Get gives an upstream; nil if it is not there, or another life of it is.
+// Get returns an upstream, or nil if it is not in the view with this life.
 func (v *View) Get(id ids.Life) *Upstream {
 	if v == nil {
 		return nil
@@ -42,7 +42,7 @@
 	return u
 }
 
-// Len gives the number of entries.
+// Len returns the number of entries.
 func (v *View) Len() int {
 	if v == nil {
 		return 0
@@ -50,8 +50,7 @@
 	return len(v.byID)
 }
 
-// All gives every entry in the order of their names, also those whose service
-// is not configured.
+// All returns every entry, also those whose service is not configured, sorted by ID.
 func (v *View) All() []*Upstream {
 	if v == nil {
 		return nil
@@ -64,20 +63,20 @@
 	return all
 }
 
-// Since gives what changed since an earlier view of the same Directory: the
-// upstreams that are there, and the names of those that are not any more. It
-// gives false if the changes since that mark are no longer known.
+// Since returns the upstreams that changed since an earlier mark of the same Directory,
+// and the names of those that were removed. ok is false if the changes since that mark
+// are no longer kept.
 func (v *View) Since(mark uint64) (changed []*Upstream, gone []ids.Upstream, ok bool) {
-	if v == nil || mark > v.Mark || v.Mark-mark > uint64(len(v.recent)) {
+	if v == nil || mark > v.Mark || v.Mark-mark > uint64(len(v.recentChanges)) {
 		return nil, nil, false
 	}
-	told := make(map[ids.Upstream]bool)
-	for _, change := range v.recent[uint64(len(v.recent))-(v.Mark-mark):] {
+	seen := make(map[ids.Upstream]bool)
+	for _, change := range v.recentChanges[uint64(len(v.recentChanges))-(v.Mark-mark):] {
 		id := change.life.Upstream
-		if told[id] {
+		if seen[id] {
 			continue
 		}
-		told[id] = true
+		seen[id] = true
 		if u := v.byID[id]; u != nil {
 			changed = append(changed, u)
 		} else {
@@ -87,23 +86,23 @@
 	return changed, gone, true
 }
 
-// View gives the directory as it is now.
+// View returns a snapshot of the directory.
 func (d *Directory) View() *View {
 	v := &View{
-		Revision: d.revision,
-		Mark:     d.mark,
-		recent:   d.recent,
-		services: make(map[ids.Service][]*Upstream),
-		byID:     make(map[ids.Upstream]*Upstream, len(d.byID)),
+		Revision:      d.revision,
+		Mark:          d.mark,
+		recentChanges: d.recentChanges,
+		services:      make(map[ids.Service][]*Upstream),
+		byID:          make(map[ids.Upstream]*Upstream, len(d.byID)),
 	}
 	for id, u := range d.byID {
-		if !d.present(u) {
+		if !d.isCurrent(u) {
 			continue
 		}
 		v.byID[id] = u
 		v.services[u.Service] = append(v.services[u.Service], u)
 	}
-	maps.Copy(v.byID, d.aside)
+	maps.Copy(v.byID, d.unconfigured)
 	for _, list := range v.services {
 		slices.SortFunc(list, func(a, b *Upstream) int { return a.ID.Compare(b.ID) })
 	}
