--- a/decide/health/circuit.go
+++ b/decide/health/circuit.go
@@ -7,53 +7,55 @@
 )
 
 const (
-	// maxEjectFactor bounds the doubling of ejections.
-	maxEjectFactor = 10
-	// forgetAfter is how many times EjectFor an upstream must be up for its
-	// ejections to be forgotten.
-	forgetAfter = 20
-	// trialFor is the time a trial may stay unsettled.
-	trialFor = 5 * time.Second
-	// trialWeight is the weight of a half-open upstream whose trial is free.
+	// maxEjectMultiple bounds the duration of an ejection, in multiples of EjectFor.
+	maxEjectMultiple = 10
+	// ejectionResetMultiple is how long an upstream must be up for its ejections to be
+	// forgotten, in multiples of EjectFor.
+	ejectionResetMultiple = 20
+	// trialTimeout is how long a trial may stay without a result before another may
+	// start.
+	trialTimeout = 5 * time.Second
+	// trialWeight is the weight of a half-open upstream without a running trial.
 	trialWeight = 0.5
-	// returnWeight is the weight at the start of a return.
-	returnWeight = 0.1
+	// initialReturnWeight is the weight at the start of a return.
+	initialReturnWeight = 0.1
 )
 
-// circuit is the state machine of one upstream or link: up, ejected,
-// half-open, returning, up.
+// circuit is the circuit breaker of one upstream or link. Its states are Up, Ejected,
+// HalfOpen and Returning.
 type circuit struct {
-	state     State
-	score     int
-	ejections int
-	until     time.Time
-	trial     bool
-	trialAt   time.Time
-	returnAt  time.Time
+	state           State
+	failureScore    int
+	ejections       int
+	ejectedUntil    time.Time
+	trialTaken      bool
+	trialStartedAt  time.Time
+	returnStartedAt time.Time
 }
 
+// newCircuit returns a circuit in state Up.
 func newCircuit() circuit { return circuit{state: Up} }
 
-// refresh brings the state up to now, and gives it.
+// refresh applies the timeouts of ejections and trials, and returns the state.
 func (c *circuit) refresh(now time.Time) State {
-	if c.state == Ejected && !now.Before(c.until) {
+	if c.state == Ejected && !now.Before(c.ejectedUntil) {
 		c.state = HalfOpen
-		c.trial = false
+		c.trialTaken = false
 	}
-	if c.trial && now.Sub(c.trialAt) >= trialFor {
-		c.trial = false
+	if c.trialTaken && now.Sub(c.trialStartedAt) >= trialTimeout {
+		c.trialTaken = false
 	}
 	return c.state
 }
 
-// inUse reports whether it gets more than trials.
+// inUse reports whether the circuit gets regular work, not only trials.
 func (c *circuit) inUse(now time.Time) bool {
 	s := c.refresh(now)
 	return s == Up || s == Returning
 }
 
-// fail counts a failure of some weight and reports whether to eject. What
-// fails while ejected was sent before, and tells nothing new.
+// fail counts a failure of the given weight and reports whether to eject. A failure
+// during an ejection belongs to a request sent earlier and is ignored.
 func (c *circuit) fail(now time.Time, weight, threshold int) bool {
 	switch c.refresh(now) {
 	case Ejected:
@@ -61,84 +63,86 @@
 	case HalfOpen:
 		return true
 	}
-	c.score += weight
-	return c.score >= threshold
+	c.failureScore += weight
+	return c.failureScore >= threshold
 }
 
-// succeed counts a success. One that was sent before an ejection does not end
-// it early, but settles a half-open circuit like a trial.
+// succeed counts a success. The success of a request sent before an ejection does not
+// end the ejection, but it closes a half-open circuit as a trial does.
 func (c *circuit) succeed(now time.Time, policy fleet.HealthPolicy) {
-	c.score = 0
+	c.failureScore = 0
 	switch c.refresh(now) {
 	case HalfOpen:
-		c.comeBack(now)
+		c.startReturn(now)
 	case Returning, Up:
-		if now.Sub(c.returnAt) > forgetAfter*policy.EjectFor.D() {
+		if now.Sub(c.returnStartedAt) > ejectionResetMultiple*policy.EjectFor.D() {
 			c.ejections = 0
 		}
 	}
 }
 
-// comeBack starts a slow return.
-func (c *circuit) comeBack(now time.Time) {
+// startReturn starts the slow return to full weight.
+func (c *circuit) startReturn(now time.Time) {
 	c.state = Returning
-	c.returnAt = now
-	c.trial = false
-	c.score = 0
+	c.returnStartedAt = now
+	c.trialTaken = false
+	c.failureScore = 0
 }
 
-// eject takes out of use, each time for twice as long. It is at most
-// maxEjectFactor times EjectFor.
+// eject ejects for EjectFor. The duration doubles with each ejection, up to
+// maxEjectMultiple times EjectFor.
 func (c *circuit) eject(now time.Time, policy fleet.HealthPolicy) {
 	if c.refresh(now) == Ejected {
 		return
 	}
-	factor := min(1<<min(c.ejections, 8), maxEjectFactor)
+	factor := min(1<<min(c.ejections, 8), maxEjectMultiple)
 	c.ejections++
 	c.state = Ejected
-	c.until = now.Add(time.Duration(factor) * policy.EjectFor.D())
-	c.trial = false
-	c.score = 0
+	c.ejectedUntil = now.Add(time.Duration(factor) * policy.EjectFor.D())
+	c.trialTaken = false
+	c.failureScore = 0
 }
 
-// reopen ends an ejection early: what was ejected has been replaced.
-func (c *circuit) reopen() {
+// endEjection ends an ejection early, because the process that was ejected has been
+// replaced.
+func (c *circuit) endEjection() {
 	if c.state == Ejected {
 		c.state = HalfOpen
 	}
-	c.trial = false
-	c.score = 0
+	c.trialTaken = false
+	c.failureScore = 0
 }
 
-// tryTrial takes the trial of a half-open circuit.
+// tryTrial starts the trial of a half-open circuit and reports whether it may run.
 func (c *circuit) tryTrial(now time.Time) bool {
-	if c.refresh(now) != HalfOpen || c.trial {
+	if c.refresh(now) != HalfOpen || c.trialTaken {
 		return false
 	}
-	c.trial = true
-	c.trialAt = now
+	c.trialTaken = true
+	c.trialStartedAt = now
 	return true
 }
 
-// weight is trialWeight while a trial is free, grows from returnWeight to 1
-// over a return, and is less after failures in a row.
+// weight returns the share of work. It is trialWeight while a half-open circuit has no
+// running trial. During a return it grows from initialReturnWeight to 1 over ramp.
+// Failures in a row reduce it.
 func (c *circuit) weight(now time.Time, ramp time.Duration) float64 {
 	w := 1.0
 	switch c.refresh(now) {
 	case Ejected:
 		return 0
 	case HalfOpen:
-		if c.trial {
+		if c.trialTaken {
 			return 0
 		}
 		return trialWeight
 	case Returning:
-		done := float64(now.Sub(c.returnAt)) / float64(ramp)
+		done := float64(now.Sub(c.returnStartedAt)) / float64(ramp)
 		if done >= 1 {
 			c.state = Up
 			break
 		}
-		w = returnWeight + (1-returnWeight)*max(done, 0)
+		w = initialReturnWeight + (1-initialReturnWeight)*max(done, 0)
 	}
-	return w / float64(1+c.score)
+	return w / float64(1+c.failureScore)
 }
--- a/decide/health/events.go
+++ b/decide/health/events.go
@@ -7,29 +7,30 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// Success counts an attempt that the upstream served whole.
+// Success counts an attempt that the upstream answered completely.
 func (t *Tracker) Success(now time.Time, id ids.Upstream) {
 	m, ok := t.members[id]
 	if !ok {
 		return
 	}
-	m.prove(now)
+	m.recordProgress(now)
 	m.rate.add(now, true)
 	m.circuit.succeed(now, m.service.policy)
-	m.held = false
+	m.heldByFloor = false
 }
 
-// Progress tells that some connection to the upstream moves on: a start was
-// confirmed, tokens came, or it refused in form. It clears stalls, but not
-// failures.
+// Progress records that a connection to the upstream makes progress: a start was
+// confirmed, tokens arrived, or the upstream refused properly. It clears stalls, but
+// not failures.
 func (t *Tracker) Progress(now time.Time, id ids.Upstream) {
 	if m, ok := t.members[id]; ok {
-		m.prove(now)
+		m.recordProgress(now)
 	}
 }
 
-// Failure counts an attempt that failed for a reason. Reasons that are not
-// the upstream's fault count as progress: busy, refused, cancelled.
+// Failure counts an attempt that failed for a reason. Busy and refused are not the
+// upstream's fault and count as progress. Other reasons, such as cancelled, are
+// ignored.
 func (t *Tracker) Failure(now time.Time, id ids.Upstream, reason outcome.Reason) {
 	m, ok := t.members[id]
 	if !ok {
@@ -37,10 +38,10 @@
 	}
 	switch reason {
 	case outcome.ConnectFailed:
-		t.fail(now, m, connectWeight)
+		t.fail(now, m, connectFailureWeight)
 	case outcome.UpstreamLost:
-		merged := now.Sub(m.lost) < lostMerge
-		m.lost = now
+		merged := now.Sub(m.lastLost) < lostMergeWindow
+		m.lastLost = now
 		if !merged {
 			t.fail(now, m, 1)
 		}
@@ -49,74 +50,77 @@
 	case outcome.UpstreamStalled:
 		t.Stall(now, id)
 	case outcome.UpstreamBusy, outcome.UpstreamRefused:
-		m.prove(now)
+		m.recordProgress(now)
 	}
 }
 
-// Stall counts a connection that went without progress for too long. The
-// first blames the connection; the second with no progress on any connection
-// in between, or the first after reports have stopped, ejects.
+// Stall counts a connection without progress. The first stall is blamed on the
+// connection. The upstream is ejected at the second one with no progress in between, or
+// at the first one if its reports have stopped or it is on trial.
 func (t *Tracker) Stall(now time.Time, id ids.Upstream) {
 	m, ok := t.members[id]
 	if !ok {
 		return
 	}
 	m.stalls++
-	silent := !m.reported.IsZero() && now.Sub(m.reported) > reportGrace
+	silent := !m.lastReport.IsZero() && now.Sub(m.lastReport) > reportTimeout
 	trial := m.circuit.refresh(now) == HalfOpen
 	if m.stalls >= stallsToEject || silent || trial {
 		t.eject(now, m)
 	}
 }
 
-// ReportReceived tells that the upstream's own report arrived from itself.
+// ReportReceived records that a load report of the upstream has arrived from the
+// upstream itself.
 func (t *Tracker) ReportReceived(now time.Time, id ids.Upstream) {
 	if m, ok := t.members[id]; ok {
-		m.reported = now
-		m.misses = 0
+		m.lastReport = now
+		m.missedReports = 0
 	}
 }
 
-// ReportMissed tells that the upstream did not answer a poll for its report.
+// ReportMissed records that the upstream did not answer a poll for its report. Polls
+// missed in a row eject at the same threshold as failures.
 func (t *Tracker) ReportMissed(now time.Time, id ids.Upstream) {
 	m, ok := t.members[id]
 	if !ok {
 		return
 	}
-	m.misses++
-	if m.misses >= m.threshold(now) {
+	m.missedReports++
+	if m.missedReports >= m.ejectThreshold(now) {
 		t.eject(now, m)
 	}
 }
 
-// prove notes that the upstream was seen to work.
-func (m *member) prove(now time.Time) {
-	m.proved = now
+// recordProgress records that the upstream was seen working.
+func (m *member) recordProgress(now time.Time) {
+	m.lastProgress = now
 	m.stalls = 0
 }
 
-// fail counts a failure of some weight, and ejects if it is one too many.
+// fail counts a failure of the given weight, and ejects the upstream if it has reached
+// the threshold or is an outlier.
 func (t *Tracker) fail(now time.Time, m *member, weight int) {
 	m.rate.add(now, false)
-	if m.circuit.fail(now, weight, m.threshold(now)) || t.outlier(now, m) {
+	if m.circuit.fail(now, weight, m.ejectThreshold(now)) || t.isOutlier(now, m) {
 		t.eject(now, m)
 	}
 }
 
-// eject takes an upstream out of use unless the floor forbids it.
+// eject ejects an upstream unless its service would fall below its floor.
 func (t *Tracker) eject(now time.Time, m *member) {
 	if !t.aboveFloor(now, m) {
-		m.held = true
+		m.heldByFloor = true
 		return
 	}
-	m.held = false
+	m.heldByFloor = false
 	m.stalls = 0
-	m.misses = 0
+	m.missedReports = 0
 	m.rate = successRate{}
 	m.circuit.eject(now, m.service.policy)
 }
 
-// aboveFloor reports whether enough upstreams stay in use without m.
+// aboveFloor reports whether enough upstreams of the service stay in use without m.
 func (t *Tracker) aboveFloor(now time.Time, m *member) bool {
 	present, used := 0, 0
 	for _, other := range m.service.members {
--- a/decide/health/health.go
+++ b/decide/health/health.go
@@ -1,22 +1,24 @@
-// Package health judges upstreams and the links between them by what is seen
-// in passing: attempts, stalls, reports, and the views of peers.
+// Package health decides which upstreams and links get work, and with what weight. It
+// implements passive health checks with circuit breakers: it rates upstreams, and the
+// links between them, by the results of attempts, stalls, missing load reports, and the
+// states that peers report.
 //
-// An upstream is ejected after failures in a row, two stalls without progress
-// in between, unanswered polls, or as an outlier of its service's success
-// rate. A refused connection counts double: nothing listens there. A single
-// stall blames its connection, unless the upstream's reports have stopped as
-// well. Ejection ends after EjectFor, doubling up to ten times; one trial then
-// decides, and the upstream returns to full weight slowly. A service's floor
-// is never undercut: an upstream that would be ejected below it stays in use
-// with little weight.
+// An upstream is ejected after consecutive failures, two stalls without progress in
+// between, unanswered polls, or as an outlier of its service's success rate. A refused
+// connection counts as two failures, because no process listens there. A single stall
+// is blamed on the connection, unless the upstream's reports have stopped as well. An
+// ejection lasts for EjectFor, and doubles each time up to ten times EjectFor. Then a
+// single trial decides, and the upstream returns to full weight slowly. A service has a
+// floor, the least share of its upstreams in use. An upstream whose ejection would
+// break the floor stays in use with little weight.
 //
-// The word of peers never ejects, since a peer behind a cut sees healthy
-// upstreams as dead. It halves the weight until the upstream has proved itself
-// here, and lets fewer failures of our own suffice; weighed against a vote of
-// peers, which a cut wins with the larger side.
+// Peers' states alone never eject, because a peer behind a network partition sees
+// healthy upstreams as dead; with a vote, the larger side of a partition would decide.
+// A peer's ejection halves the weight until the upstream makes progress here, and
+// lowers the number of failures that eject.
 //
-// A Tracker is used by one goroutine. It reads no clock, and keeps state only
-// for members, within Options. Events about others are ignored.
+// A Tracker is used by one goroutine. It reads no clock, and keeps state for members
+// only, within the bounds of Options. Events about other upstreams are ignored.
 package health
 
 import (
@@ -28,51 +30,53 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Defaults of Options and of unset policies.
+// Defaults of Options and of unset policy fields.
 const (
 	DefaultMaxPeers     = 64
 	DefaultMaxLinks     = 16384
 	DefaultRampFor      = 5 * time.Second
-	DefaultFailures     = 3
+	DefaultFailures     = 3 // consecutive failures that eject
 	DefaultEjectFor     = time.Second
-	DefaultFloorPercent = 30
+	DefaultFloorPercent = 30 // least share of upstreams in use
 )
 
 const (
-	// connectWeight is how many failures a refused connection counts as.
-	connectWeight = 2
-	// lostMerge is the time within which lost connections count once: a
-	// cause on the way often takes several at a time.
-	lostMerge = 20 * time.Millisecond
-	// stallsToEject without progress in between.
+	// connectFailureWeight is how many failures a refused connection counts as, because
+	// no process listens there.
+	connectFailureWeight = 2
+	// lostMergeWindow is the time within which lost connections count once, because one
+	// network fault often breaks several.
+	lostMergeWindow = 20 * time.Millisecond
+	// stallsToEject is how many stalls, without progress in between, eject an upstream.
 	stallsToEject = 2
-	// reportGrace is the silence after which reports count as stopped.
-	reportGrace = 1500 * time.Millisecond
-	// floorWeight is the weight of an upstream kept in use by the floor alone.
+	// reportTimeout is the silence after which an upstream's reports count as stopped.
+	reportTimeout = 1500 * time.Millisecond
+	// floorWeight is the factor on the weight of an upstream that only the floor keeps in
+	// use.
 	floorWeight = 0.1
-	// hintWeight is the weight of an upstream that a peer ejected.
-	hintWeight = 0.5
+	// peerEjectedWeight is the factor on the weight of an upstream that a peer ejects.
+	peerEjectedWeight = 0.5
 )
 
-// State is how an upstream is used.
+// State is the health state of an upstream.
 type State int
 
 const (
-	// Unknown: not a member of any service.
+	// Unknown means that the upstream is not a member of any service.
 	Unknown State = iota
-	// Up: in use.
+	// Up means in use.
 	Up
-	// Ejected: gets nothing.
+	// Ejected means that the upstream gets no work.
 	Ejected
-	// HalfOpen: gets one trial, see TryTrial.
+	// HalfOpen means that the upstream gets one trial, see TryTrial.
 	HalfOpen
-	// Returning: in use, with a weight that grows.
+	// Returning means in use with a growing weight.
 	Returning
-	// Leaving: gets nothing new, and its streams end in peace.
+	// Leaving means that the upstream gets no new work, and finishes its streams.
 	Leaving
 )
 
-// stateNames are indexed by State.
+// stateNames is indexed by State.
 var stateNames = [...]string{"unknown", "up", "ejected", "half_open", "returning", "leaving"}
 
 // String implements fmt.Stringer.
@@ -83,23 +87,23 @@
 	return stateNames[s]
 }
 
-// ParseState gives the State of a name; false when there is none.
+// ParseState returns the State with a name, false if there is none.
 func ParseState(name string) (State, bool) {
 	i := slices.Index(stateNames[:], name)
 	return State(max(i, 0)), i >= 0
 }
 
-// Options bound a Tracker. Zero or negative fields take their defaults.
+// Options bounds a Tracker. Fields that are not positive take their defaults.
 type Options struct {
-	// MaxPeers is the most peers whose views of one upstream are kept.
+	// MaxPeers bounds the peers whose states of one upstream are kept.
 	MaxPeers int
-	// MaxLinks is the most links tracked; further ones have full weight.
+	// MaxLinks bounds the tracked links. Further links have full weight.
 	MaxLinks int
-	// RampFor is the time a returned upstream takes to full weight.
+	// RampFor is how long a returning upstream takes to reach full weight.
 	RampFor time.Duration
 }
 
-// Tracker judges the upstreams of all services.
+// Tracker rates the upstreams of all services.
 type Tracker struct {
 	opts     Options
 	services map[ids.Service]*service
@@ -107,31 +111,31 @@
 	links    map[linkKey]*link
 }
 
-// service is a group of upstreams that serve the same.
+// service is a group of interchangeable upstreams.
 type service struct {
-	policy   fleet.HealthPolicy
-	members  []*member
-	lookedAt time.Time
+	policy     fleet.HealthPolicy
+	members    []*member
+	comparedAt time.Time
 }
 
-// member is one upstream.
+// member is the health of one upstream.
 type member struct {
-	id       ids.Upstream
-	service  *service
-	circuit  circuit
-	rate     successRate
-	stalls   int
-	misses   int
-	held     bool
-	lost     time.Time
-	reported time.Time
-	proved   time.Time
-	hints    map[ids.VM]time.Time
-	epochs   epochs
-	leaving  bool
+	id            ids.Upstream
+	service       *service
+	circuit       circuit
+	rate          successRate
+	stalls        int
+	missedReports int
+	heldByFloor   bool
+	lastLost      time.Time
+	lastReport    time.Time
+	lastProgress  time.Time
+	peerEjections map[ids.VM]time.Time
+	epochs        epochs
+	leaving       bool
 }
 
-// New makes a Tracker without members.
+// New returns a Tracker without members.
 func New(opts Options) *Tracker {
 	opts.MaxPeers = defaults.Positive(opts.MaxPeers, DefaultMaxPeers)
 	opts.MaxLinks = defaults.Positive(opts.MaxLinks, DefaultMaxLinks)
@@ -144,7 +148,7 @@
 	}
 }
 
-// State gives the upstream's state.
+// State returns the upstream's state.
 func (t *Tracker) State(now time.Time, id ids.Upstream) State {
 	m, ok := t.members[id]
 	switch {
@@ -153,31 +157,31 @@
 	case m.leaving:
 		return Leaving
 	}
-	m.circuit.weight(now, t.opts.RampFor) // ends a return that is due
+	m.circuit.weight(now, t.opts.RampFor) // a completed return becomes Up
 	return m.circuit.refresh(now)
 }
 
-// Weight gives the share of work the upstream should get, 0 to 1. It is 0 for
-// one that is unknown, ejected or leaving, and for a half-open one whose trial
-// is taken. What is sent to a half-open one must take the trial by TryTrial.
+// Weight returns the share of work that the upstream should get, from 0 to 1. It is 0
+// if the upstream is unknown, ejected, leaving, or half-open with a running trial. To
+// send to a half-open upstream, call TryTrial first.
 func (t *Tracker) Weight(now time.Time, id ids.Upstream) float64 {
 	m, ok := t.members[id]
 	if !ok || m.leaving {
 		return 0
 	}
-	w := m.circuit.weight(now, t.opts.RampFor) / float64(1+m.stalls+m.misses)
-	if m.held {
+	w := m.circuit.weight(now, t.opts.RampFor) / float64(1+m.stalls+m.missedReports)
+	if m.heldByFloor {
 		w *= floorWeight
 	}
-	if m.hinted(now) > 0 {
-		w *= hintWeight
+	if m.countPeerEjections(now) > 0 {
+		w *= peerEjectedWeight
 	}
 	return w
 }
 
-// TryTrial takes the one trial of a half-open upstream, and reports whether
-// the caller may send it. The next Success, failure or stall settles it; one
-// unsettled for trialFor is given up, and another may be taken.
+// TryTrial starts the trial of a half-open upstream, and reports whether the caller may
+// send it. The next success, failure or stall decides the trial. A trial without a
+// result after trialTimeout is given up, and another may start.
 func (t *Tracker) TryTrial(now time.Time, id ids.Upstream) bool {
 	m, ok := t.members[id]
 	if !ok || m.leaving {
--- a/decide/health/leaving.go
+++ b/decide/health/leaving.go
@@ -6,14 +6,14 @@
 	"mimosaarch.example/core/ids"
 )
 
-// keptEpochs is how many epochs of an upstream are remembered.
-const keptEpochs = 4
+// maxEpochs bounds the epochs of an upstream that are remembered.
+const maxEpochs = 4
 
-// epochs remembers the newest epochs of an upstream, newest last, so that a
-// late report of an earlier life is not taken for a new one.
+// epochs remembers the latest epochs of an upstream, newest last, so that a late report
+// of an earlier life is not taken for a restart.
 type epochs struct{ seen []string }
 
-// add notes an epoch, and reports whether it follows another.
+// add adds an epoch, and reports whether it is new and not the first.
 func (e *epochs) add(epoch string) bool {
 	for _, known := range e.seen {
 		if known == epoch {
@@ -22,30 +22,31 @@
 	}
 	follows := len(e.seen) > 0
 	e.seen = append(e.seen, epoch)
-	if len(e.seen) > keptEpochs {
+	if len(e.seen) > maxEpochs {
 		e.seen = append([]string(nil), e.seen[1:]...)
 	}
 	return follows
 }
 
-// SetLeaving marks an upstream as leaving, or takes the mark back. Who said so
-// is the caller's to keep. One that is not a member is passed over.
+// SetLeaving sets or clears the leaving mark of an upstream. An upstream that is not a
+// member is ignored.
 func (t *Tracker) SetLeaving(id ids.Upstream, leaving bool) {
 	if m, ok := t.members[id]; ok {
 		m.leaving = leaving
 	}
 }
 
-// Epoch tells the upstream's process life. A new one clears its
-// failures, and turns an ejection into a trial at once. Empty is ignored.
+// Epoch records the epoch of the upstream's process, which changes with each start. A
+// new epoch clears stalls, failures and missed reports, and makes an ejected upstream
+// half-open at once. An empty epoch is ignored.
 func (t *Tracker) Epoch(_ time.Time, id ids.Upstream, epoch string) {
 	m, ok := t.members[id]
 	if !ok || epoch == "" || !m.epochs.add(epoch) {
 		return
 	}
 	m.stalls = 0
-	m.misses = 0
-	m.held = false
-	clear(m.hints)
-	m.circuit.reopen()
+	m.missedReports = 0
+	m.heldByFloor = false
+	clear(m.peerEjections)
+	m.circuit.endEjection()
 }
--- a/decide/health/links.go
+++ b/decide/health/links.go
@@ -9,55 +9,58 @@
 )
 
 const (
-	// minLinkWeight is the least weight of a link: it always gets some work
-	// if nothing else is left.
+	// minLinkWeight is the lowest weight of a link, so that it gets work if no other is
+	// left.
 	minLinkWeight = 0.02
-	// trialLinkWeight is the weight of a link that failed some time ago.
+	// trialLinkWeight is the weight of a half-open link.
 	trialLinkWeight = 0.1
-	// latencyFade is the weight of the newest latency in the average.
-	latencyFade = 0.3
-	// normalRise is the time in which a lasting latency becomes normal.
-	normalRise = 10 * time.Minute
-	// slowForget is the time in which the latency of an unused link fades to
-	// normal, so that it is tried again.
-	slowForget = 10 * time.Second
-	// slowFactor over normal makes a link slow.
-	slowFactor = 1.5
-	// linkFailures in a row take a link out.
-	linkFailures = 3
+	// latencySmoothing is the weight of a new latency in the moving average.
+	latencySmoothing = 0.3
+	// baselineRiseTime is the time constant with which the baseline rises to a higher
+	// latency.
+	baselineRiseTime = 10 * time.Minute
+	// latencyDecayTime is the time constant with which the latency of an unused link
+	// decays to its baseline, so that the link is tried again.
+	latencyDecayTime = 10 * time.Second
+	// slowLatencyFactor times the baseline is the latency above which a link is slow.
+	slowLatencyFactor = 1.5
+	// linkFailuresToEject is how many consecutive failures eject a link.
+	linkFailuresToEject = 3
 )
 
-// linkPolicy sets how long links stay out.
+// linkPolicy sets how long links are ejected.
 var linkPolicy = fleet.HealthPolicy{EjectFor: fleet.Duration(DefaultEjectFor)}
 
-// linkKey names a link by its ends.
+// linkKey identifies a link by its two ends.
 type linkKey struct{ from, to ids.Upstream }
 
-// link is the connection from one engine to the next.
+// link is the health of the connection from one engine to the next. Latencies are in
+// seconds.
 type link struct {
-	circuit circuit
-	latency float64
-	normal  float64
-	at      time.Time
+	circuit    circuit
+	latency    float64
+	baseline   float64
+	observedAt time.Time
 }
 
 // LinkFailure counts a step that failed between two engines.
 func (t *Tracker) LinkFailure(now time.Time, from, to ids.Upstream) {
-	if l := t.link(from, to); l != nil && l.circuit.fail(now, 1, linkFailures) {
+	if l := t.link(from, to); l != nil && l.circuit.fail(now, 1, linkFailuresToEject) {
 		l.circuit.eject(now, linkPolicy)
 	}
 }
 
-// LinkSuccess counts a step that went through, and settles a trial.
+// LinkSuccess counts a step that passed between two engines. It ends a trial of the
+// link.
 func (t *Tracker) LinkSuccess(now time.Time, from, to ids.Upstream) {
 	if l := t.link(from, to); l != nil {
 		l.circuit.succeed(now, linkPolicy)
 	}
 }
 
-// LinkLatency takes in an observed one-way latency; give it every observation.
-// What is slow is judged against the link's own past, since links differ a
-// hundredfold. A latency that is not above zero is ignored.
+// LinkLatency records an observed one-way latency. It has to be called for every
+// observation, because a link is slow in comparison with its own past: latencies of
+// links differ by a factor of a hundred. A latency that is not positive is ignored.
 func (t *Tracker) LinkLatency(now time.Time, from, to ids.Upstream, latency time.Duration) {
 	if latency <= 0 {
 		return
@@ -67,14 +70,14 @@
 	}
 }
 
-// LinkWeight gives the share of work for chains over the link, above 0 to 1.
-// A link never seen has full weight.
+// LinkWeight returns the share of work for chains that use the link, above 0 and at
+// most 1. An unknown link has full weight.
 func (t *Tracker) LinkWeight(now time.Time, from, to ids.Upstream) float64 {
 	l, ok := t.links[linkKey{from, to}]
 	if !ok {
 		return 1
 	}
-	w := l.slowness(now)
+	w := l.relativeSpeed(now)
 	switch l.circuit.refresh(now) {
 	case Ejected:
 		w = 0
@@ -86,8 +89,8 @@
 	return max(w, minLinkWeight)
 }
 
-// link gives a link between two members, made if needed; nil when it is not
-// tracked.
+// link returns the link between two members, and creates it if needed. It returns nil
+// if an end is no member or MaxLinks is reached.
 func (t *Tracker) link(from, to ids.Upstream) *link {
 	key := linkKey{from, to}
 	if l, ok := t.links[key]; ok {
@@ -101,34 +104,35 @@
 	return l
 }
 
-// observe averages a latency, and moves what is normal: down at once, up over
-// normalRise.
+// observe adds a latency to the moving average and adjusts the baseline, which falls at
+// once and rises over baselineRiseTime.
 func (l *link) observe(now time.Time, latency float64) {
-	if l.normal == 0 {
-		l.latency, l.normal, l.at = latency, latency, now
+	if l.baseline == 0 {
+		l.latency, l.baseline, l.observedAt = latency, latency, now
 		return
 	}
-	l.latency += latencyFade * (latency - l.latency)
-	elapsed := max(now.Sub(l.at), 0)
-	if l.latency <= l.normal {
-		l.normal = l.latency
+	l.latency += latencySmoothing * (latency - l.latency)
+	elapsed := max(now.Sub(l.observedAt), 0)
+	if l.latency <= l.baseline {
+		l.baseline = l.latency
 	} else {
-		rise := 1 - math.Exp(-elapsed.Seconds()/normalRise.Seconds())
-		l.normal += rise * (l.latency - l.normal)
+		rise := 1 - math.Exp(-elapsed.Seconds()/baselineRiseTime.Seconds())
+		l.baseline += rise * (l.latency - l.baseline)
 	}
-	l.at = now
+	l.observedAt = now
 }
 
-// slowness gives normal over present latency: 1 for a link as fast as ever.
-func (l *link) slowness(now time.Time) float64 {
-	if l.normal == 0 {
+// relativeSpeed returns the baseline over the present latency, 1 for a link that is not
+// slow.
+func (l *link) relativeSpeed(now time.Time) float64 {
+	if l.baseline == 0 {
 		return 1
 	}
-	idle := max(now.Sub(l.at), 0)
-	fade := math.Exp(-idle.Seconds() / slowForget.Seconds())
-	latency := l.normal + fade*(l.latency-l.normal)
-	if latency <= slowFactor*l.normal {
+	idle := max(now.Sub(l.observedAt), 0)
+	decay := math.Exp(-idle.Seconds() / latencyDecayTime.Seconds())
+	latency := l.baseline + decay*(l.latency-l.baseline)
+	if latency <= slowLatencyFactor*l.baseline {
 		return 1
 	}
-	return l.normal / latency
+	return l.baseline / latency
 }
--- a/decide/health/members.go
+++ b/decide/health/members.go
@@ -9,15 +9,15 @@
 	"mimosaarch.example/core/ids"
 )
 
-// SetPolicy sets a service's policy; unset fields take their defaults.
+// SetPolicy sets the policy of a service. Unset fields take their defaults.
 func (t *Tracker) SetPolicy(name ids.Service, policy fleet.HealthPolicy) {
 	t.serviceOf(name).policy = withDefaults(policy)
 }
 
-// SetMembers sets a service's upstreams. Those not listed any more are
-// forgotten with all that is known of them. The first members of a service
-// are up at once, later ones come in slowly. An upstream listed by another
-// service moves.
+// SetMembers sets the upstreams of a service. Those no longer listed are dropped with
+// all their state. The first members of a service are up at once, later ones start with
+// the weight of a return. An upstream that was a member of another service moves to
+// this one.
 func (t *Tracker) SetMembers(now time.Time, name ids.Service, members []ids.Upstream) {
 	s := t.serviceOf(name)
 	first := len(s.members) == 0
@@ -35,7 +35,7 @@
 	}
 }
 
-// serviceOf gives a service, made if needed.
+// serviceOf returns a service, and creates it if needed.
 func (t *Tracker) serviceOf(name ids.Service) *service {
 	s, ok := t.services[name]
 	if !ok {
@@ -45,7 +45,7 @@
 	return s
 }
 
-// join adds an upstream to a service.
+// join adds an upstream to a service. first is true if the service had no members.
 func (t *Tracker) join(now time.Time, s *service, id ids.Upstream, first bool) {
 	if m, known := t.members[id]; known {
 		if m.service == s {
@@ -55,7 +55,7 @@
 	}
 	m := &member{id: id, service: s, circuit: newCircuit()}
 	if !first {
-		m.circuit.comeBack(now)
+		m.circuit.startReturn(now)
 	}
 	t.members[id] = m
 	s.members = append(s.members, m)
@@ -72,7 +72,7 @@
 	}
 }
 
-// withDefaults fills in unset fields of a policy.
+// withDefaults returns a policy with defaults in place of unset fields.
 func withDefaults(p fleet.HealthPolicy) fleet.HealthPolicy {
 	p.Failures = defaults.Positive(p.Failures, DefaultFailures)
 	if p.EjectFor <= 0 {
--- a/decide/health/outlier.go
+++ b/decide/health/outlier.go
@@ -8,61 +8,63 @@
 )
 
 const (
-	// rateWindow is the time over which attempts fade.
-	rateWindow = 10 * time.Second
-	// minSamples is the attempts an upstream must have to be compared.
+	// rateDecayTime is the time constant with which past attempts lose weight.
+	rateDecayTime = 10 * time.Second
+	// minSamples is the least number of attempts for an upstream to be compared.
 	minSamples = 15
-	// minCompared is the upstreams a service must have to compare.
-	minCompared = 5
-	// outlierDeviations below the mean, and outlierGap at least, eject.
+	// minComparedUpstreams is how many upstreams of a service must have minSamples for a
+	// comparison.
+	minComparedUpstreams = 5
+	// An upstream is an outlier if its success rate is below the mean by more than
+	// outlierDeviations standard deviations, and by more than minOutlierGap.
 	outlierDeviations = 2
-	outlierGap        = 0.1
-	// lookEvery bounds how often a service is compared.
-	lookEvery = 100 * time.Millisecond
+	minOutlierGap     = 0.1
+	// compareInterval is the least time between two comparisons of a service.
+	compareInterval = 100 * time.Millisecond
 )
 
-// successRate is the fading share of attempts that succeeded.
+// successRate counts attempts, weighted by age.
 type successRate struct {
-	good, all float64
-	at        time.Time
+	succeeded, total float64
+	updatedAt        time.Time
 }
 
 // add counts an attempt.
-func (r *successRate) add(now time.Time, good bool) {
-	r.fade(now)
-	r.all++
-	if good {
-		r.good++
+func (r *successRate) add(now time.Time, success bool) {
+	r.decay(now)
+	r.total++
+	if success {
+		r.succeeded++
 	}
 }
 
-// fade weighs down the attempts before now.
-func (r *successRate) fade(now time.Time) {
-	if elapsed := now.Sub(r.at); elapsed > 0 {
-		keep := math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
-		r.good *= keep
-		r.all *= keep
-		r.at = now
+// decay reduces the weight of past attempts to what it is at now.
+func (r *successRate) decay(now time.Time) {
+	if elapsed := now.Sub(r.updatedAt); elapsed > 0 {
+		keep := math.Exp(-elapsed.Seconds() / rateDecayTime.Seconds())
+		r.succeeded *= keep
+		r.total *= keep
+		r.updatedAt = now
 	}
 }
 
-// outlier reports whether an upstream succeeds far less often than the others
-// of its service. It finds those that fail often, yet never often in a row.
-func (t *Tracker) outlier(now time.Time, m *member) bool {
-	if m.rate.all < minSamples || now.Sub(m.service.lookedAt) < lookEvery {
+// isOutlier reports whether an upstream's success rate is far below that of the others
+// in its service. It catches upstreams that fail often, but rarely in a row.
+func (t *Tracker) isOutlier(now time.Time, m *member) bool {
+	if m.rate.total < minSamples || now.Sub(m.service.comparedAt) < compareInterval {
 		return false
 	}
-	m.service.lookedAt = now
+	m.service.comparedAt = now
 	var rates []float64
 	for _, other := range m.service.members {
-		other.rate.fade(now)
-		if other.rate.all >= minSamples {
-			rates = append(rates, other.rate.good/other.rate.all)
+		other.rate.decay(now)
+		if other.rate.total >= minSamples {
+			rates = append(rates, other.rate.succeeded/other.rate.total)
 		}
 	}
-	if len(rates) < minCompared {
+	if len(rates) < minComparedUpstreams {
 		return false
 	}
 	mean, deviation := stat.MeanStdDev(rates, nil)
-	return m.rate.good/m.rate.all < mean-max(outlierDeviations*deviation, outlierGap)
+	return m.rate.succeeded/m.rate.total < mean-max(outlierDeviations*deviation, minOutlierGap)
 }
