--- a/adapter/forward/attempt.go
+++ b/adapter/forward/attempt.go
@@ -10,60 +10,63 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// inlineBody is the most bytes of a body that are written before the answer is
-// looked at. Upstreams may answer a longer one before they have taken it.
-const inlineBody = 16 << 10
+// maxInlineBodyBytes is the largest request body that is written before the response is
+// read. A longer body is written concurrently, because an upstream may respond before
+// it has read all of it.
+const maxInlineBodyBytes = 16 << 10
 
-// maxForeign is the most answers to other requests that are skipped on a
-// connection before it is given up.
-const maxForeign = 4
+// maxForeignResponses is how many responses to other requests are skipped on a
+// connection before the connection is closed.
+const maxForeignResponses = 4
 
 // attempt is one send of a request to an upstream.
 type attempt struct {
 	x      *exchange
 	u      *directory.Upstream
 	conn   *upconn.Conn
-	stop   func() bool
-	answer *upconn.Answer
-	// wrote gets what came of writing a long body; nil if the body was written
-	// with the head.
-	wrote chan error
+	unbind func() bool
+	resp   *upconn.Answer
+	// bodyErr receives the result of writing a long body. It is nil if the body was
+	// written together with the head.
+	bodyErr chan error
 }
 
-// failure is how an attempt ended without a whole answer.
+// failure describes an attempt that ended without a complete response.
 type failure struct {
 	phase  outcome.Phase
 	reason outcome.Reason
 	cause  error
-	// culprit is the address of the engine that a chain's refusal names.
-	culprit string
+	// faultyStage is the address of the engine that the refusal of a chain blames, empty
+	// if it names none.
+	faultyStage string
 }
 
 // Error implements error.
 func (f *failure) Error() string {
 	text := fmt.Sprintf("%s in phase %s: %v", f.reason, f.phase, f.cause)
-	if f.culprit != "" {
-		text += ", at fault " + f.culprit
+	if f.faultyStage != "" {
+		text += ", faulty stage " + f.faultyStage
 	}
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *failure) Unwrap() error { return f.cause }
 
-// midRun reports whether the upstream went away while the request may have been
-// running there.
-func (f *failure) midRun() bool {
+// lostWhileRunning reports whether the upstream was lost or stalled at a time when the
+// request may have been running on it.
+func (f *failure) lostWhileRunning() bool {
 	return !f.phase.ProvesNotRun() && (f.reason == outcome.UpstreamLost || f.reason == outcome.UpstreamStalled)
 }
 
-// begin connects and sends the request; head is its whole head.
+// begin connects to an upstream and sends the request. head is the complete request
+// head.
 func (x *exchange) begin(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.Watch) (*attempt, *failure) {
 	a := &attempt{x: x, u: u}
 	conn, err := x.server.pool.Get(ctx, target(u))
 	if err != nil {
 		if ctx.Err() == nil {
-			x.server.picks.notReached(u, err)
+			x.server.picker.connectFailed(u, err)
 		}
 		return nil, &failure{phase: outcome.NotSent, reason: outcome.ConnectFailed, cause: err}
 	}
@@ -71,90 +74,96 @@
 		x.server.opts.Metrics.Took("request.until_sent", x.server.opts.Now().Sub(x.arrived))
 	}
 	a.conn = conn
-	a.stop = conn.Bind(ctx, watch)
+	a.unbind = conn.Bind(ctx, watch)
 	if err := a.send(head); err != nil {
-		a.abandon()
+		a.discard()
 		return nil, &failure{phase: outcome.MaybeSent, reason: outcome.UpstreamLost, cause: err}
 	}
 	return a, nil
 }
 
-// send writes head and body; a long body in a goroutine of its own, as the
-// upstream may answer before it has taken it.
+// send writes the head and the body. A long body is written in its own goroutine,
+// because the upstream may respond before it has read all of it.
 func (a *attempt) send(head []byte) error {
 	body := a.x.req.Body()
-	if len(body) <= inlineBody {
+	if len(body) <= maxInlineBodyBytes {
 		return a.conn.Write(append(head, body...), writeTimeout)
 	}
 	if err := a.conn.Write(head, writeTimeout); err != nil {
 		return err
 	}
-	// The request's memory is used again once the exchange ends.
+	// The request's memory is reused once the exchange ends.
 	body = append([]byte(nil), body...)
-	a.wrote = make(chan error, 1)
-	go func() { a.wrote <- a.conn.Write(body, writeTimeout) }()
+	a.bodyErr = make(chan error, 1)
+	go func() { a.bodyErr <- a.conn.Write(body, writeTimeout) }()
 	return nil
 }
 
-// head waits for the head of the answer to this very request. Answers to
-// others, which come late, are skipped.
-func (a *attempt) head() *failure {
-	for range maxForeign {
-		answer, err := a.conn.ReadAnswer(string(a.x.req.Header.Method()))
+// readHead reads the head of the response to this request. It skips late responses to
+// earlier requests on the same connection.
+func (a *attempt) readHead() *failure {
+	for range maxForeignResponses {
+		resp, err := a.conn.ReadAnswer(string(a.x.req.Header.Method()))
 		if err != nil {
-			return a.lost(err)
+			return a.readFailed(err)
 		}
-		id := string(answer.Head.Peek(a.x.server.opts.Headers.RequestID))
+		id := string(resp.Head.Peek(a.x.server.opts.Headers.RequestID))
 		if id == a.x.id || id == "" && !a.conn.Reused() {
-			a.answer = answer
-			return a.refused()
+			a.resp = resp
+			return a.checkRefusal()
 		}
 		a.x.count("upstream.foreign_answer")
-		if _, err := answer.Body(); err != nil {
-			return a.lost(err)
+		if _, err := resp.Body(); err != nil {
+			return a.readFailed(err)
 		}
 	}
-	return a.lost(&upconn.FramingError{Cause: errForeign})
+	return a.readFailed(&upconn.FramingError{Cause: errForeignResponses})
 }
 
-// errForeign is the cause of giving up a connection full of others' answers.
-var errForeign = &outcome.Error{Outcome: outcome.Unknown, Reason: outcome.UpstreamInvalid, Detail: "answers to other requests"}
+// errForeignResponses is the cause when a connection delivers too many responses to
+// other requests.
+var errForeignResponses = &outcome.Error{Outcome: outcome.Unknown, Reason: outcome.UpstreamInvalid, Detail: "too many responses to other requests"}
 
-// refused reports an answer that proves the request did not run.
-func (a *attempt) refused() *failure {
-	head := &a.answer.Head
+// checkRefusal returns a failure if the response proves that the request did not run,
+// and nil otherwise.
+func (a *attempt) checkRefusal() *failure {
+	head := &a.resp.Head
 	status := head.StatusCode()
-	marked := len(head.Peek(a.x.server.opts.Headers.NotRun)) > 0
-	if !marked && status != misdirected {
+	notRun := len(head.Peek(a.x.server.opts.Headers.NotRun)) > 0
+	if !notRun && status != statusMisdirected {
 		return nil
 	}
 	reason := outcome.UpstreamBusy
-	if status == misdirected {
+	if status == statusMisdirected {
 		reason = outcome.UpstreamRefused
 	}
 	f := &failure{phase: outcome.Refused, reason: reason, cause: &StatusError{status}}
-	f.culprit = string(head.Peek(a.x.server.opts.Headers.FaultyStage))
-	if _, err := a.answer.Body(); err == nil {
-		a.keep()
+	f.faultyStage = string(head.Peek(a.x.server.opts.Headers.FaultyStage))
+	if _, err := a.resp.Body(); err == nil {
+		a.release()
 	} else {
-		a.abandon()
+		a.discard()
 	}
 	return f
 }
 
-// misdirected is the status of an upstream that is not the one expected, or
-// does not hold the layers asked for.
-const misdirected = 421
+// statusMisdirected is the status of an upstream that is not the expected one or does
+// not hold the requested layers.
+const statusMisdirected = 421
 
-// StatusError tells the status of an upstream's refusal.
+// StatusError reports the status code of an upstream's response that is treated as a
+// failure.
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("upstream answered %d", e.Status) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("upstream responded with status %d", e.Status)
+}
 
-// lost ends an attempt whose answer did not come whole.
-func (a *attempt) lost(err error) *failure {
-	a.abandon()
+// readFailed closes the connection after a failed read of the response and returns the
+// failure.
+func (a *attempt) readFailed(err error) *failure {
+	a.discard()
 	f := &failure{phase: outcome.MaybeSent, reason: outcome.UpstreamLost, cause: err}
 	var silent *upconn.SilentError
 	var framing *upconn.FramingError
@@ -167,31 +176,32 @@
 	return f
 }
 
-// bodyWritten reports whether the whole request was taken.
+// bodyWritten reports whether the whole request body has been written.
 func (a *attempt) bodyWritten() bool {
-	if a.wrote == nil {
+	if a.bodyErr == nil {
 		return true
 	}
 	select {
-	case err := <-a.wrote:
+	case err := <-a.bodyErr:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// keep gives the connection back after a whole answer.
-func (a *attempt) keep() {
-	reusable, idle := a.answer.Reusable()
-	if !a.stop() || !reusable || !a.bodyWritten() {
+// release returns the connection to the pool after a complete response, or closes it if
+// it cannot be reused.
+func (a *attempt) release() {
+	reusable, idle := a.resp.Reusable()
+	if !a.unbind() || !reusable || !a.bodyWritten() {
 		a.conn.Close()
 		return
 	}
 	a.x.server.pool.Put(a.conn, idle)
 }
 
-// abandon closes the connection, which ends the work at the upstream.
-func (a *attempt) abandon() {
-	a.stop()
+// discard closes the connection, which makes the upstream stop working on the request.
+func (a *attempt) discard() {
+	a.unbind()
 	a.conn.Close()
 }
--- a/adapter/forward/budget_test.go
+++ b/adapter/forward/budget_test.go
@@ -8,12 +8,10 @@
 	"mimosaarch.example/decide/retry"
 )
 
-// On a day of 8 nodes with trouble of several kinds a service got 344 sends beyond the first
-// of each request in ten seconds, 336 being allowed, in a hunt with streams that wait for a
-// retry and on one of six plays after it; before, when such streams were cut, on none of six. The cause: an
-// allowance that fades grants what it holds at once and, used up all the while, the same
-// again in the ten seconds after. A node took six tenths of its part as allowance, and so up to
-// 1.2 times its part.
+// Guards against nodes that together exceed the retry budget in a window, such as 344 retries
+// in ten seconds where 336 were allowed. A decaying allowance grants what it holds at once
+// and, if it is used up continuously, the same again within the next window. With six tenths
+// of its share as allowance, a node could use 1.2 times its share.
 func TestNodesTogetherKeepTheBudgetInEveryWindow(t *testing.T) {
 	const (
 		nodes = 8
@@ -29,9 +27,9 @@
 		budgets = append(budgets, p.budget("s"))
 	}
 	var firsts, sends []time.Duration
-	begin := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	for at := time.Duration(0); at < calm+short; at += step {
-		now := begin.Add(at)
+		now := start.Add(at)
 		for i, budget := range budgets {
 			// 64 requests a second, unevenly spread.
 			if (int(at/step)+i)%(6+3*i) == 0 {
@@ -44,17 +42,17 @@
 		}
 	}
 	for from := calm - b.Window; from < calm+short-b.Window; from += step {
-		requests, further := within(firsts, from, b.Window), within(sends, from, b.Window)
-		if most := b.Ratio*float64(requests) + b.Slack; float64(further) > most {
-			t.Fatalf("%d further sends for %d requests in the window from %v, allowed %.0f", further, requests, from, most)
+		requests, retries := within(firsts, from, b.Window), within(sends, from, b.Window)
+		if limit := b.Ratio*float64(requests) + b.Slack; float64(retries) > limit {
+			t.Fatalf("%d retries for %d requests in the window from %v, allowed %.0f", retries, requests, from, limit)
 		}
 	}
-	if further := within(sends, calm, b.Window); float64(further) < b.Slack/2 {
-		t.Errorf("only %d further sends in the first window of need", further)
+	if retries := within(sends, calm, b.Window); float64(retries) < b.Slack/2 {
+		t.Errorf("only %d retries in the first window of demand", retries)
 	}
 }
 
-// within counts the moments in a window.
+// within returns the number of moments in a window.
 func within(moments []time.Duration, from, window time.Duration) int {
 	n := 0
 	for _, at := range moments {
--- a/adapter/forward/client.go
+++ b/adapter/forward/client.go
@@ -15,53 +15,53 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// Bounds towards callers.
+// Limits of callers' connections.
 const (
-	// writeTimeout is the longest that a caller may leave written bytes untaken.
+	// writeTimeout bounds one write to a caller or an upstream.
 	writeTimeout = 5 * time.Second
-	// defaultHead bounds heads before a configuration says more, in bytes.
-	defaultHead = 16 << 10
-	// defaultBody bounds bodies likewise.
-	defaultBody = 4 << 20
-	// defaultHeaderTimeout and defaultIdle bound slow callers likewise.
-	defaultHeaderTimeout = 3 * time.Second
-	defaultIdle          = 15 * time.Second
-	// firstRequest is how long a new connection may stay without a request.
-	firstRequest = 3 * time.Second
-	// lastRequest is the same once idle connections are closed.
-	lastRequest = 200 * time.Millisecond
-	// lingerFor is how long the rest of a refused request is still taken, so
-	// that the answer isn't lost to a reset.
-	lingerFor = 500 * time.Millisecond
+	// The defaults apply to limits that the configuration does not set.
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 4 << 20
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
+	// firstRequestTimeout is how long a new connection may stay open without a request.
+	firstRequestTimeout = 3 * time.Second
+	// drainRequestTimeout replaces firstRequestTimeout while the server drains.
+	drainRequestTimeout = 200 * time.Millisecond
+	// lingerTimeout is how long the rest of a rejected request is still read. Closing
+	// earlier could reset the connection and lose the response.
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// CallerGoneError tells that the caller closed its connection.
+// CallerGoneError reports that the connection to the caller is closed or cannot be
+// written to.
 type CallerGoneError struct{ Cause error }
 
 // Error implements error.
-func (e *CallerGoneError) Error() string { return fmt.Sprintf("caller is gone: %v", e.Cause) }
+func (e *CallerGoneError) Error() string { return fmt.Sprintf("caller disconnected: %v", e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CallerGoneError) Unwrap() error { return e.Cause }
 
-// client is one caller's connection. Its own goroutine uses it; kick may be
-// called by any.
-type client struct {
+// callerConn is the connection of one caller. It is used by its own goroutine, except
+// for interruptIdle, which any goroutine may call.
+type callerConn struct {
 	server *Server
 	conn   net.Conn
 	r      *bufio.Reader
 	out    []byte
-	// idle is true while no request is under way.
+	// idle is true while no request is being read or served.
 	idle atomic.Bool
-	// closeAfter makes the answer under way the connection's last.
+	// closeAfter closes the connection after the current response.
 	closeAfter bool
-	// served tells that a request was read.
-	served atomic.Bool
+	// requestRead is true once a request was read on the connection.
+	requestRead atomic.Bool
 }
 
-// limits gives the bounds in force.
-func (c *client) limits() routing.Limits {
-	l := routing.Limits{MaxHeaderBytes: defaultHead, MaxBodyBytes: defaultBody, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdle}
+// limits returns the limits of the current configuration, with defaults for those that
+// are not set.
+func (c *callerConn) limits() routing.Limits {
+	l := routing.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 	table := c.server.opts.Table()
 	if table == nil {
 		return l
@@ -83,11 +83,11 @@
 }
 
 // serve answers requests until the connection ends.
-func (c *client) serve(ctx context.Context) {
+func (c *callerConn) serve(ctx context.Context) {
 	c.r = bufio.NewReaderSize(c.conn, c.limits().MaxHeaderBytes)
-	for c.await() {
+	for c.awaitRequest() {
 		c.idle.Store(false)
-		keep := c.one(ctx)
+		keep := c.serveOne(ctx)
 		c.idle.Store(true)
 		if !keep {
 			return
@@ -95,64 +95,65 @@
 	}
 }
 
-// await waits for the first byte of a request.
-func (c *client) await() bool {
+// awaitRequest waits for the first byte of a request. It returns false if the
+// connection is to be closed instead.
+func (c *callerConn) awaitRequest() bool {
 	if c.r.Buffered() > 0 {
 		return true
 	}
 	idle := c.limits().IdleTimeout
 	closing := c.server.closing.Load()
-	if !c.served.Load() {
-		// The first request is on its way, also while the node stops.
-		idle = min(idle, firstRequest)
+	if !c.requestRead.Load() {
+		// The first request of a connection is expected even while the server drains.
+		idle = min(idle, firstRequestTimeout)
 		c.idle.Store(false)
 		if closing {
-			idle = lastRequest
+			idle = drainRequestTimeout
 		}
 	}
 	if c.conn.SetReadDeadline(time.Now().Add(idle)) != nil {
 		return false
 	}
-	if c.served.Load() && closing {
+	if c.requestRead.Load() && closing {
 		return false
 	}
 	_, err := c.r.Peek(1)
 	return err == nil
 }
 
-// kick ends the wait for a request.
-func (c *client) kick() {
-	if c.idle.Load() || !c.served.Load() {
+// interruptIdle ends the wait for a next request.
+func (c *callerConn) interruptIdle() {
+	if c.idle.Load() || !c.requestRead.Load() {
 		// A connection that is closed already needs no deadline.
 		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// one reads and answers one request; it reports whether the connection goes on.
-func (c *client) one(ctx context.Context) bool {
+// serveOne reads and answers one request. It reports whether the connection stays open.
+func (c *callerConn) serveOne(ctx context.Context) bool {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	if status, err := c.read(req); err != nil {
-		c.refuseUnread(status, err)
+	if status, err := c.readRequest(req); err != nil {
+		c.refuseUnreadable(status, err)
 		return false
 	}
-	c.served.Store(true)
+	c.requestRead.Store(true)
 	c.closeAfter = req.Header.ConnectionClose() || !req.Header.IsHTTP11()
 	x := newExchange(c, req)
 	x.serve(ctx)
 	return !c.closeAfter
 }
 
-// read takes one request whole. With an error it gives the status to answer, 0
-// for none.
-func (c *client) read(req *fasthttp.Request) (int, error) {
+// readRequest reads one request with its body. On an error it also returns the status
+// to respond with, 0 for none.
+func (c *callerConn) readRequest(req *fasthttp.Request) (int, error) {
 	limits := c.limits()
 	if err := c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)); err != nil {
 		return 0, err
 	}
 	req.Header.SetNoDefaultContentType(true)
 	if err := req.Header.Read(c.r); err != nil {
-		return headStatus(err), err
+		return headErrorStatus(err), err
 	}
 	if req.MayContinue() {
 		if err := c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
@@ -163,13 +164,14 @@
 		return 0, err
 	}
 	if err := req.ContinueReadBody(c.r, limits.MaxBodyBytes, false); err != nil {
-		return bodyStatus(err), err
+		return bodyErrorStatus(err), err
 	}
 	return 0, nil
 }
 
-// headStatus gives the status for a head that could not be read.
-func headStatus(err error) int {
+// headErrorStatus returns the status for a head that could not be read, 0 if the
+// connection has ended.
+func headErrorStatus(err error) int {
 	var small *fasthttp.ErrSmallBuffer
 	var nothing fasthttp.ErrNothingRead
 	var network net.Error
@@ -180,48 +182,50 @@
 		return 0
 	case errors.As(err, &network) && network.Timeout():
 		return fasthttp.StatusRequestTimeout
-	case errors.As(err, &network), isEnd(err):
+	case errors.As(err, &network), isConnClosed(err):
 		return 0
 	}
 	return fasthttp.StatusBadRequest
 }
 
-// bodyStatus gives the status for a body that could not be read.
-func bodyStatus(err error) int {
+// bodyErrorStatus returns the status for a body that could not be read, 0 if the
+// connection has ended.
+func bodyErrorStatus(err error) int {
 	var network net.Error
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return fasthttp.StatusRequestEntityTooLarge
 	case errors.As(err, &network) && network.Timeout():
 		return fasthttp.StatusRequestTimeout
-	case errors.As(err, &network), isEnd(err):
+	case errors.As(err, &network), isConnClosed(err):
 		return 0
 	}
 	return fasthttp.StatusBadRequest
 }
 
-// refuseUnread answers a request that could not be read, and takes the rest.
-func (c *client) refuseUnread(status int, err error) {
+// refuseUnreadable responds to a request that could not be read, and then reads and
+// drops the rest of the input.
+func (c *callerConn) refuseUnreadable(status int, err error) {
 	c.server.opts.Metrics.Add("refusal.unread", 1)
 	c.server.opts.Log.Info().Str("event", "request_unread").Int("status", status).Err(err).Send()
 	if status == 0 {
 		return
 	}
 	c.closeAfter = true
-	if c.own(status, "", "malformed", 0) != nil {
+	if c.writeError(status, "", "malformed", 0) != nil {
 		return
 	}
 	c.linger()
 }
 
-// linger takes what the caller still sends: closing with bytes unread would
-// reset the connection, and the answer with it.
-func (c *client) linger() {
-	half, ok := c.conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+// linger reads and drops what the caller still sends. Closing with unread bytes would
+// reset the connection and could lose the response.
+func (c *callerConn) linger() {
+	conn, ok := c.conn.(interface{ CloseWrite() error })
+	if !ok || conn.CloseWrite() != nil {
 		return
 	}
-	if c.conn.SetReadDeadline(time.Now().Add(lingerFor)) != nil {
+	if c.conn.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
 	for {
@@ -235,8 +239,8 @@
 	}
 }
 
-// write sends bytes to the caller.
-func (c *client) write(p []byte) error {
+// write sends bytes to the caller. The error is a *CallerGoneError.
+func (c *callerConn) write(p []byte) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return &CallerGoneError{err}
 	}
@@ -246,9 +250,10 @@
 	return nil
 }
 
-// watch cancels when the caller closes its side. The returned function ends
-// it; bytes of a next request stay.
-func (c *client) watch(cancel context.CancelCauseFunc) (stop func()) {
+// watchDisconnect calls cancel with a *CallerGoneError when the caller closes its side.
+// The returned function ends the watch. Bytes of a pipelined request stay in the
+// buffer.
+func (c *callerConn) watchDisconnect(cancel context.CancelCauseFunc) (stop func()) {
 	if c.r.Buffered() > 0 || c.conn.SetReadDeadline(time.Time{}) != nil {
 		return func() {}
 	}
@@ -268,8 +273,9 @@
 	}
 }
 
-// own answers with a status of the node's own.
-func (c *client) own(status int, id, reason string, retryAfter time.Duration) error {
+// writeError sends a response that the node generates itself: a status, and a JSON body
+// with the reason. id and retryAfter are left out if they are zero.
+func (c *callerConn) writeError(status int, id, reason string, retryAfter time.Duration) error {
 	body := strconv.AppendQuote([]byte(`{"error":`), reason)
 	body = append(body, '}')
 	c.startHead(status)
@@ -286,8 +292,8 @@
 	return c.write(c.out)
 }
 
-// startHead begins an answer's head.
-func (c *client) startHead(status int) {
+// startHead starts the head of a response in the output buffer.
+func (c *callerConn) startHead(status int) {
 	c.out = append(c.out[:0], "HTTP/1.1 "...)
 	c.out = strconv.AppendInt(c.out, int64(status), 10)
 	c.out = append(c.out, ' ')
@@ -295,17 +301,18 @@
 	c.out = append(c.out, "\r\n"...)
 }
 
-// addHeader adds a header to the head.
-func (c *client) addHeader(name, value string) {
+// addHeader appends a header line to the head.
+func (c *callerConn) addHeader(name, value string) {
 	c.out = append(c.out, name...)
 	c.out = append(c.out, ": "...)
 	c.out = append(c.out, value...)
 	c.out = append(c.out, "\r\n"...)
 }
 
-// endHead ends the head.
-func (c *client) endHead() {
-	if c.server.stopping.Load() {
+// endHead ends the head. It announces the close of the connection if this response is
+// its last.
+func (c *callerConn) endHead() {
+	if c.server.noKeepAlives.Load() {
 		c.closeAfter = true
 	}
 	if c.closeAfter {
@@ -314,12 +321,12 @@
 	c.out = append(c.out, "\r\n"...)
 }
 
-// copyHead begins an answer with an upstream's status and headers, without
-// those that concern only its connection.
-func (c *client) copyHead(head *fasthttp.ResponseHeader) {
+// copyHead starts a response with the status and the headers of an upstream's response,
+// without the hop-by-hop headers.
+func (c *callerConn) copyHead(head *fasthttp.ResponseHeader) {
 	c.startHead(head.StatusCode())
 	for name, value := range head.All() {
-		if !perConnection(string(name)) {
+		if !isHopByHop(string(name)) {
 			c.addHeader(string(name), string(value))
 		}
 	}
--- /dev/null
+++ b/adapter/forward/crashes.go
@@ -0,0 +1,200 @@
+package forward
+
+import (
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"mimosaarch.example/core/ids"
+	"mimosaarch.example/decide/directory"
+	"mimosaarch.example/decide/quarantine"
+)
+
+const (
+	// lostRunTTL is how long a lost run can still be matched with the death of its
+	// upstream. A lost connection is noticed at once, but the registry drops a crashed
+	// upstream only after three missed heartbeats, about a second apart.
+	lostRunTTL = 10 * time.Second
+	// deathMatchWindow is how long after the death of an upstream a run lost there is
+	// still blamed for it. An attempt ends right after its engines were probed, so its
+	// loss may be recorded after the death.
+	deathMatchWindow = 2 * time.Second
+	// maxLostRuns bounds the lost runs that are kept, to about 1 MB.
+	maxLostRuns = 4096
+	// maxVerdicts bounds the verdicts that are kept, to about 0.1 MB. Each stands for two
+	// crashed upstreams.
+	maxVerdicts = 1024
+)
+
+// run is one attempt of a request, with the upstreams of its chain.
+type run struct {
+	fingerprint quarantine.Fingerprint
+	service     ids.Service
+	upstreams   []ids.Life
+	// lostAt is when the connection was lost, zero while it stands.
+	lostAt time.Time
+	// blamed is true once a death was attributed to the run. A run is blamed for one
+	// death at most, because a network partition or a failing rack takes many upstreams
+	// at once.
+	blamed bool
+}
+
+// crashTracker finds requests that crash the upstreams they run on, and keeps the
+// resulting verdicts of this node and its peers. Its methods are safe for concurrent
+// use.
+type crashTracker struct {
+	opts Options
+
+	mu             sync.Mutex
+	blamers        map[ids.Service]*quarantine.Blamer
+	lostRuns       []*run
+	lostByUpstream map[ids.Life][]*run
+	diedAt         map[ids.Life]time.Time
+	verdicts       map[quarantine.Fingerprint]heldVerdict
+}
+
+// heldVerdict is a verdict in force, received from a peer or found by this node.
+type heldVerdict struct {
+	until time.Time
+	// local verdicts depend on this node's evidence, which can still withdraw them.
+	local bool
+}
+
+// newCrashTracker returns a tracker without evidence.
+func newCrashTracker(o Options) *crashTracker {
+	return &crashTracker{
+		opts:           o,
+		blamers:        make(map[ids.Service]*quarantine.Blamer),
+		lostByUpstream: make(map[ids.Life][]*run),
+		diedAt:         make(map[ids.Life]time.Time),
+		verdicts:       make(map[quarantine.Fingerprint]heldVerdict),
+	}
+}
+
+// blamer returns the evidence of a service, and creates it if there is none.
+func (c *crashTracker) blamer(service ids.Service) *quarantine.Blamer {
+	q := c.blamers[service]
+	if q == nil {
+		// Nodes exchange verdicts but no evidence, so there is no evidence of peers to wait
+		// for.
+		q = quarantine.New(quarantine.Options{Settle: -1})
+		c.blamers[service] = q
+	}
+	return q
+}
+
+// runLost records that the connection of a run broke, or that the run was rerouted
+// around a dead stage.
+func (c *crashTracker) runLost(r *run) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r.lostAt = c.opts.Now()
+	c.expireLostRuns(r.lostAt)
+	c.lostRuns = append(c.lostRuns, r)
+	for _, id := range r.upstreams {
+		c.lostByUpstream[id] = append(c.lostByUpstream[id], r)
+		if dead, ok := c.diedAt[id]; ok && r.lostAt.Sub(dead) <= deathMatchWindow {
+			c.blameLostRuns(r.lostAt, id, r.service)
+		}
+	}
+}
+
+// expireLostRuns drops lost runs that are older than lostRunTTL or exceed maxLostRuns.
+func (c *crashTracker) expireLostRuns(now time.Time) {
+	for len(c.lostRuns) > 0 && (len(c.lostRuns) >= maxLostRuns || now.Sub(c.lostRuns[0].lostAt) > lostRunTTL) {
+		old := c.lostRuns[0]
+		c.lostRuns = c.lostRuns[1:]
+		for _, id := range old.upstreams {
+			rest := slices.DeleteFunc(c.lostByUpstream[id], func(r *run) bool { return r == old })
+			if len(rest) == 0 {
+				delete(c.lostByUpstream, id)
+				continue
+			}
+			c.lostByUpstream[id] = rest
+		}
+	}
+}
+
+// upstreamDied attributes the death of an upstream to the runs lost there. It may be
+// called more than once for the same death.
+func (c *crashTracker) upstreamDied(u *directory.Upstream) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.opts.Now()
+	c.expireLostRuns(now)
+	for id, at := range c.diedAt {
+		if now.Sub(at) > lostRunTTL {
+			delete(c.diedAt, id)
+		}
+	}
+	if _, known := c.diedAt[u.ID]; !known {
+		c.diedAt[u.ID] = now
+		c.opts.Metrics.Add("upstream.died", 1)
+	}
+	c.blameLostRuns(now, u.ID, u.Service)
+}
+
+// blameLostRuns reports a death to the blamer, with the fingerprints of the runs lost
+// on that upstream.
+func (c *crashTracker) blameLostRuns(now time.Time, id ids.Life, service ids.Service) {
+	var fingerprints []quarantine.Fingerprint
+	for _, r := range c.lostByUpstream[id] {
+		if !r.blamed && r.service == service {
+			r.blamed = true
+			fingerprints = append(fingerprints, r.fingerprint)
+		}
+	}
+	// A death without lost runs is reported too: it is evidence for a cause other than a
+	// request.
+	c.blamer(service).Died(now, id.Upstream, strconv.FormatInt(id.Born, 10), fingerprints)
+}
+
+// requestServed records that a request was answered completely, which clears it.
+func (c *crashTracker) requestServed(service ids.Service, fingerprint quarantine.Fingerprint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.blamer(service).Succeeded(c.opts.Now(), fingerprint)
+}
+
+// quarantined reports whether requests with a fingerprint are to be refused. newVerdict
+// is set if this node has just reached that verdict itself, so that it can be published.
+func (c *crashTracker) quarantined(service ids.Service, fingerprint quarantine.Fingerprint) (refused bool, newVerdict *quarantine.Verdict) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.opts.Now()
+	known, held := c.verdicts[fingerprint]
+	held = held && now.Before(known.until)
+	if held && !known.local {
+		return true, nil
+	}
+	found, until := c.blamer(service).Quarantined(now, fingerprint)
+	if !found || held {
+		return found, nil
+	}
+	verdict := quarantine.Verdict{Fingerprint: fingerprint, For: until.Sub(now)}
+	c.storeVerdict(now, verdict, true)
+	return true, &verdict
+}
+
+// addPeerVerdict applies a verdict received from a peer.
+func (c *crashTracker) addPeerVerdict(v quarantine.Verdict) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.storeVerdict(c.opts.Now(), v, false)
+}
+
+// storeVerdict keeps a verdict until it expires. If there is no room, the verdict is
+// dropped, and this node relies on its own evidence.
+func (c *crashTracker) storeVerdict(now time.Time, v quarantine.Verdict, local bool) {
+	if len(c.verdicts) >= maxVerdicts {
+		for fingerprint, verdict := range c.verdicts {
+			if !now.Before(verdict.until) {
+				delete(c.verdicts, fingerprint)
+			}
+		}
+	}
+	if len(c.verdicts) < maxVerdicts {
+		c.verdicts[v.Fingerprint] = heldVerdict{until: now.Add(min(v.For, quarantine.DefaultFor)), local: local}
+	}
+}
--- a/adapter/forward/events.go
+++ b/adapter/forward/events.go
@@ -9,38 +9,38 @@
 	"strconv"
 )
 
-// maxEvent is the most bytes of one event; a longer one ends the stream, so
-// that one upstream cannot fill the node's memory.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event. A longer event ends the stream, so that one upstream
+// cannot exhaust the node's memory.
+const maxEventBytes = 1 << 20
 
-// EventError tells that a stream's events are out of order or malformed.
+// EventError reports a malformed event or a gap in the event ids of a stream.
 type EventError struct {
-	// Last is the last id passed on, Got the one that came.
+	// Last is the id of the last event passed on, Got the id of the event received.
 	Last, Got int64
 	Reason    string
 }
 
 // Error implements error.
 func (e *EventError) Error() string {
-	return fmt.Sprintf("event %d after %d: %s", e.Got, e.Last, e.Reason)
+	return fmt.Sprintf("event id %d after %d: %s", e.Got, e.Last, e.Reason)
 }
 
-// events reads whole events from the body of a stream.
-type events struct {
+// eventReader reads server-sent events from the body of a streaming response.
+type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-// event is one event with the blank line that ends it.
+// event is one server-sent event, including the blank line that ends it.
 type event struct {
 	bytes []byte
 	id    int64
 	hasID bool
 }
 
-// next gives the next whole event; its bytes hold until the call after. The
-// error is io.EOF only between events.
-func (e *events) next() (event, error) {
+// next returns the next complete event. Its bytes are valid until the following call.
+// The error is io.EOF only if the body ends between events.
+func (e *eventReader) next() (event, error) {
 	e.buf = e.buf[:0]
 	var ev event
 	for {
@@ -48,8 +48,8 @@
 		e.buf = append(e.buf, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(e.buf) > maxEvent {
-				return event{}, &EventError{Reason: "too long"}
+			if len(e.buf) > maxEventBytes {
+				return event{}, &EventError{Reason: "event is too long"}
 			}
 			continue
 		case errors.Is(err, io.EOF) && len(e.buf) > 0:
@@ -68,30 +68,30 @@
 	}
 }
 
-// parseID reads an event's id.
+// parseID parses an event id. It returns false if the id is not a number.
 func parseID(value []byte) (int64, bool) {
 	id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 	return id, err == nil
 }
 
-// sequence checks that the events passed on follow each other.
+// sequence checks that the ids of the events passed on are consecutive.
 type sequence struct {
-	last  int64
-	begun bool
+	last    int64
+	started bool
 }
 
-// take tells whether an event is to be passed on. Those that the caller has
-// are dropped; a gap is an *EventError.
-func (s *sequence) take(ev event) (bool, error) {
+// accept reports whether an event is to be passed on. Events that the caller already
+// has are dropped. A gap is an *EventError.
+func (s *sequence) accept(ev event) (bool, error) {
 	if !ev.hasID {
 		return true, nil
 	}
-	if s.begun && ev.id <= s.last {
+	if s.started && ev.id <= s.last {
 		return false, nil
 	}
-	if s.begun && ev.id != s.last+1 {
-		return false, &EventError{Last: s.last, Got: ev.id, Reason: "events are missing between them"}
+	if s.started && ev.id != s.last+1 {
+		return false, &EventError{Last: s.last, Got: ev.id, Reason: "events are missing"}
 	}
-	s.last, s.begun = ev.id, true
+	s.last, s.started = ev.id, true
 	return true, nil
 }
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -17,62 +17,63 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// Times after which refused callers should come back, before they are spread.
-// A caller uses the advice only up to a third of the time it has left, so they
-// stay short.
+// Base values of Retry-After, to which jitter is added. Callers follow the advice only
+// if it is at most a third of the time they have left, so the values are short.
 const (
-	// notReadyAfter is for a node without configuration, which takes a call to
-	// the platform to mend.
-	notReadyAfter = 300 * time.Millisecond
-	// noUpstreamAfter is for a plain service without a usable upstream.
-	noUpstreamAfter = 800 * time.Millisecond
-	// busyAfter is for upstreams that are full.
-	busyAfter = 400 * time.Millisecond
-	// quarantineAfter is for requests that crash upstreams, which no repeat
-	// helps.
-	quarantineAfter = 10 * time.Second
+	// notReadyRetryAfter is for a node without a configuration. One call to the platform
+	// can fix that.
+	notReadyRetryAfter = 300 * time.Millisecond
+	// noUpstreamRetryAfter is for a plain service without a usable upstream.
+	noUpstreamRetryAfter = 800 * time.Millisecond
+	// busyRetryAfter is for upstreams that are full.
+	busyRetryAfter = 400 * time.Millisecond
+	// quarantineRetryAfter is for requests that crash upstreams. Repeating them does not
+	// help.
+	quarantineRetryAfter = 10 * time.Second
 )
 
-// exchange is one request of a caller, from its arrival to its answer. The
-// goroutine of the caller's connection runs it.
+// exchange is one request of a caller, from its arrival to its response. It runs on the
+// goroutine of the caller's connection.
 type exchange struct {
 	server *Server
-	client *client
+	caller *callerConn
 	req    *fasthttp.Request
 	id     string
-	// head is what all sends of the request have in common.
+	// head is the part of the request head that all sends share.
 	head    []byte
 	arrived time.Time
-	// limit is the earlier of the caller's deadline and the route's timeout.
-	limit   time.Time
-	route   *routing.Route
-	account *routing.Account
-	service ids.Service
-	version int64
-	// print names the request and its repeats.
-	print quarantine.Fingerprint
-
-	// sends counts sends that reached an upstream, or may have; ran are the
-	// upstreams of those that are not proved not to have run.
+	// deadline is the earlier of the caller's deadline and the end of the route's
+	// timeout.
+	deadline      time.Time
+	route         *routing.Route
+	account       *routing.Account
+	service       ids.Service
+	configVersion int64
+	// fingerprint identifies the request and its repeats.
+	fingerprint quarantine.Fingerprint
+
+	// sends counts the sends for which a connection was made. ranOn holds the upstreams
+	// on which the request ran or may have run.
 	sends int
-	ran   map[ids.Life]bool
-	// written tells that part of the answer is with the caller; events counts
-	// those of a stream, the first of which came after first.
-	written bool
-	// late tells why the answer is late, empty while it is not.
-	late   lateness
-	events int
-	first  time.Duration
+	ranOn map[ids.Life]bool
+	// responseStarted is true once part of the response was written to the caller.
+	responseStarted bool
+	// lateCause is why the response is late, empty while it is not.
+	lateCause lateCause
+	// events counts the events written to the caller. firstEvent is the time from the
+	// arrival to the first of them.
+	events     int
+	firstEvent time.Duration
 }
 
-// newExchange takes a request that was read whole.
-func newExchange(c *client, req *fasthttp.Request) *exchange {
-	x := &exchange{server: c.server, client: c, req: req, arrived: c.server.opts.Now()}
+// newExchange returns the exchange of a request that was read completely.
+func newExchange(c *callerConn, req *fasthttp.Request) *exchange {
+	x := &exchange{server: c.server, caller: c, req: req, arrived: c.server.opts.Now()}
 	x.id = string(req.Header.Peek(c.server.opts.Headers.RequestID))
 	return x
 }
 
-// log begins a log line about the request.
+// log starts a log line about the request.
 func (x *exchange) log(event string) *zerolog.Event {
 	return x.server.opts.Log.Info().Str("event", event).Str("request", x.id)
 }
@@ -80,7 +81,7 @@
 // count adds one to a counter.
 func (x *exchange) count(name string) { x.server.opts.Metrics.Add(name, 1) }
 
-// draw gives a random number from 0 up to 1.
+// draw returns a random number in [0, 1).
 func (x *exchange) draw() float64 {
 	f, _ := x.server.draw()
 	return f
@@ -90,45 +91,45 @@
 func (x *exchange) serve(ctx context.Context) {
 	x.server.active.Add(1)
 	defer x.server.active.Add(-1)
-	x.awaitKnown(ctx)
+	x.awaitReady(ctx)
 	table := x.server.opts.Table()
 	if refusal := x.admit(table); refusal != nil {
 		x.refuse(refusal)
 		return
 	}
 	if x.quarantined() {
-		x.giveUp(outcome.Quarantined, quarantineDetail, quarantineAfter)
+		x.giveUp(outcome.Quarantined, quarantineDetail, quarantineRetryAfter)
 		return
 	}
-	x.prepare()
+	x.prepareHead()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timeout, done := context.WithTimeoutCause(ctx, x.limit.Sub(x.arrived), &TimeoutError{})
-	defer done()
-	stop := x.client.watch(cancel)
+	reqCtx, cancelTimeout := context.WithTimeoutCause(ctx, x.deadline.Sub(x.arrived), &TimeoutError{})
+	defer cancelTimeout()
+	stop := x.caller.watchDisconnect(cancel)
 	defer stop()
-	x.server.picks.first(x.service)
+	x.server.picker.recordFirstSend(x.service)
 	if x.route.Kind == routing.Streaming {
-		x.stream(timeout, table)
+		x.serveStream(reqCtx, table)
 		return
 	}
-	x.plain(timeout)
+	x.servePlain(reqCtx)
 }
 
-// knownWait is the longest wait of a request for the node's first configuration
-// and directory. Callers that come while a whole fleet starts are served then instead
-// of being sent away, and keep their repeat. Hundreds of nodes that list at once share
-// the store's link.
-const knownWait = 900 * time.Millisecond
+// readyTimeout bounds the wait of a request for the node's first configuration and
+// directory. While a whole fleet starts, hundreds of nodes list at once and share the
+// store's link. Requests that wait are served, so their callers need no retry.
+const readyTimeout = 900 * time.Millisecond
 
-// awaitKnown waits until the node knows what it forwards.
-func (x *exchange) awaitKnown(ctx context.Context) {
+// awaitReady waits for the first configuration and directory, until readyTimeout or the
+// end of ctx.
+func (x *exchange) awaitReady(ctx context.Context) {
 	select {
 	case <-x.server.opts.Ready:
 		return
 	default:
 	}
-	timer := time.NewTimer(knownWait)
+	timer := time.NewTimer(readyTimeout)
 	defer timer.Stop()
 	select {
 	case <-x.server.opts.Ready:
@@ -137,45 +138,46 @@
 	}
 }
 
-// TimeoutError tells that the time of a request is up.
+// TimeoutError reports that the deadline of a request has passed.
 type TimeoutError struct{}
 
 // Error implements error.
-func (*TimeoutError) Error() string { return "the request's time is up" }
+func (*TimeoutError) Error() string { return "request deadline exceeded" }
 
-// refusal is an answer of the node's own.
+// refusal is an error response that the node generates itself.
 type refusal struct {
-	status int
-	reason outcome.Reason
-	detail string
-	after  time.Duration
+	status     int
+	reason     outcome.Reason
+	detail     string
+	retryAfter time.Duration
 }
 
-// admit finds the route and the account of the request.
+// admit finds the route, the account and the service of a request. It returns a refusal
+// if one of them is missing.
 func (x *exchange) admit(table *routing.Table) *refusal {
 	if table == nil {
-		return &refusal{fasthttp.StatusServiceUnavailable, outcome.NotReady, "no configuration yet", notReadyAfter}
+		return &refusal{fasthttp.StatusServiceUnavailable, outcome.NotReady, "no configuration yet", notReadyRetryAfter}
 	}
-	x.version = table.Version()
+	x.configVersion = table.Version()
 	path := pathOf(string(x.req.Header.RequestURI()))
 	x.route = table.Match(string(x.req.Header.Host()), path)
 	if x.route == nil {
-		return &refusal{fasthttp.StatusNotFound, outcome.UnknownService, "no route", 0}
+		return &refusal{fasthttp.StatusNotFound, outcome.UnknownService, "no matching route", 0}
 	}
 	var ok bool
-	if x.account, ok = x.keyOf(table); !ok {
-		return &refusal{fasthttp.StatusUnauthorized, outcome.Unauthorized, "unknown key", 0}
+	if x.account, ok = x.authenticate(table); !ok {
+		return &refusal{fasthttp.StatusUnauthorized, outcome.Unauthorized, "missing or unknown key", 0}
 	}
 	_, draw := x.server.draw()
 	x.service = x.route.Pick(draw)
-	x.print = x.fingerprint()
-	x.setLimit()
+	x.fingerprint = x.computeFingerprint()
+	x.setDeadline()
 	return nil
 }
 
-// fingerprint names the request: the service, its caller's account, and all that
-// an upstream gets to see but for headers.
-func (x *exchange) fingerprint() quarantine.Fingerprint {
+// computeFingerprint hashes the service, the caller's account, and all that an upstream
+// sees of the request except the headers.
+func (x *exchange) computeFingerprint() quarantine.Fingerprint {
 	var account ids.Account
 	if x.account != nil {
 		account = x.account.Name
@@ -183,50 +185,49 @@
 	return quarantine.FingerprintOf([]byte(x.service), []byte(account), x.req.Header.Method(), x.req.Header.RequestURI(), x.req.Body())
 }
 
-// quarantined reports whether the request is one that crashes the upstreams that
-// run it.
+// quarantined reports whether requests with this fingerprint are known to crash
+// upstreams. It logs and publishes a verdict that this node has just reached.
 func (x *exchange) quarantined() bool {
-	refused, news := x.server.culprits.refused(x.service, x.print)
-	if news != nil {
+	refused, verdict := x.server.crashes.quarantined(x.service, x.fingerprint)
+	if verdict != nil {
 		x.count("upstream.culprits")
-		x.log("quarantined").Str("fingerprint", string(news.Fingerprint)).Str("service", string(x.service)).
-			Dur("for_ms", news.For).Send()
-		x.server.opts.OnVerdict(*news)
+		x.log("quarantined").Str("fingerprint", string(verdict.Fingerprint)).Str("service", string(x.service)).
+			Dur("for_ms", verdict.For).Send()
+		x.server.opts.OnVerdict(*verdict)
 	}
 	return refused
 }
 
-// lost notes that the request was running at these upstreams when their
-// connection broke.
-func (x *exchange) lost(upstreams ...ids.Life) {
-	x.server.culprits.runLost(&run{print: x.print, service: x.service, upstreams: upstreams})
+// recordLostRun records that a connection broke while the request was running on these
+// upstreams.
+func (x *exchange) recordLostRun(upstreams ...ids.Life) {
+	x.server.crashes.runLost(&run{fingerprint: x.fingerprint, service: x.service, upstreams: upstreams})
 }
 
-// quarantineDetail tells why such a request is refused.
-const quarantineDetail = "it has crashed the upstreams that ran it"
+// quarantineDetail is the detail of a refusal because of quarantine.
+const quarantineDetail = "the request crashed the upstreams that ran it"
 
-// defaultTimeout bounds requests of routes without a timeout whose caller gives
-// no deadline.
+// defaultTimeout applies to requests whose route has no timeout.
 const defaultTimeout = 60 * time.Second
 
-// setLimit finds until when the request may take.
-func (x *exchange) setLimit() {
+// setDeadline sets the deadline from the route's timeout and the caller's deadline.
+func (x *exchange) setDeadline() {
 	timeout := x.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	x.limit = x.arrived.Add(timeout)
+	x.deadline = x.arrived.Add(timeout)
 	ms := parseFloat(string(x.req.Header.Peek(x.server.opts.Headers.DeadlineMs)))
 	if ms <= 0 {
 		return
 	}
 	deadline := x.arrived.Add(time.Duration(ms * float64(time.Millisecond)))
-	if deadline.Before(x.limit) {
-		x.limit = deadline
+	if deadline.Before(x.deadline) {
+		x.deadline = deadline
 	}
 }
 
-// pathOf gives the path of a request target, without its query.
+// pathOf returns the path of a request target, without query and fragment.
 func pathOf(uri string) string {
 	for i := range len(uri) {
 		if uri[i] == '?' || uri[i] == '#' {
@@ -236,31 +237,31 @@
 	return uri
 }
 
-// refuse answers with a status of the node's own.
+// refuse sends an error response that the node generates itself.
 func (x *exchange) refuse(r *refusal) {
 	x.count("refusal." + string(r.reason))
 	line := x.log("refused").Int("status", r.status).Str("reason", string(r.reason)).Str("detail", r.detail).
-		Int64("config", x.version).Int("sends", x.sends).Bool("may_have_run", x.mayHaveRun()).
+		Int64("config", x.configVersion).Int("sends", x.sends).Bool("may_have_run", x.mayHaveRun()).
 		Dur("took_ms", x.server.opts.Now().Sub(x.arrived))
 	if x.route != nil {
 		line.Str("route", x.route.Name).Str("service", string(x.service))
 	}
 	line.Send()
-	after := r.after
+	after := r.retryAfter
 	if after > 0 {
-		after = x.retryAfter(after)
+		after = x.jitterRetryAfter(after)
 	}
-	if err := x.client.own(r.status, x.id, string(r.reason), after); err != nil {
-		x.client.closeAfter = true
+	if err := x.caller.writeError(r.status, x.id, string(r.reason), after); err != nil {
+		x.caller.closeAfter = true
 	}
 }
 
-// giveUp answers a request for which nothing more is done: with a promise only
-// where it has not run.
+// giveUp ends a request for which no further attempt is made. The status is 503, which
+// states that the request did not run, only if it did not run on any upstream.
 func (x *exchange) giveUp(reason outcome.Reason, detail string, after time.Duration) {
 	switch {
-	case x.written:
-		x.breakOff(reason, detail)
+	case x.responseStarted:
+		x.abortResponse(reason, detail)
 	case !x.mayHaveRun():
 		x.refuse(&refusal{fasthttp.StatusServiceUnavailable, reason, detail, after})
 	case reason == outcome.DeadlineExpired:
@@ -270,17 +271,18 @@
 	}
 }
 
-// breakOff ends an answer that began in a way that cannot look complete.
-func (x *exchange) breakOff(reason outcome.Reason, detail string) {
-	x.client.closeAfter = true
+// abortResponse ends a response that has started so that the caller cannot take it for
+// complete: the connection closes without the final chunk.
+func (x *exchange) abortResponse(reason outcome.Reason, detail string) {
+	x.caller.closeAfter = true
 	x.count("broken_off." + string(reason))
 	x.log("broken_off").Str("reason", string(reason)).Str("detail", detail).Str("route", x.route.Name).
 		Str("service", string(x.service)).Int("sends", x.sends).Dur("took_ms", x.server.opts.Now().Sub(x.arrived)).Send()
 }
 
-// ended handles the end of the request's own context. It reports whether the
-// request is over.
-func (x *exchange) ended(ctx context.Context) bool {
+// contextDone ends the request if its context is done: because the caller has left, the
+// deadline has passed or the node stops. It reports whether it did.
+func (x *exchange) contextDone(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	if cause == nil {
 		return false
@@ -289,49 +291,50 @@
 	var late *TimeoutError
 	switch {
 	case errors.As(cause, &gone):
-		x.gone()
-	case errors.As(cause, &late), !x.server.opts.Now().Before(x.limit):
-		x.giveUp(outcome.DeadlineExpired, "no time left", noUpstreamAfter)
+		x.callerGone()
+	case errors.As(cause, &late), !x.server.opts.Now().Before(x.deadline):
+		x.giveUp(outcome.DeadlineExpired, "deadline has passed", noUpstreamRetryAfter)
 	default:
-		x.giveUp(outcome.Draining, "the node stops", notReadyAfter)
+		x.giveUp(outcome.Draining, "node is stopping", notReadyRetryAfter)
 	}
 	return true
 }
 
-// gone ends a request whose caller left.
-func (x *exchange) gone() {
-	x.client.closeAfter = true
+// callerGone ends a request whose caller has closed its connection.
+func (x *exchange) callerGone() {
+	x.caller.closeAfter = true
 	x.count("outcome.caller_gone")
 	x.log("caller_gone").Int("sends", x.sends).Dur("took_ms", x.server.opts.Now().Sub(x.arrived)).Send()
 }
 
-// done logs the whole answer of an upstream.
-func (x *exchange) done(status int, u *directory.Upstream) {
+// recordAnswered logs and counts a complete response of an upstream.
+func (x *exchange) recordAnswered(status int, u *directory.Upstream) {
 	took := x.server.opts.Now().Sub(x.arrived)
 	if x.route.Kind != routing.Streaming && x.route.Objective > 0 && took > x.route.Objective {
-		x.lateFor(latePlain)
+		x.markLate(latePlain)
 	}
 	x.count("outcome.answered")
-	if status < serverError {
-		x.server.culprits.served(x.service, x.print)
+	if status < statusServerError {
+		x.server.crashes.requestServed(x.service, x.fingerprint)
 	}
 	x.server.opts.Metrics.Took("request."+kindNames[x.route.Kind], took)
 	x.log("answered").Int("status", status).Str("route", x.route.Name).Str("service", string(x.service)).
-		Str("upstream", u.ID.String()).Int64("config", x.version).Int("sends", x.sends).Int("events", x.events).
-		Str("late", string(x.late)).Dur("first_ms", x.first).Dur("took_ms", took).Send()
+		Str("upstream", u.ID.String()).Int64("config", x.configVersion).Int("sends", x.sends).Int("events", x.events).
+		Str("late", string(x.lateCause)).Dur("first_ms", x.firstEvent).Dur("took_ms", took).Send()
 }
 
-// kindNames are indexed by routing.Kind.
+// kindNames holds metric names, indexed by routing.Kind.
 var kindNames = [...]string{"non_idempotent", "idempotent", "streaming"}
 
-// leftMs gives the time left, for an upstream, in ms.
-func (x *exchange) leftMs() int64 { return x.limit.Sub(x.server.opts.Now()).Milliseconds() }
+// remainingMs returns the time until the deadline in milliseconds.
+func (x *exchange) remainingMs() int64 { return x.deadline.Sub(x.server.opts.Now()).Milliseconds() }
 
-// compose makes the head of one send. extra adds the send's own headers.
-func (x *exchange) compose(u *directory.Upstream, extra func([]byte) []byte) []byte {
+// composeHead returns the request head of one send. extra, if not nil, appends further
+// headers.
+func (x *exchange) composeHead(u *directory.Upstream, extra func([]byte) []byte) []byte {
 	h := &x.server.opts.Headers
 	out := append([]byte(nil), x.head...)
-	out = appendHeader(out, h.DeadlineMs, strconv.FormatInt(max(x.leftMs(), 1), 10))
+	out = appendHeader(out, h.DeadlineMs, strconv.FormatInt(max(x.remainingMs(), 1), 10))
 	out = appendHeader(out, h.ExpectUpstream, string(u.ID.Upstream))
 	if extra != nil {
 		out = extra(out)
@@ -339,39 +342,40 @@
 	return append(out, "\r\n"...)
 }
 
-// mayHaveRun reports whether a send is not proved not to have run.
-func (x *exchange) mayHaveRun() bool { return len(x.ran) > 0 }
+// mayHaveRun reports whether the request ran, or may have run, on any upstream.
+func (x *exchange) mayHaveRun() bool { return len(x.ranOn) > 0 }
 
-// mayRunAgain reports whether another send may run: the request allows it, and
-// its route a further upstream, or a stream going on at one where it ran.
+// mayRunAgain reports whether the request may be sent again. That needs a repeatable
+// request, and either an attempt that the route has left or a stream, which can resume
+// on an upstream where it already ran.
 func (x *exchange) mayRunAgain() bool {
 	if !x.mayHaveRun() {
 		return true
 	}
-	return x.route.MayRepeat() && (len(x.ran) < x.route.Attempts() || x.route.Kind == routing.Streaming)
+	return x.route.MayRepeat() && (len(x.ranOn) < x.route.Attempts() || x.route.Kind == routing.Streaming)
 }
 
-// noteRun notes an upstream on which the request may have run. None is taken
-// back for not answering: it may be cut off from this node alone, or refuse
-// connections since it has too many.
-func (x *exchange) noteRun(id ids.Life) {
-	if x.ran == nil {
-		x.ran = make(map[ids.Life]bool)
+// recordRun adds an upstream on which the request may have run. It is never removed
+// because the upstream does not answer: the upstream may be cut off from this node
+// only, or refuse connections because it has too many.
+func (x *exchange) recordRun(id ids.Life) {
+	if x.ranOn == nil {
+		x.ranOn = make(map[ids.Life]bool)
 	}
-	x.ran[id] = true
+	x.ranOn[id] = true
 }
 
-// bound gives the upstreams to which further sends are bound, nil for none: those
-// on which the request ran, with those it may run on next, once they are as many
-// as its route allows.
-func (x *exchange) bound(also ...ids.Life) map[ids.Life]bool {
-	ran := make(map[ids.Life]bool, len(x.ran)+len(also))
-	maps.Copy(ran, x.ran)
+// allowedUpstreams returns the upstreams to which further sends are restricted: those
+// on which the request ran, and also, the upstreams on which it may run next. It
+// returns nil, for no restriction, while they are fewer than the attempts of the route.
+func (x *exchange) allowedUpstreams(also ...ids.Life) map[ids.Life]bool {
+	upstreams := make(map[ids.Life]bool, len(x.ranOn)+len(also))
+	maps.Copy(upstreams, x.ranOn)
 	for _, id := range also {
-		ran[id] = true
+		upstreams[id] = true
 	}
-	if len(ran) < x.route.Attempts() {
+	if len(upstreams) < x.route.Attempts() {
 		return nil
 	}
-	return ran
+	return upstreams
 }
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -25,39 +25,39 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// names are headers of a protocol that no deployment has.
-var names = Headers{
+// testHeaders are the headers of a protocol that exists only in these tests.
+var testHeaders = Headers{
 	RequestID: "Q-Id", DeadlineMs: "Q-Left", Key: "Q-Key", Account: "Q-Account", ExpectUpstream: "Q-Expect",
 	NotRun: "Q-Not-Run", FaultyStage: "Q-Fault", Stages: "Q-Stages", Priority: "Q-Rank", TokenCounts: "Q-Tokens",
 	LengthHint: "Q-Hint", LastEventID: "Q-Last", Load: "Q-Load",
 }
 
-// patience bounds waits for conditions.
-const patience = 10 * time.Second
+// waitTimeout bounds the waits for conditions and connections.
+const waitTimeout = 10 * time.Second
 
-// script answers one request on an upstream's connection; it reports whether
-// the connection goes on.
-type script func(conn net.Conn, req *fasthttp.Request) bool
+// handler answers one request on an upstream's connection. It reports whether
+// the connection stays open.
+type handler func(conn net.Conn, req *fasthttp.Request) bool
 
-// fake is an upstream.
-type fake struct {
+// fakeUpstream is an HTTP server that answers requests with a handler.
+type fakeUpstream struct {
 	directory.Upstream
 	listener net.Listener
 	mu       sync.Mutex
 	seen     []*fasthttp.Request
 	conns    int
-	// gone is sent to when a caller's connection ends under a script.
+	// gone is not used by any handler.
 	gone chan struct{}
 }
 
-// newFake starts an upstream of a service.
-func newFake(t *testing.T, id, service string, answer script) *fake {
+// newFakeUpstream starts a fake upstream of a service.
+func newFakeUpstream(t *testing.T, id, service string, answer handler) *fakeUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{listener: l, gone: make(chan struct{}, 16)}
+	f := &fakeUpstream{listener: l, gone: make(chan struct{}, 16)}
 	f.Upstream = directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: ids.Service(service), Address: l.Addr().String(), Zone: "z", Slots: 4, Revision: 1}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
@@ -75,7 +75,7 @@
 	return f
 }
 
-func (f *fake) serve(conn net.Conn, answer script) {
+func (f *fakeUpstream) serve(conn net.Conn, answer handler) {
 	defer func() { _ = conn.Close() }()
 	r := bufio.NewReader(conn)
 	for {
@@ -92,14 +92,14 @@
 	}
 }
 
-// requests gives what arrived.
-func (f *fake) requests() []*fasthttp.Request {
+// requests returns the requests received so far.
+func (f *fakeUpstream) requests() []*fasthttp.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*fasthttp.Request(nil), f.seen...)
 }
 
-// reply writes a whole answer to a request.
+// reply writes a complete response to a request.
 func reply(conn net.Conn, req *fasthttp.Request, status int, body string, headers ...string) bool {
 	out := fmt.Sprintf("HTTP/1.1 %d X\r\nQ-Id: %s\r\nQ-Seal: seal-%s\r\nContent-Length: %d\r\n", status, req.Header.Peek("Q-Id"), body, len(body))
 	for _, h := range headers {
@@ -109,27 +109,29 @@
 	return err == nil
 }
 
-// ok answers with a body.
-func ok(body string) script {
+// okReply returns a handler that answers with status 200 and a body.
+func okReply(body string) handler {
 	return func(conn net.Conn, req *fasthttp.Request) bool { return reply(conn, req, 200, body) }
 }
 
-// eventsFrom streams events from one id to another, whole or not.
-func eventsFrom(conn net.Conn, req *fasthttp.Request, from, to int, whole bool) bool {
+// eventsFrom streams the events from one id to another, with the final chunk if
+// complete is true.
+func eventsFrom(conn net.Conn, req *fasthttp.Request, from, to int, complete bool) bool {
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nQ-Id: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", req.Header.Peek("Q-Id"))
 	for id := from; id <= to; id++ {
 		event := fmt.Sprintf("id: %d\ndata: e%d\n\n", id, id)
 		out += fmt.Sprintf("%x\r\n%s\r\n", len(event), event)
 	}
-	if whole {
+	if complete {
 		out += "0\r\n\r\n"
 	}
 	_, err := conn.Write([]byte(out))
-	return err == nil && whole
+	return err == nil && complete
 }
 
-// after gives the id after the last event that a request names, 1 for none.
-func after(req *fasthttp.Request) int {
+// nextEventID returns the id after the last event that a request names, 1 if it
+// names none.
+func nextEventID(req *fasthttp.Request) int {
 	last := 0
 	if _, err := fmt.Sscan(string(req.Header.Peek("Q-Last")), &last); err != nil {
 		return 1
@@ -137,22 +139,22 @@
 	return last + 1
 }
 
-// calls are the engines' own calls.
-type calls struct {
+// fakeEngines implements Engines.
+type fakeEngines struct {
 	mu   sync.Mutex
 	dead map[ids.Life]bool
-	// born are the starts that upstreams report.
+	// born are the start times that upstreams report.
 	born map[ids.Upstream]int64
-	// stalled are the stages that first stages name for their requests.
-	stalled  map[ids.Life]map[ids.Request]string
-	refused  map[ids.Life]bool
-	rerouted []string
-	refuse   error
-	onRoute  func()
+	// stalled are the stages that first stages report as stalled, by request.
+	stalled    map[ids.Life]map[ids.Request]string
+	refused    map[ids.Life]bool
+	rerouted   []string
+	rerouteErr error
+	onReroute  func()
 }
 
 // Probe implements Engines.
-func (c *calls) Probe(_ context.Context, u *directory.Upstream) (layered.Report, error) {
+func (c *fakeEngines) Probe(_ context.Context, u *directory.Upstream) (layered.Report, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.refused[u.ID] {
@@ -165,72 +167,72 @@
 }
 
 // Reroute implements Engines.
-func (c *calls) Reroute(_ context.Context, request string, path chain.Chain) error {
+func (c *fakeEngines) Reroute(_ context.Context, request string, path chain.Chain) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rerouted = append(c.rerouted, request+" "+path.String())
-	if c.refuse == nil && c.onRoute != nil {
-		c.onRoute()
+	if c.rerouteErr == nil && c.onReroute != nil {
+		c.onReroute()
 	}
-	return c.refuse
+	return c.rerouteErr
 }
 
-// counts implement Metrics.
-type counts struct {
+// fakeMetrics implements Metrics with counters only.
+type fakeMetrics struct {
 	mu sync.Mutex
 	n  map[string]int64
 }
 
-func (c *counts) Add(name string, n int64) {
+func (c *fakeMetrics) Add(name string, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n[name] += n
 }
 
-func (c *counts) Took(string, time.Duration) {}
+func (c *fakeMetrics) Took(string, time.Duration) {}
 
-func (c *counts) Timer(string) func(time.Duration) { return func(time.Duration) {} }
+func (c *fakeMetrics) Timer(string) func(time.Duration) { return func(time.Duration) {} }
 
-func (c *counts) get(name string) int64 {
+func (c *fakeMetrics) get(name string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.n[name]
 }
 
-// rig is a Server before fakes.
-type rig struct {
+// testServer is a Server in front of fake upstreams.
+type testServer struct {
 	*Server
-	address string
-	counts  *counts
-	calls   *calls
-	table   atomic.Pointer[routing.Table]
-	mu      sync.Mutex
-	dir     *directory.Directory
-	told    []quarantine.Verdict
-	known   chan struct{}
+	address   string
+	metrics   *fakeMetrics
+	engines   *fakeEngines
+	table     atomic.Pointer[routing.Table]
+	mu        sync.Mutex
+	dir       *directory.Directory
+	published []quarantine.Verdict
+	ready     chan struct{}
 }
 
-// note is told of verdicts.
-func (r *rig) note(v quarantine.Verdict) {
+// recordVerdict is the server's OnVerdict.
+func (r *testServer) recordVerdict(v quarantine.Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = append(r.told, v)
+	r.published = append(r.published, v)
 }
 
-// verdicts gives those told so far.
-func (r *rig) verdicts() []quarantine.Verdict {
+// verdicts returns the verdicts published so far.
+func (r *testServer) verdicts() []quarantine.Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.told)
+	return slices.Clone(r.published)
 }
 
-// testModel has ten layers.
+// testModel is a model of ten layers.
 var testModel = &layered.Model{
 	Layers: 10, LayerMB: 1, KVTokenBytes: 1, StepMs: 1, ReadPerMs: 100, Stride: 1, Prompt: 10, Answer: 10,
 	Cards: map[string]layered.Card{"card": {MemoryMB: 1000, StepFactor: 1, ReadFactor: 1}},
 }
 
-// testConfig has a route of each kind.
+// testConfig returns a configuration with a route of each kind.
 func testConfig() routing.Config {
 	split := func(s string) []routing.Split { return []routing.Split{{Service: ids.Service(s), Weight: 1}} }
 	return routing.Config{
@@ -249,28 +251,29 @@
 	}
 }
 
-// newRig starts a Server before fakes.
-func newRig(t *testing.T, fakes ...*fake) *rig {
+// newTestServer starts a Server in front of fake upstreams.
+func newTestServer(t *testing.T, fakes ...*fakeUpstream) *testServer {
 	t.Helper()
-	r := newStartingRig(t, fakes...)
-	close(r.known)
+	r := newStartingTestServer(t, fakes...)
+	close(r.ready)
 	return r
 }
 
-// newStartingRig is newRig for a node that does not know the fakes yet.
-func newStartingRig(t *testing.T, fakes ...*fake) *rig {
+// newStartingTestServer is newTestServer for a node that is not ready. It becomes
+// ready when the test closes the channel ready.
+func newStartingTestServer(t *testing.T, fakes ...*fakeUpstream) *testServer {
 	t.Helper()
 	table, err := routing.Build(testConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{counts: &counts{n: make(map[string]int64)}, calls: &calls{dead: make(map[ids.Life]bool), refused: make(map[ids.Life]bool)}, dir: directory.New(), known: make(chan struct{})}
+	r := &testServer{metrics: &fakeMetrics{n: make(map[string]int64)}, engines: &fakeEngines{dead: make(map[ids.Life]bool), refused: make(map[ids.Life]bool)}, dir: directory.New(), ready: make(chan struct{})}
 	r.table.Store(table)
 	for _, f := range fakes {
 		r.dir.Put(f.Upstream)
 	}
 	r.Server = New(Options{
-		Headers: names, Zone: "z", Engines: r.calls, Now: boottime.Now, Log: zerolog.Nop(), Metrics: r.counts, Seed: 1, OnVerdict: r.note, Ready: r.known,
+		Headers: testHeaders, Zone: "z", Engines: r.engines, Now: boottime.Now, Log: zerolog.Nop(), Metrics: r.metrics, Seed: 1, OnVerdict: r.recordVerdict, Ready: r.ready,
 		Budget: Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		Table:  r.table.Load,
 		View: func() *directory.View {
@@ -299,7 +302,7 @@
 	return r
 }
 
-// caller is a connection of a caller.
+// caller is a caller's connection to the server.
 type caller struct {
 	t    *testing.T
 	conn net.Conn
@@ -307,14 +310,14 @@
 }
 
 // dial connects a caller.
-func (r *rig) dial(t *testing.T) *caller {
+func (r *testServer) dial(t *testing.T) *caller {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return &caller{t: t, conn: conn, r: bufio.NewReader(conn)}
@@ -335,29 +338,29 @@
 	}
 }
 
-// answer reads an answer; whole tells whether its body ended as it should.
-func (c *caller) answer() (resp *fasthttp.Response, whole bool) {
+// answer reads a response. complete is false if its body is cut off.
+func (c *caller) answer() (resp *fasthttp.Response, complete bool) {
 	c.t.Helper()
 	resp = &fasthttp.Response{}
 	err := resp.Read(c.r)
 	return resp, err == nil
 }
 
-// ask sends a request on a connection of its own and reads the answer.
-func (r *rig) ask(t *testing.T, method, path, id, body string, headers ...string) (*fasthttp.Response, bool) {
+// ask sends a request on a new connection and reads the response.
+func (r *testServer) ask(t *testing.T, method, path, id, body string, headers ...string) (*fasthttp.Response, bool) {
 	t.Helper()
 	c := r.dial(t)
 	c.send(method, path, id, body, headers...)
 	return c.answer()
 }
 
-// eventually waits for a condition.
+// eventually fails the test unless a condition becomes true within waitTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("condition not reached: %s", what)
 }
--- a/adapter/forward/headers.go
+++ b/adapter/forward/headers.go
@@ -11,9 +11,9 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// perConnection reports whether a header concerns one connection only, or the
-// framing, which each connection has anew.
-func perConnection(name string) bool {
+// isHopByHop reports whether a header applies to one connection only or to the message
+// framing. Such headers are not forwarded.
+func isHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization",
 		"te", "trailer", "transfer-encoding", "upgrade", "content-length", "expect":
@@ -22,18 +22,19 @@
 	return false
 }
 
-// isEnd reports whether an error is the end of a connection.
-func isEnd(err error) bool {
+// isConnClosed reports whether an error means that the peer closed or reset the
+// connection.
+func isConnClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// prepare makes the part of the request's head that all sends share. Headers
-// that the node sets itself are dropped, whoever sent them.
-func (x *exchange) prepare() {
+// prepareHead builds the part of the request head that all sends share. Headers that
+// the node manages itself are dropped, whoever sent them.
+func (x *exchange) prepareHead() {
 	h := &x.req.Header
 	for token := range strings.SplitSeq(string(h.Peek("Connection")), ",") {
-		if token = strings.TrimSpace(token); token != "" && !x.isOwnHeader(token) {
+		if token = strings.TrimSpace(token); token != "" && !x.isManagedHeader(token) {
 			h.Del(token)
 		}
 	}
@@ -43,7 +44,7 @@
 	out = append(out, " HTTP/1.1\r\n"...)
 	for name, value := range h.All() {
 		key := string(name)
-		if perConnection(key) || x.isOwnHeader(key) {
+		if isHopByHop(key) || x.isManagedHeader(key) {
 			continue
 		}
 		out = appendHeader(out, key, string(value))
@@ -57,18 +58,18 @@
 	x.head = out
 }
 
-// isOwnHeader reports whether the node sets or removes a header itself.
-func (x *exchange) isOwnHeader(name string) bool {
+// isManagedHeader reports whether the node sets or removes a header itself.
+func (x *exchange) isManagedHeader(name string) bool {
 	h := &x.server.opts.Headers
-	for _, own := range [...]string{h.DeadlineMs, h.Key, h.Account, h.ExpectUpstream, h.Stages, h.Priority, h.LastEventID} {
-		if strings.EqualFold(name, own) {
+	for _, managed := range [...]string{h.DeadlineMs, h.Key, h.Account, h.ExpectUpstream, h.Stages, h.Priority, h.LastEventID} {
+		if strings.EqualFold(name, managed) {
 			return true
 		}
 	}
 	return false
 }
 
-// appendHeader adds a header line.
+// appendHeader appends a header line.
 func appendHeader(out []byte, name, value string) []byte {
 	out = append(out, name...)
 	out = append(out, ": "...)
@@ -76,22 +77,23 @@
 	return append(out, "\r\n"...)
 }
 
-// priority levels of engines.
+// Priority levels of engines are 0 to maxPriorityLevel.
 const (
-	levelMost = 9
+	maxPriorityLevel = 9
 )
 
-// level turns a rank, 0 first, into an engine's level.
-func level(rank int) int { return min(max(rank, 0), levelMost) }
+// priorityLevel limits the rank of a request, 0 first, to the priority levels of
+// engines.
+func priorityLevel(rank int) int { return min(max(rank, 0), maxPriorityLevel) }
 
-// retryAfter spreads the time to come back, so that callers refused together do
-// not return together.
-func (x *exchange) retryAfter(base time.Duration) time.Duration {
+// jitterRetryAfter adds up to half of base at random, so that callers refused together
+// do not come back together.
+func (x *exchange) jitterRetryAfter(base time.Duration) time.Duration {
 	return base + time.Duration(x.draw()*float64(base)/2)
 }
 
-// parseTokens reads the size of a request: prompt tokens, and the tokens that
-// the answer should have by the caller's hint, or at most.
+// parseTokens reads the number of prompt tokens of a request, and the number of answer
+// tokens: the caller's length hint, or else its maximum. 0 means unknown.
 func (x *exchange) parseTokens() (prompt, answer float64) {
 	h := &x.server.opts.Headers
 	first, second, _ := strings.Cut(string(x.req.Header.Peek(h.TokenCounts)), ",")
@@ -103,8 +105,8 @@
 	return prompt, answer
 }
 
-// parseFloat reads a number; 0 stands for one that is missing or malformed,
-// which callers of this take as unknown.
+// parseFloat parses a number. It returns 0, which means unknown, if the number is
+// missing, malformed or negative.
 func parseFloat(s string) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
 	if err != nil || v < 0 {
@@ -113,12 +115,13 @@
 	return v
 }
 
-// parseLoad reads an upstream's load: how many requests it works on and queues.
+// parseLoad parses the load header of an upstream and returns the number of its running
+// and queued requests.
 func parseLoad(value string) (requests int, ok bool) {
 	running, rest, _ := strings.Cut(value, ",")
-	waiting, _, _ := strings.Cut(rest, ",")
-	for _, part := range [...]string{running, waiting} {
-		n, err := strconv.ParseUint(strings.TrimSpace(part), 10, loadBits)
+	queued, _, _ := strings.Cut(rest, ",")
+	for _, part := range [...]string{running, queued} {
+		n, err := strconv.ParseUint(strings.TrimSpace(part), 10, loadCountBits)
 		if err != nil {
 			return 0, false
 		}
@@ -127,12 +130,13 @@
 	return requests, true
 }
 
-// loadBits bounds the counts of an upstream's load.
-const loadBits = 31
+// loadCountBits is the bit size of the counts in a load header; larger counts are
+// malformed.
+const loadCountBits = 31
 
-// keyOf finds the client account of a request; ok is false if it needs a key
-// and names none that is known.
-func (x *exchange) keyOf(table *routing.Table) (account *routing.Account, ok bool) {
+// authenticate returns the account whose key the request carries, nil if the route
+// needs no key. ok is false if a key is needed and is missing or unknown.
+func (x *exchange) authenticate(table *routing.Table) (account *routing.Account, ok bool) {
 	if x.route.Open || !table.KeysNeeded() {
 		return nil, true
 	}
--- a/adapter/forward/late.go
+++ b/adapter/forward/late.go
@@ -1,46 +1,46 @@
 package forward
 
-// lateness is why an answer came later than its route's objectives. The first
-// reason of an answer is the one that is logged and counted.
-type lateness string
+// lateCause is why a response missed an objective of its route. Only the first cause of
+// a response is logged and counted.
+type lateCause string
 
-// Reasons of late answers.
+// Causes of late responses.
 const (
 	// lateSlow: a stage reported that it is slow.
-	lateSlow lateness = "slow_stage"
-	// lateDead: a stage did not answer, and the request could not be led around
-	// it in time.
-	lateDead lateness = "dead_stage"
-	// lateBusy: all stages answered that they are well.
-	lateBusy lateness = "busy_stage"
-	// lateUnasked: the wait was too short for the stages to be asked.
-	lateUnasked lateness = "unasked"
-	// lateReroute: the request was led around a stage.
-	lateReroute lateness = "reroute"
-	// lateRetry: it was sent once more.
-	lateRetry lateness = "retry"
-	// latePlain: a plain upstream took long.
-	latePlain lateness = "plain_upstream"
+	lateSlow lateCause = "slow_stage"
+	// lateDead: a stage did not answer a probe, and the request was not rerouted in time.
+	lateDead lateCause = "dead_stage"
+	// lateBusy: all stages answered their probes and reported a normal pace.
+	lateBusy lateCause = "busy_stage"
+	// lateUnasked: the wait was too short for the stages to be probed.
+	lateUnasked lateCause = "unasked"
+	// lateReroute: the request was rerouted around a stage.
+	lateReroute lateCause = "reroute"
+	// lateRetry: the request was sent again.
+	lateRetry lateCause = "retry"
+	// latePlain: the upstream of a plain request responded late.
+	latePlain lateCause = "plain_upstream"
 )
 
-// lateFor notes why an answer is late, unless it was late before.
-func (x *exchange) lateFor(why lateness) {
-	if x.late != "" {
+// markLate records why the response is late, unless a cause is already recorded.
+func (x *exchange) markLate(cause lateCause) {
+	if x.lateCause != "" {
 		return
 	}
-	x.late = why
-	x.count("late." + string(why))
+	x.lateCause = cause
+	x.count("late." + string(cause))
 }
 
-// why gives the reason of a wait that has just ended.
-func (w *streamWait) why(firstOfAttempt bool) lateness {
+// delayCause returns the cause of the wait that has just ended. firstOfAttempt is true
+// if the wait was for the first event of an attempt.
+func (w *stallWatch) delayCause(firstOfAttempt bool) lateCause {
 	switch {
 	case firstOfAttempt && w.s.x.sends > 1:
 		return lateRetry
 	case w.reroutes > 0:
 		return lateReroute
-	case w.found == "":
+	case w.probeResult == "":
 		return lateUnasked
 	}
-	return w.found
+	return w.probeResult
 }
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -1,12 +1,13 @@
-// Package forward carries callers' HTTP requests to upstreams and the answers
-// back, unchanged, over connections kept on both sides. Plain requests go to a
-// replica of a service; streaming ones through a chain of engines, and on to
-// another chain when one breaks, without a caller seeing an event twice.
+// Package forward is an HTTP reverse proxy: it sends callers' requests to upstreams and
+// passes the responses back unchanged, over connections that are kept open on both
+// sides. A plain request goes to one replica of its service. A streaming request goes
+// through a chain of engines; if the chain breaks, the stream resumes on another one,
+// and the caller sees no event twice.
 //
-// The decisions are those of decide/routing, decide/replica, decide/chain,
-// decide/condition and decide/retry; this package brings them together and does
-// the effects. Names of headers come from the protocol of the deployment, so
-// the package serves any protocol of that shape.
+// Routing, the choice of replicas and chains, and retry budgets are decided by
+// decide/routing, decide/replica, decide/chain, decide/condition and decide/retry. This
+// package calls them and does the I/O. Header names are options, so the package serves
+// any protocol of this shape.
 package forward
 
 import (
@@ -25,49 +26,51 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// Headers name what a protocol carries in headers. All are required.
+// Headers holds the header names of a protocol. All are required.
 type Headers struct {
-	// RequestID names a caller's attempt; upstreams echo it.
+	// RequestID identifies a caller's attempt. Upstreams echo it.
 	RequestID string
-	// DeadlineMs is how long the caller waits from now, in ms.
+	// DeadlineMs is the time that the caller still waits, in milliseconds.
 	DeadlineMs string
-	// Key is the caller's key. Upstreams get Account in its place.
+	// Key carries the caller's API key. Upstreams receive the account's name in Account
+	// instead.
 	Key, Account string
-	// ExpectUpstream makes any other upstream refuse a request.
+	// ExpectUpstream names the upstream that a request is meant for. Any other upstream
+	// refuses it.
 	ExpectUpstream string
-	// NotRun marks an upstream's answer as the refusal of a request that it
-	// did not run and never will.
+	// NotRun marks an upstream's response as the refusal of a request that did not run
+	// and never will.
 	NotRun string
-	// FaultyStage names the address of the engine for which a chain refused.
+	// FaultyStage carries the address of the engine because of which a chain refused a
+	// request.
 	FaultyStage string
-	// Stages names the chain of a request.
+	// Stages carries the chain of a request.
 	Stages string
-	// Priority ranks a request at an engine, 0 first, 9 last.
+	// Priority is the rank of a request at an engine, 0 first, 9 last.
 	Priority string
-	// TokenCounts are the prompt's tokens and the most tokens of the answer,
-	// joined by a comma. LengthHint is the caller's guess of the latter.
+	// TokenCounts carries the number of prompt tokens and the maximum number of answer
+	// tokens, separated by a comma. LengthHint is the caller's estimate of the latter.
 	TokenCounts, LengthHint string
-	// LastEventID is the last event of a stream that the caller has.
+	// LastEventID is the id of the last event of a stream that the caller has.
 	LastEventID string
-	// Load is how many requests an upstream works on, queues, and may work on at once,
-	// joined by commas.
+	// Load carries three counts of an upstream, separated by commas: requests running,
+	// requests queued, and the most requests that it runs at once.
 	Load string
 }
 
-// Engines makes the calls to engines that go with requests.
+// Engines makes the calls to engines that accompany requests.
 type Engines interface {
-	// Probe asks an engine for its report. An error means that it did not
-	// answer.
+	// Probe requests an engine's report. An error means that the engine did not answer.
 	Probe(ctx context.Context, u *directory.Upstream) (layered.Report, error)
-	// Reroute has a request that runs on a chain go on through another with
-	// the same first stage. A *StageError names the stage that cannot take it;
-	// after any other error the request is where it was, or nowhere.
+	// Reroute moves a running request to another chain with the same first stage. A
+	// *StageError names a stage that cannot take the request. After any other error the
+	// request is still on its old chain, or on none.
 	Reroute(ctx context.Context, request string, c chain.Chain) error
 }
 
-// StageError tells that a stage cannot take part in a chain.
+// StageError reports that a stage cannot take a request.
 type StageError struct {
-	// Address is the stage's engine.
+	// Address is the address of the stage's engine.
 	Address string
 	Status  int
 }
@@ -77,83 +80,87 @@
 	return fmt.Sprintf("stage %s cannot take the request: status %d", e.Address, e.Status)
 }
 
-// Options set up a Server. All are required but those that say otherwise.
+// Options configures a Server. All fields are required.
 type Options struct {
 	Headers Headers
-	// Zone is the node's own.
+	// Zone is the node's own zone.
 	Zone ids.Zone
-	// Ready is closed once the first configuration and directory are there.
-	// Requests that come earlier wait for it a short time.
+	// Ready is closed once the first configuration and directory are loaded. Earlier
+	// requests wait for it for a short time.
 	Ready <-chan struct{}
-	// Table gives the configuration in force, nil before the first.
+	// Table returns the current configuration, nil before the first.
 	Table func() *routing.Table
-	// View gives the directory of upstreams.
+	// View returns the current directory of upstreams.
 	View func() *directory.View
-	// Engines asks engines that stall, and leads requests around them.
+	// Engines probes the engines of stalled chains and reroutes requests around them.
 	Engines Engines
-	// Budget bounds retries; it is given the nodes that share it.
+	// Budget is the retry budget of all nodes together. SetNodes sets how many nodes
+	// share it.
 	Budget Budget
-	// Now is the clock of deadlines; it also counts while the VM is frozen.
+	// Now is the clock of deadlines. It has to advance while the VM is suspended.
 	Now func() time.Time
-	// Log takes a line for each decision.
-	Log zerolog.Logger
-	// Metrics counts.
+	// Log receives a line for each decision.
+	Log     zerolog.Logger
 	Metrics Metrics
-	// OnVerdict is told of requests that were found to crash upstreams, so that
-	// other nodes hear of them; it must not wait. Any goroutine calls it.
+	// OnVerdict is called when this node has found a request that crashes upstreams, to
+	// inform the other nodes. It must not block and must be safe for concurrent use.
 	OnVerdict func(quarantine.Verdict)
-	// OnRestart is told of a process that says it began later than the life
-	// that the directory knows. Any goroutine calls it.
+	// OnRestart is called with the new life of an upstream whose report shows a later
+	// start than the directory knows. It must be safe for concurrent use.
 	OnRestart func(ids.Life)
-	// Seed starts the random draws among equals.
+	// Seed seeds the random choices among equally good upstreams, and the jitter.
 	Seed uint64
 }
 
-// Budget is the allowance of sends beyond the first of each request, for each
-// service and for all nodes together.
+// Budget limits the retries, which are the sends of a request after its first. It
+// applies to each service, over all nodes together.
 type Budget struct {
-	// Ratio is how many such sends are allowed for each request.
+	// Ratio is how many retries each request allows.
 	Ratio float64
-	// Slack is how many are allowed in a window beside that.
+	// Slack is how many further retries each Window allows.
 	Slack float64
-	// Window is the time over which they are counted.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
 }
 
 const (
-	// slackPart is the part of its share that a node uses as its fading allowance. Used up
-	// all the while that grants twice itself within one window.
-	slackPart = 0.6
-	// windowPart is the part of its share that a node uses within any window. The rest is
-	// for sends that are counted later than they were allowed; chosen without a run.
-	windowPart = 0.95
+	// slackFraction is the fraction of a node's share that it uses as its decaying
+	// allowance. An allowance that is used up continuously grants twice its size within
+	// one window.
+	slackFraction = 0.6
+	// windowFraction is the fraction of a node's share that it uses within any window.
+	// The rest is for retries that are counted later than they were allowed.
+	windowFraction = 0.95
 )
 
-// share gives a node's part of the budget among so many; 0 for a number that is
-// not known yet, which leaves only what the own requests allow.
-func (b Budget) share(nodes int) (ratio, perSecond float64) {
+// nodeAllowance returns the decaying allowance of one node: retries per request, and
+// further retries per second. nodes is the number of nodes that share the budget. While
+// it is unknown (0), only the node's own requests allow retries.
+func (b Budget) nodeAllowance(nodes int) (ratio, perSecond float64) {
 	if nodes <= 0 {
-		return b.Ratio * slackPart, 0
+		return b.Ratio * slackFraction, 0
 	}
 	window := max(b.Window, retry.BudgetWindow)
-	perSecond = b.Slack * slackPart / float64(nodes) / window.Seconds()
-	return b.Ratio * slackPart, perSecond
+	perSecond = b.Slack * slackFraction / float64(nodes) / window.Seconds()
+	return b.Ratio * slackFraction, perSecond
 }
 
-// bound gives a node's part of what any retry.BudgetWindow may hold: the sends for each
-// request, and those beside that.
-func (b Budget) bound(nodes int) (ratio, slack float64) {
+// nodeWindowLimit returns the limit of one node within any retry.BudgetWindow: retries
+// per request, and further retries.
+func (b Budget) nodeWindowLimit(nodes int) (ratio, slack float64) {
 	if nodes <= 0 {
-		return b.Ratio * windowPart, 0
+		return b.Ratio * windowFraction, 0
 	}
 	window := max(b.Window, retry.BudgetWindow)
-	return b.Ratio * windowPart, b.Slack * windowPart / float64(nodes) * float64(retry.BudgetWindow) / float64(window)
+	return b.Ratio * windowFraction, b.Slack * windowFraction / float64(nodes) * float64(retry.BudgetWindow) / float64(window)
 }
 
-// Metrics counts events and durations by name.
+// Metrics counts events and measures durations by name.
 type Metrics interface {
+	// Add adds n to a counter.
 	Add(name string, n int64)
+	// Took records a duration.
 	Took(name string, d time.Duration)
-	// Timer gives Took for one name, for what is counted often.
+	// Timer returns Took bound to one name, for durations that are recorded often.
 	Timer(name string) func(d time.Duration)
 }
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -18,10 +18,10 @@
 	"mimosaarch.example/decide/retryafter"
 )
 
-// picker holds the decisions that requests share, behind one lock.
+// picker holds the decision state that all requests share, protected by one lock.
 type picker struct {
-	opts     Options
-	culprits *culprits
+	opts    Options
+	crashes *crashTracker
 
 	mu          sync.Mutex
 	nodes       int
@@ -32,12 +32,12 @@
 	budgets     map[ids.Service]*retry.Budget
 }
 
-// newPicker makes a picker for a node that does not know the fleet yet.
-func newPicker(o Options, c *culprits) *picker {
+// newPicker returns a picker for a node that does not know the number of nodes yet.
+func newPicker(o Options, c *crashTracker) *picker {
 	conditions := condition.New()
 	return &picker{
 		opts:        o,
-		culprits:    c,
+		crashes:     c,
 		conditions:  conditions,
 		chains:      chain.New(conditions),
 		retryAfters: retryafter.New(),
@@ -46,7 +46,7 @@
 	}
 }
 
-// setNodes tells how many nodes share upstreams and budget.
+// setNodes sets the number of nodes that share the upstreams and the retry budget.
 func (p *picker) setNodes(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,54 +54,55 @@
 	p.chains.SetFleet(n)
 	p.replicas.SetFleet(n)
 	for _, b := range p.budgets {
-		p.limit(b)
+		p.applyBudget(b)
 	}
 }
 
-// limit gives a budget the node's part of the fleet's.
-func (p *picker) limit(b *retry.Budget) {
-	ratio, perSecond := p.opts.Budget.share(p.nodes)
+// applyBudget sets this node's share of the fleet's limits on a retry budget.
+func (p *picker) applyBudget(b *retry.Budget) {
+	ratio, perSecond := p.opts.Budget.nodeAllowance(p.nodes)
 	b.SetPolicy(fleet.RetryPolicy{BudgetRatio: ratio, BudgetMin: perSecond})
-	b.BoundWindow(p.opts.Budget.bound(p.nodes))
+	b.BoundWindow(p.opts.Budget.nodeWindowLimit(p.nodes))
 }
 
-// budget gives the budget of a service.
+// budget returns the retry budget of a service, and creates it if there is none.
 func (p *picker) budget(service ids.Service) *retry.Budget {
 	b := p.budgets[service]
 	if b == nil {
 		b = retry.NewBudget(fleet.RetryPolicy{})
-		p.limit(b)
+		p.applyBudget(b)
 		p.budgets[service] = b
 	}
 	return b
 }
 
-// first counts the first send of a request.
-func (p *picker) first(service ids.Service) {
+// recordFirstSend counts a new request, which adds to the retry budget.
+func (p *picker) recordFirstSend(service ids.Service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget(service).First(p.opts.Now())
 }
 
-// newPart is the part of the retry budget that requests may use whose answer
-// has not begun. The rest is for streams that would break off midway.
-const newPart = 0.6
+// newRequestBudgetFraction is the fraction of the retry budget available to requests
+// whose response has not started. The rest is reserved for streams that would otherwise
+// break off in the middle.
+const newRequestBudgetFraction = 0.6
 
-// again takes one further send from the budget; begun tells that part of the
-// answer is with the caller.
-func (p *picker) again(service ids.Service, reason outcome.Reason, begun bool) bool {
+// allowRetry takes one retry from the budget of a service and reports whether there was
+// one. begun is true if part of the response was written to the caller.
+func (p *picker) allowRetry(service ids.Service, reason outcome.Reason, begun bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Now()
 	b := p.budget(service)
-	if !begun && !b.AvailableOf(now, newPart) {
+	if !begun && !b.AvailableOf(now, newRequestBudgetFraction) {
 		return false
 	}
 	return b.Allow(now, reason)
 }
 
-// chain chooses the chain of a request and counts it there.
-func (p *picker) chain(m *layered.Model, view *directory.View, r chain.Request) (chain.Chain, error) {
+// chooseChain chooses the chain of a request and counts the request on it.
+func (p *picker) chooseChain(m *layered.Model, view *directory.View, r chain.Request) (chain.Chain, error) {
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +112,7 @@
 		return nil, err
 	}
 	p.retryAfters.Found(began, r.Service)
-	if !p.tiles(c, m.Layers) {
+	if !p.checkTiling(c, m.Layers) {
 		return nil, &chain.TilingError{Chain: c.String(), Layers: m.Layers}
 	}
 	if full := p.chains.Full(began, c); full != nil && !r.Begun {
@@ -121,31 +122,31 @@
 	return c, nil
 }
 
-// retryAfter gives the time after which a caller with so much time left should come back,
-// as no chain was found.
+// retryAfter returns the Retry-After for a caller for which no chain was found. left is
+// the time until the caller's deadline.
 func (p *picker) retryAfter(service ids.Service, left time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.retryAfters.Missing(p.opts.Now(), service, left)
 }
 
-// due gives the slow upstreams whose report should be asked for again.
-func (p *picker) due() []ids.Life {
+// probesDue returns the slow or silent upstreams that are due for another probe.
+func (p *picker) probesDue() []ids.Life {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions.Due(p.opts.Now())
 }
 
-// silentFor tells how long an upstream has not answered.
+// silentFor returns for how long an upstream has not answered.
 func (p *picker) silentFor(u *directory.Upstream) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions.SilentFor(p.opts.Now(), u.ID, u.Zone)
 }
 
-// tiles checks a chain before it leaves. One that does not tile the model is a
-// fault of the choice, so it is logged wherever it is met.
-func (p *picker) tiles(c chain.Chain, layers int) bool {
+// checkTiling reports whether the stages of a chain cover the model's layers exactly
+// once. A chain that does not is a fault of the choice, so it is always logged.
+func (p *picker) checkTiling(c chain.Chain, layers int) bool {
 	err := chain.Check(c, layers)
 	if err != nil {
 		p.opts.Metrics.Add("chain.not_tiling", 1)
@@ -154,63 +155,64 @@
 	return err == nil
 }
 
-// leaveGain is the part of its present chain's expected time that another must
-// stay below for a request to leave a chain that is slow but alive: it has to
-// be read anew there, and draws on the retry budget.
-const leaveGain = 0.5
+// maxSwitchCostRatio bounds the expected time of another chain, as a fraction of that
+// of the present one, for which a request leaves a chain that is slow but alive.
+// Leaving costs a retry, and the new chain has to read the prompt again.
+const maxSwitchCostRatio = 0.5
 
-// worthLeaving reports whether a request that stalls on a chain should go on
-// elsewhere: the retry budget allows it, and a chain without the engines in
-// avoid is there, much better than the present one unless that is dead. A request
-// whose chain is slow but lives leaves the last retries to those that would end.
-func (p *picker) worthLeaving(m *layered.Model, view *directory.View, r chain.Request, now chain.Chain, dead bool) bool {
+// worthSwitching reports whether a request that stalls on a chain should be sent again
+// on another one. There must be a retry left, and a chain without the engines to avoid,
+// which is much cheaper unless the present chain is dead. Requests on a chain that is
+// slow but alive do not use the last retries, which are reserved for streams that would
+// break off.
+func (p *picker) worthSwitching(m *layered.Model, view *directory.View, r chain.Request, present chain.Chain, dead bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.opts.Now()
-	part := newPart
+	now := p.opts.Now()
+	fraction := newRequestBudgetFraction
 	if dead {
-		part = 1
+		fraction = 1
 	}
-	if !p.budget(r.Service).AvailableOf(at, part) {
+	if !p.budget(r.Service).AvailableOf(now, fraction) {
 		return false
 	}
-	other, err := p.chains.Choose(at, m, view, r)
+	other, err := p.chains.Choose(now, m, view, r)
 	if err != nil {
 		return false
 	}
-	return dead || p.chains.Cost(at, m, r, other) < leaveGain*p.chains.Cost(at, m, r, now)
+	return dead || p.chains.Cost(now, m, r, other) < maxSwitchCostRatio*p.chains.Cost(now, m, r, present)
 }
 
-// reroute chooses the stages after the first for a request that stalls on a
-// chain, and counts it there instead; nil if there are none, or none so much
-// better that it is worth the way, the present ones being alive.
-func (p *picker) reroute(m *layered.Model, view *directory.View, r chain.Request, now chain.Chain, dead bool) chain.Chain {
+// reroute chooses new stages after the first for a request that stalls on a chain, and
+// moves the request's count to the new chain. It returns nil if there is no other
+// chain, or if the present one is alive and no other is much cheaper.
+func (p *picker) reroute(m *layered.Model, view *directory.View, r chain.Request, present chain.Chain, dead bool) chain.Chain {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.opts.Now()
-	r.First = &now[0]
-	other, err := p.chains.Choose(at, m, view, r)
-	if err != nil || !p.tiles(other, m.Layers) {
+	now := p.opts.Now()
+	r.First = &present[0]
+	other, err := p.chains.Choose(now, m, view, r)
+	if err != nil || !p.checkTiling(other, m.Layers) {
 		return nil
 	}
-	if !dead && p.chains.Cost(at, m, r, other) >= leaveGain*p.chains.Cost(at, m, r, now) {
+	if !dead && p.chains.Cost(now, m, r, other) >= maxSwitchCostRatio*p.chains.Cost(now, m, r, present) {
 		return nil
 	}
-	p.chains.Ended(at, now, r)
-	p.chains.Began(at, other, r)
+	p.chains.Ended(now, present, r)
+	p.chains.Began(now, other, r)
 	return other
 }
 
-// chainEnded takes a request off its chain.
+// chainEnded removes a request from the counts of its chain.
 func (p *picker) chainEnded(c chain.Chain, r chain.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.chains.Ended(p.opts.Now(), c, r)
 }
 
-// replica chooses the upstream of a plain request and counts it there; nil if
-// none may take it.
-func (p *picker) replica(list []*directory.Upstream, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
+// chooseReplica chooses the upstream of a plain request and counts the request on it.
+// It returns nil if no upstream may take it.
+func (p *picker) chooseReplica(list []*directory.Upstream, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,87 +224,91 @@
 	return u
 }
 
-// replicaEnded takes a request off its upstream.
+// replicaEnded removes a request from the count of its upstream, and records how long
+// it took.
 func (p *picker) replicaEnded(id ids.Life, took time.Duration, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replicas.Ended(p.opts.Now(), id, took, failed)
 }
 
-// failed tells that an upstream did not answer.
-func (p *picker) failed(u *directory.Upstream, reason outcome.Reason) {
+// recordFailure records that an upstream did not answer. It logs and counts a new
+// suspicion of the upstream or of its zone.
+func (p *picker) recordFailure(u *directory.Upstream, reason outcome.Reason) {
 	p.mu.Lock()
 	now := p.opts.Now()
-	news := p.conditions.Failed(now, u.ID)
-	cut := reason == outcome.Unreachable && p.conditions.Unreachable(now, u.ID, u.Zone)
+	suspected := p.conditions.Failed(now, u.ID)
+	zoneSuspected := reason == outcome.Unreachable && p.conditions.Unreachable(now, u.ID, u.Zone)
 	p.mu.Unlock()
-	if cut {
+	if zoneSuspected {
 		p.opts.Metrics.Add("zone.suspected", 1)
 		p.opts.Log.Info().Str("event", "zone_suspected").Str("zone", string(u.Zone)).Send()
 	}
-	if news {
+	if suspected {
 		p.opts.Metrics.Add("upstream.suspected", 1)
 		p.opts.Log.Info().Str("event", "upstream_suspected").Str("upstream", u.ID.String()).
 			Str("address", u.Address).Str("reason", string(reason)).Send()
 	}
 }
 
-// answered tells that an upstream answered.
-func (p *picker) answered(u *directory.Upstream) {
+// recordAnswer records that an upstream answered, which ends a suspicion.
+func (p *picker) recordAnswer(u *directory.Upstream) {
 	p.mu.Lock()
-	news := p.conditions.Answered(u.ID, u.Zone)
+	recovered := p.conditions.Answered(u.ID, u.Zone)
 	p.mu.Unlock()
-	if news {
+	if recovered {
 		p.opts.Log.Info().Str("event", "upstream_back").Str("upstream", u.ID.String()).Str("address", u.Address).Send()
 	}
 }
 
-// reached tells that the node is no longer cut off.
-func (p *picker) reached() {
+// connectivityRestored records that this node is no longer cut off.
+func (p *picker) connectivityRestored() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conditions.Reached()
 }
 
-// paced takes the pace that an upstream reports of itself.
-func (p *picker) paced(u *directory.Upstream, pace float64) {
+// setPace records the pace that an upstream reports.
+func (p *picker) setPace(u *directory.Upstream, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conditions.Paced(p.opts.Now(), u.ID, pace)
 }
 
-// notReached tells that no connection to an upstream could be made: its process
-// is gone or has too many, or its VM or the way there is gone.
-func (p *picker) notReached(u *directory.Upstream, err error) {
+// connectFailed records that no connection to an upstream could be made. A refused
+// connection means that the process has ended or has too many connections. Otherwise
+// the VM or the network path to it has failed.
+func (p *picker) connectFailed(u *directory.Upstream, err error) {
 	var dialed *upconn.DialError
 	if !errors.As(err, &dialed) {
-		p.failed(u, outcome.UpstreamLost)
+		p.recordFailure(u, outcome.UpstreamLost)
 		return
 	}
 	if !dialed.Refused {
-		p.failed(u, outcome.Unreachable)
+		p.recordFailure(u, outcome.Unreachable)
 		return
 	}
-	p.failed(u, outcome.ConnectFailed)
-	p.culprits.died(u)
+	p.recordFailure(u, outcome.ConnectFailed)
+	p.crashes.upstreamDied(u)
 }
 
-// reported takes the number of requests that an engine works on and queues.
-func (p *picker) reported(u *directory.Upstream, requests int) {
+// loadReported records the number of running and queued requests that an engine
+// reports.
+func (p *picker) loadReported(u *directory.Upstream, requests int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.chains.Reported(p.opts.Now(), u.ID, requests)
 }
 
-// full tells that an upstream refused for want of room.
-func (p *picker) full(u *directory.Upstream) {
+// refusedFull records that an upstream refused a request because it is full.
+func (p *picker) refusedFull(u *directory.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conditions.Full(p.opts.Now(), u.ID)
 }
 
-// refused tells that an upstream refused though it has room.
-func (p *picker) refused(u *directory.Upstream) {
+// refusedWithRoom records that an upstream refused a request although it is not full.
+func (p *picker) refusedWithRoom(u *directory.Upstream) {
 	p.mu.Lock()
 	p.conditions.Refused(p.opts.Now(), u.ID)
 	p.mu.Unlock()
@@ -310,7 +316,7 @@
 	p.opts.Log.Info().Str("event", "upstream_refusing").Str("upstream", u.ID.String()).Str("address", u.Address).Send()
 }
 
-// forget drops what is known of an upstream that is gone.
+// forget drops the state of an upstream that has left the directory.
 func (p *picker) forget(id ids.Life) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -12,145 +12,149 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// Bounds of plain requests.
+// Limits of retries and hedging.
 const (
-	// maxRefusals is the most upstreams that may refuse one request before its
-	// caller is told to come back.
+	// maxRefusals is how many upstreams may refuse a request before the caller receives
+	// an error.
 	maxRefusals = 3
-	// maxSends bounds the sends of one request altogether. Going on at the same
-	// upstream is no further run by the route's count, so that count alone would
-	// let a stream that breaks off there at once be sent without end.
+	// maxSends bounds the sends of a request. The route's limit counts upstreams, and
+	// resuming on the same upstream adds none, so that limit alone would allow a stream
+	// that breaks off at once to be sent without end.
 	maxSends = 5
-	// hedgeObjectives is the wait for an idempotent answer, in objectives of
-	// its route, after which another upstream is asked instead.
-	hedgeObjectives = 1.0
-	// leastHedge keeps short objectives from asking twice for usual delays.
-	leastHedge = 60 * time.Millisecond
+	// hedgeDelayObjectives is the wait for the response to an idempotent request, in
+	// multiples of its route's objective, after which the request goes to another
+	// upstream.
+	hedgeDelayObjectives = 1.0
+	// minHedgeDelay prevents a second send for usual delays on routes with a short
+	// objective.
+	minHedgeDelay = 60 * time.Millisecond
 )
 
-// plain serves a request whose answer is passed on in one piece.
-func (x *exchange) plain(ctx context.Context) {
+// servePlain serves a request whose response is passed on in one piece.
+func (x *exchange) servePlain(ctx context.Context) {
 	avoid := make(map[ids.Life]bool)
 	for refusals := 0; ; {
-		u := x.server.picks.replica(x.server.opts.View().Of(x.service), avoid, x.draw())
+		u := x.server.picker.chooseReplica(x.server.opts.View().Of(x.service), avoid, x.draw())
 		if u == nil {
-			x.giveUp(outcome.NoUpstream, "no upstream may take it", noUpstreamAfter)
+			x.giveUp(outcome.NoUpstream, "no usable upstream", noUpstreamRetryAfter)
 			return
 		}
-		answer, body, failed := x.sendPlain(ctx, u, len(avoid) == 0)
+		resp, body, failed := x.sendPlain(ctx, u, len(avoid) == 0)
 		if failed == nil {
-			x.answerPlain(u, answer, body)
+			x.writePlainResponse(u, resp, body)
 			return
 		}
 		avoid[u.ID] = true
-		x.settle(u, failed)
-		if x.ended(ctx) {
+		x.recordPossibleRun(u, failed)
+		if x.contextDone(ctx) {
 			return
 		}
-		x.noteLost(u, failed)
+		x.recordPlainLoss(u, failed)
 		if failed.phase.ProvesNotRun() {
 			if refusals++; refusals >= maxRefusals {
-				x.giveUp(failed.reason, failed.Error(), busyAfter)
+				x.giveUp(failed.reason, failed.Error(), busyRetryAfter)
 				return
 			}
 		}
-		if !x.again(failed) {
+		if !x.retryOrGiveUp(failed) {
 			return
 		}
 	}
 }
 
-// settle notes what a failed attempt leaves open. It comes before anything is
-// said to the caller.
-func (x *exchange) settle(u *directory.Upstream, failed *failure) {
+// recordPossibleRun records the upstream of a failed attempt unless the failure proves
+// that the request did not run. It has to be called before the caller receives a
+// response.
+func (x *exchange) recordPossibleRun(u *directory.Upstream, failed *failure) {
 	if failed.phase.ProvesNotRun() {
 		return
 	}
-	x.noteRun(u.ID)
+	x.recordRun(u.ID)
 }
 
-// noteLost notes what a plain attempt says that ended in mid-run, or met another
-// process at the upstream's address.
-func (x *exchange) noteLost(u *directory.Upstream, failed *failure) {
+// recordPlainLoss records what a failed plain attempt says about its upstream: it may
+// have crashed, or another process has taken over its address.
+func (x *exchange) recordPlainLoss(u *directory.Upstream, failed *failure) {
 	if failed.reason == outcome.UpstreamRefused {
-		x.server.culprits.died(u)
+		x.server.crashes.upstreamDied(u)
 	}
-	if !failed.midRun() {
+	if !failed.lostWhileRunning() {
 		return
 	}
-	x.lost(u.ID)
-	go x.server.confirm(u)
+	x.recordLostRun(u.ID)
+	go x.server.confirmAlive(u)
 }
 
-// again decides whether a failed attempt, before any of the answer was with the caller, is
-// followed by another; if not, it answers the caller. The retry budget is drawn on only by
-// requests that reached an upstream before.
-func (x *exchange) again(failed *failure) bool {
-	if x.over(failed, x.sends) {
+// retryOrGiveUp decides whether a failed attempt is followed by another, as long as the
+// response has not started. If not, it responds to the caller and returns false. Only
+// requests that have reached an upstream use the retry budget.
+func (x *exchange) retryOrGiveUp(failed *failure) bool {
+	if x.giveUpIfFinal(failed, x.sends) {
 		return false
 	}
-	if x.sends > 0 && !x.server.picks.again(x.service, failed.reason, false) {
-		x.giveUp(outcome.RetryBudget, failed.Error(), busyAfter)
+	if x.sends > 0 && !x.server.picker.allowRetry(x.service, failed.reason, false) {
+		x.giveUp(outcome.RetryBudget, failed.Error(), busyRetryAfter)
 		return false
 	}
-	x.retried(failed)
+	x.recordRetry(failed)
 	return true
 }
 
-// over ends a request that no further attempt may follow, whatever the retry budget holds;
-// sends are those that count towards the most. It reports whether it did.
-func (x *exchange) over(failed *failure, sends int) bool {
+// giveUpIfFinal ends a request that must not be sent again whatever the retry budget
+// holds, and reports whether it did. sends is the number of sends that count towards
+// maxSends.
+func (x *exchange) giveUpIfFinal(failed *failure, sends int) bool {
 	switch {
 	case x.quarantined():
-		x.giveUp(outcome.Quarantined, quarantineDetail, quarantineAfter)
+		x.giveUp(outcome.Quarantined, quarantineDetail, quarantineRetryAfter)
 		return true
 	case sends >= maxSends || !x.mayRunAgain():
-		x.giveUp(failed.reason, failed.Error(), busyAfter)
+		x.giveUp(failed.reason, failed.Error(), busyRetryAfter)
 		return true
 	}
 	return false
 }
 
-// retried notes that another attempt follows a failed one.
-func (x *exchange) retried(failed *failure) {
+// recordRetry counts and logs that another attempt follows a failed one.
+func (x *exchange) recordRetry(failed *failure) {
 	x.count("retry." + string(failed.reason))
 	x.log("retry").Str("reason", string(failed.reason)).Str("phase", failed.phase.String()).
 		Str("detail", failed.Error()).Int("sends", x.sends).Send()
 }
 
-// sendPlain sends the request to one upstream and reads the whole answer.
+// sendPlain sends the request to one upstream and reads the complete response.
 func (x *exchange) sendPlain(ctx context.Context, u *directory.Upstream, first bool) (*upconn.Answer, []byte, *failure) {
 	start := x.server.opts.Now()
 	x.log("sent").Str("upstream", u.ID.String()).Str("address", u.Address).Str("route", x.route.Name).
 		Int64("directory", x.server.opts.View().Revision).Send()
 	priority := func(out []byte) []byte {
-		return appendHeader(out, x.server.opts.Headers.Priority, strconv.Itoa(level(x.route.PriorityOf(x.account))))
+		return appendHeader(out, x.server.opts.Headers.Priority, strconv.Itoa(priorityLevel(x.route.PriorityOf(x.account))))
 	}
-	answer, body, failed := x.exchangePlain(ctx, u, x.compose(u, priority), x.patience(first))
+	resp, body, failed := x.roundTripPlain(ctx, u, x.composeHead(u, priority), x.plainWatch(first))
 	took := x.server.opts.Now().Sub(start)
 	switch {
 	case ctx.Err() != nil:
-		x.server.picks.replicaEnded(u.ID, 0, false)
+		x.server.picker.replicaEnded(u.ID, 0, false)
 	case failed != nil:
-		x.server.picks.replicaEnded(u.ID, took, true)
+		x.server.picker.replicaEnded(u.ID, took, true)
 	default:
-		x.server.picks.replicaEnded(u.ID, took, answer.Head.StatusCode() >= serverError)
-		x.server.picks.answered(u)
+		x.server.picker.replicaEnded(u.ID, took, resp.Head.StatusCode() >= statusServerError)
+		x.server.picker.recordAnswer(u)
 		x.server.opts.Metrics.Took("upstream.plain", took)
 	}
-	return answer, body, failed
+	return resp, body, failed
 }
 
-// serverError is the least status of an upstream's own failure.
-const serverError = 500
+// statusServerError is the lowest status that reports a failure of the upstream itself.
+const statusServerError = 500
 
-// patience gives the wait for an answer. An idempotent request does not wait
-// long for its first upstream.
-func (x *exchange) patience(first bool) upconn.Watch {
-	// The request's own end comes first, with the answer for it.
-	wait := x.limit.Sub(x.server.opts.Now()) + time.Second
+// plainWatch returns the timeout of one plain attempt. The first attempt of an
+// idempotent request that has another one left is hedged: it ends early.
+func (x *exchange) plainWatch(first bool) upconn.Watch {
+	// The request's own deadline has to end first, as it determines the response.
+	wait := x.deadline.Sub(x.server.opts.Now()) + time.Second
 	if first && x.route.Kind == routing.Idempotent && x.route.Attempts() > 1 {
-		hedge := max(time.Duration(float64(x.route.Objective)*hedgeObjectives), leastHedge)
+		hedge := max(time.Duration(float64(x.route.Objective)*hedgeDelayObjectives), minHedgeDelay)
 		wait = min(wait, hedge)
 	}
 	return func(waited time.Duration) (time.Duration, error) {
@@ -161,37 +165,38 @@
 	}
 }
 
-// exchangePlain does one send and reads the whole answer.
-func (x *exchange) exchangePlain(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.Watch) (*upconn.Answer, []byte, *failure) {
+// roundTripPlain makes one attempt and reads the complete response. A server error
+// counts as a failure if the request may be sent again.
+func (x *exchange) roundTripPlain(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.Watch) (*upconn.Answer, []byte, *failure) {
 	a, failed := x.begin(ctx, u, head, watch)
 	if failed != nil {
 		return nil, nil, failed
 	}
-	if failed := a.head(); failed != nil {
+	if failed := a.readHead(); failed != nil {
 		return nil, nil, failed
 	}
-	body, err := a.answer.Body()
+	body, err := a.resp.Body()
 	if err != nil {
-		return nil, nil, a.lost(err)
+		return nil, nil, a.readFailed(err)
 	}
-	if a.answer.Head.StatusCode() >= serverError && x.route.Kind == routing.Idempotent && x.sends < x.route.Attempts() {
-		a.keep()
-		return nil, nil, &failure{phase: outcome.Started, reason: outcome.UpstreamInvalid, cause: &StatusError{a.answer.Head.StatusCode()}}
+	if a.resp.Head.StatusCode() >= statusServerError && x.route.Kind == routing.Idempotent && x.sends < x.route.Attempts() {
+		a.release()
+		return nil, nil, &failure{phase: outcome.Started, reason: outcome.UpstreamInvalid, cause: &StatusError{a.resp.Head.StatusCode()}}
 	}
-	a.keep()
-	return a.answer, body, nil
+	a.release()
+	return a.resp, body, nil
 }
 
-// answerPlain passes an upstream's answer on.
-func (x *exchange) answerPlain(u *directory.Upstream, answer *upconn.Answer, body []byte) {
-	c := x.client
-	c.copyHead(&answer.Head)
+// writePlainResponse writes an upstream's response to the caller.
+func (x *exchange) writePlainResponse(u *directory.Upstream, resp *upconn.Answer, body []byte) {
+	c := x.caller
+	c.copyHead(&resp.Head)
 	c.addHeader("Content-Length", strconv.Itoa(len(body)))
 	c.endHead()
 	c.out = append(c.out, body...)
 	if err := c.write(c.out); err != nil {
-		x.gone()
+		x.callerGone()
 		return
 	}
-	x.done(answer.Head.StatusCode(), u)
+	x.recordAnswered(resp.Head.StatusCode(), u)
 }
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -13,61 +13,63 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// Bounds of probes.
+// Timeouts and cache times of probes.
 const (
-	// probeTimeout is the longest wait for an engine's report. Engines give it
-	// without a slot, within some ms; the rest is for a busy node.
+	// probeTimeout bounds the wait for an engine's report. An engine reports within a few
+	// milliseconds, without using a slot. The rest is for delays on a busy node.
 	probeTimeout = 30 * time.Millisecond
-	// probeSlack is by how much a probe may end late and still count.
-	probeSlack = 25 * time.Millisecond
-	// probeFresh is how long a probe's outcome answers for the next: a stage
-	// that dies stalls many streams at once, and one probe tells all of them.
-	probeFresh = 250 * time.Millisecond
-	// wideFresh is the same for stages that no first stage names. They are asked
-	// for their pace, which lasts seconds, and a chain has a dozen stages and more.
-	wideFresh = time.Second
+	// probeOverrunTolerance is how far beyond its timeout a failed probe may end and
+	// still count against the engine.
+	probeOverrunTolerance = 25 * time.Millisecond
+	// probeTTL is how long the result of a probe is reused. A dead stage stalls many
+	// streams at once, and one probe is enough for all of them.
+	probeTTL = 250 * time.Millisecond
+	// chainProbeTTL is how long a result is reused when all stages of a chain are probed.
+	// Their pace changes only over seconds, and a chain can have a dozen stages or more.
+	chainProbeTTL = time.Second
 )
 
-// prober asks the engines of chains that stalled.
+// prober probes the engines of stalled chains.
 type prober struct {
-	opts  Options
-	picks *picker
+	opts   Options
+	picker *picker
 
 	mu     sync.Mutex
 	latest map[ids.Life]*probe
 }
 
-// probe is one question to an engine.
+// probe is one request for an engine's report.
 type probe struct {
 	at   time.Time
 	done chan struct{}
-	// dead, pace and full are set once done is closed.
+	// dead, pace, full and stalled are valid once done is closed.
 	dead    bool
 	pace    float64
 	full    bool
 	stalled map[ids.Request]string
 }
 
-// newProber makes a prober.
-func newProber(o Options, picks *picker) *prober {
-	return &prober{opts: o, picks: picks, latest: make(map[ids.Life]*probe)}
+// newProber returns a prober without results.
+func newProber(o Options, picker *picker) *prober {
+	return &prober{opts: o, picker: picker, latest: make(map[ids.Life]*probe)}
 }
 
-// refresh asks slow and silent engines again, so that requests need not be sent
-// there to find out that they are still so.
+// refresh probes slow and silent engines that are due, so that no request has to be
+// sent there to find out whether they have recovered.
 func (p *prober) refresh(ctx context.Context, view *directory.View) {
-	for _, id := range p.picks.due() {
+	for _, id := range p.picker.probesDue() {
 		if u := view.Get(id); u != nil {
-			p.one(ctx, u, probeFresh)
+			p.latestProbe(ctx, u, probeTTL)
 		}
 	}
 }
 
-// ask finds out why a request makes no progress on a chain: by the first stage,
-// which names the stage that does not answer it, or else by all. dead are those
-// that did not answer, slow those whose reported pace counts as stalled.
-func (p *prober) ask(ctx context.Context, request string, c chain.Chain) (dead, slow []*directory.Upstream) {
-	first := p.one(ctx, c[0].Engine, probeFresh)
+// diagnoseStall finds out why a request makes no progress on a chain. It probes the
+// first stage, whose report names the stage that does not answer it. If the report
+// names none, it probes all stages. dead are the engines that did not answer, slow
+// those whose reported pace is at least condition.SlowPace.
+func (p *prober) diagnoseStall(ctx context.Context, request string, c chain.Chain) (dead, slow []*directory.Upstream) {
+	first := p.latestProbe(ctx, c[0].Engine, probeTTL)
 	<-first.done
 	if first.dead {
 		return []*directory.Upstream{c[0].Engine}, nil
@@ -75,20 +77,20 @@
 	if address := first.stalled[ids.Request(request)]; address != "" {
 		for _, h := range c {
 			if h.Engine.Address == address {
-				// Whether it answers here or not, it does not answer there.
-				p.one(ctx, h.Engine, probeFresh)
+				// The engine does not answer the first stage, even if it answers this node.
+				p.latestProbe(ctx, h.Engine, probeTTL)
 				return []*directory.Upstream{h.Engine}, nil
 			}
 		}
 	}
-	return p.wide(ctx, c)
+	return p.probeChain(ctx, c)
 }
 
-// wide probes all engines of a chain that were not probed lately.
-func (p *prober) wide(ctx context.Context, c chain.Chain) (dead, slow []*directory.Upstream) {
+// probeChain probes all engines of a chain that were not probed within chainProbeTTL.
+func (p *prober) probeChain(ctx context.Context, c chain.Chain) (dead, slow []*directory.Upstream) {
 	probes := make([]*probe, len(c))
 	for i, h := range c {
-		probes[i] = p.one(ctx, h.Engine, wideFresh)
+		probes[i] = p.latestProbe(ctx, h.Engine, chainProbeTTL)
 	}
 	for i, h := range c {
 		<-probes[i].done
@@ -102,75 +104,77 @@
 	return dead, slow
 }
 
-// judge finds out why an engine is at fault for a refusal. One that answers is
-// full, or no longer holds what the directory says; one that is another than
-// expected may have started again, which its report tells.
-func (p *prober) judge(ctx context.Context, u *directory.Upstream, reason outcome.Reason) {
+// diagnoseRefusal finds out why an engine refused a request. If it was busy and answers
+// a probe, it is full or no longer holds the layers that the directory lists. If it is
+// not the expected process, it may have restarted, which its report shows.
+func (p *prober) diagnoseRefusal(ctx context.Context, u *directory.Upstream, reason outcome.Reason) {
 	if reason != outcome.UpstreamBusy {
-		p.picks.refused(u)
-		p.one(ctx, u, probeFresh)
+		p.picker.refusedWithRoom(u)
+		p.latestProbe(ctx, u, probeTTL)
 		return
 	}
-	probe := p.one(ctx, u, probeFresh)
+	probe := p.latestProbe(ctx, u, probeTTL)
 	<-probe.done
 	switch {
 	case probe.dead:
 	case probe.full:
-		p.picks.full(u)
+		p.picker.refusedFull(u)
 	default:
-		p.picks.refused(u)
+		p.picker.refusedWithRoom(u)
 	}
 }
 
-// fullPart is the part of its KV cache from which on an engine counts as full.
-// Reports are some hundred ms old, and a request needs room on top.
-const fullPart = 0.8
+// fullKVFraction is the fraction of its KV cache above which an engine counts as full.
+// Reports are some hundred milliseconds old, and a new request needs room as well.
+const fullKVFraction = 0.8
 
-// isFull reports whether an engine has no room for a request.
+// isFull reports whether an engine has no room for another request.
 func isFull(r layered.Report) bool {
-	return r.Queued > 0 || r.KVTotal <= 0 || r.KVUsed >= fullPart*r.KVTotal
+	return r.Queued > 0 || r.KVTotal <= 0 || r.KVUsed >= fullKVFraction*r.KVTotal
 }
 
-// one gives the latest probe of an engine, begun now if there is none so fresh.
-func (p *prober) one(ctx context.Context, u *directory.Upstream, within time.Duration) *probe {
+// latestProbe returns the latest probe of an engine. It starts a new one if the latest
+// is older than maxAge.
+func (p *prober) latestProbe(ctx context.Context, u *directory.Upstream, maxAge time.Duration) *probe {
 	now := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if latest := p.latest[u.ID]; latest != nil && now.Sub(latest.at) < within {
+	if latest := p.latest[u.ID]; latest != nil && now.Sub(latest.at) < maxAge {
 		return latest
 	}
 	fresh := &probe{at: now, done: make(chan struct{})}
 	p.latest[u.ID] = fresh
-	// The probe is for all that wait for it, whoever asked first.
+	// The probe serves all that wait for it, so it outlives the request that started it.
 	go p.run(context.WithoutCancel(ctx), u, fresh)
 	return fresh
 }
 
-// run asks one engine and notes what it says.
+// run probes one engine and records the result.
 func (p *prober) run(ctx context.Context, u *directory.Upstream, out *probe) {
 	defer close(out.done)
-	limit, done := context.WithTimeout(ctx, probeTimeout)
-	defer done()
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+	defer cancel()
 	p.opts.Metrics.Add("upstream.probes", 1)
-	report, err := p.opts.Engines.Probe(limit, u)
+	report, err := p.opts.Engines.Probe(probeCtx, u)
 	if now := report.Life(u.ID); err == nil && now != u.ID {
 		err = &directory.RestartedError{Known: u.ID, Now: now}
 		p.opts.OnRestart(now)
 	}
-	if err != nil && p.opts.Now().Sub(out.at) > probeTimeout+probeSlack {
-		// The node itself stood still; that says nothing about the engine.
+	if err != nil && p.opts.Now().Sub(out.at) > probeTimeout+probeOverrunTolerance {
+		// The node itself was suspended or delayed, so the failure says nothing about the
+		// engine.
 		return
 	}
 	if err != nil {
 		out.dead = true
-		p.picks.notReached(u, err)
+		p.picker.connectFailed(u, err)
 		return
 	}
 	out.pace = report.Pace
 	out.full = isFull(report)
 	out.stalled = report.Stalled
-	p.picks.answered(u)
-	p.picks.paced(u, report.Pace)
+	p.picker.recordAnswer(u)
+	p.picker.setPace(u, report.Pace)
 	if report.Pace >= condition.SlowPace {
 		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Pace).Send()
 	}
--- a/adapter/forward/server.go
+++ b/adapter/forward/server.go
@@ -15,41 +15,42 @@
 	"mimosaarch.example/decide/quarantine"
 )
 
-// Server takes callers' connections. Any goroutine may call its methods.
+// Server serves callers' connections. Its methods are safe for concurrent use.
 type Server struct {
-	opts     Options
-	pool     *upconn.Pool
-	picks    *picker
-	culprits *culprits
-	probe    *prober
-	// pauses takes the pause before each event of a stream.
-	pauses func(time.Duration)
-
-	// stopping: answers end their connections. closing: idle ones are closed.
-	stopping, closing atomic.Bool
-
-	mu      sync.Mutex
-	clients map[*client]struct{}
-	rand    *rand.Rand
-	// active counts requests under way.
+	opts    Options
+	pool    *upconn.Pool
+	picker  *picker
+	crashes *crashTracker
+	prober  *prober
+	// observePause records the pause before an event of a stream.
+	observePause func(time.Duration)
+
+	// noKeepAlives makes each response the last of its connection. closing also closes
+	// idle connections.
+	noKeepAlives, closing atomic.Bool
+
+	mu    sync.Mutex
+	conns map[*callerConn]struct{}
+	rand  *rand.Rand
+	// active counts requests being served.
 	active atomic.Int64
 }
 
-// New makes a Server.
+// New returns a Server.
 func New(o Options) *Server {
-	s := &Server{opts: o, clients: make(map[*client]struct{}), rand: rand.New(rand.NewPCG(o.Seed, seedStream))}
+	s := &Server{opts: o, conns: make(map[*callerConn]struct{}), rand: rand.New(rand.NewPCG(o.Seed, seedStream))}
 	s.pool = upconn.NewPool(boottime.Now, func(upconn.Target) { o.Metrics.Add("upstream.connections", 1) })
-	s.pauses = o.Metrics.Timer("stream.pause")
-	s.culprits = newCulprits(o)
-	s.picks = newPicker(o, s.culprits)
-	s.probe = newProber(o, s.picks)
+	s.observePause = o.Metrics.Timer("stream.pause")
+	s.crashes = newCrashTracker(o)
+	s.picker = newPicker(o, s.crashes)
+	s.prober = newProber(o, s.picker)
 	return s
 }
 
-// seedStream is the second half of the random source's seed.
+// seedStream is the second word of the random generator's seed.
 const seedStream = 0x666f7277617264
 
-// Serve takes connections until l is closed, then gives nil.
+// Serve accepts connections until l is closed, then returns nil.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -58,50 +59,50 @@
 		}
 		if err != nil {
 			s.opts.Log.Warn().Str("event", "accept_failed").Err(err).Send()
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.begin(ctx, conn)
+		s.serveConn(ctx, conn)
 	}
 }
 
-// acceptPause is waited after a failed accept, which is mostly for want of
-// descriptors.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept, which is usually due to a lack of
+// file descriptors.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// begin serves one connection in a goroutine of its own.
-func (s *Server) begin(ctx context.Context, conn net.Conn) {
-	c := &client{server: s, conn: conn}
+// serveConn serves one connection in its own goroutine.
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
+	c := &callerConn{server: s, conn: conn}
 	c.idle.Store(true)
 	s.mu.Lock()
-	s.clients[c] = struct{}{}
+	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	go func() {
 		defer func() {
-			// The caller learns of the end either way.
+			// The connection ends whether or not the close fails.
 			_ = conn.Close()
 			s.mu.Lock()
-			delete(s.clients, c)
+			delete(s.conns, c)
 			s.mu.Unlock()
 		}()
 		c.serve(ctx)
 	}()
 }
 
-// DisableKeepAlives makes every answer from now on the last of its connection.
-func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
+// DisableKeepAlives closes each connection after its current or next response.
+func (s *Server) DisableKeepAlives() { s.noKeepAlives.Store(true) }
 
-// Drain closes idle connections and waits until the others are answered, or
-// until ctx ends. It reports whether all were.
+// Drain closes idle connections and waits until the others have ended or ctx is done.
+// It reports whether all connections have ended.
 func (s *Server) Drain(ctx context.Context) bool {
-	s.stopping.Store(true)
+	s.noKeepAlives.Store(true)
 	s.closing.Store(true)
 	s.mu.Lock()
-	for c := range s.clients {
-		c.kick()
+	for c := range s.conns {
+		c.interruptIdle()
 	}
 	s.mu.Unlock()
-	ticker := time.NewTicker(drainTick)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		if s.connections() == 0 {
@@ -115,59 +116,61 @@
 	}
 }
 
-// drainTick is the time between two looks at the connections still open.
-const drainTick = 20 * time.Millisecond
+// drainPollInterval is the interval at which Drain checks for open connections.
+const drainPollInterval = 20 * time.Millisecond
 
-// connections counts the open connections.
+// connections returns the number of open connections.
 func (s *Server) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.clients)
+	return len(s.conns)
 }
 
-// Active gives the number of requests under way.
+// Active returns the number of requests being served.
 func (s *Server) Active() int64 { return s.active.Load() }
 
-// SetNodes tells how many nodes share upstreams and the retry budget.
-func (s *Server) SetNodes(n int) { s.picks.setNodes(n) }
+// SetNodes sets the number of nodes that share the upstreams and the retry budget.
+func (s *Server) SetNodes(n int) { s.picker.setNodes(n) }
 
-// UpstreamRemoved tells that an upstream has left the directory.
+// UpstreamRemoved drops the state of an upstream that has left the directory. Unless it
+// was leaving, it counts as crashed.
 func (s *Server) UpstreamRemoved(u *directory.Upstream) {
 	s.pool.Forget(u.ID)
-	s.picks.forget(u.ID)
+	s.picker.forget(u.ID)
 	if !u.Leaving {
-		s.culprits.died(u)
+		s.crashes.upstreamDied(u)
 	}
 }
 
-// StoreReconnected tells that the node, which was cut off from the store, hears of it
-// again: zones that were out of reach are tried at once.
-func (s *Server) StoreReconnected() { s.picks.reached() }
+// StoreReconnected tells the server that the node, which was cut off from the store,
+// reaches it again. Zones that count as unreachable are tried again at once.
+func (s *Server) StoreReconnected() { s.picker.connectivityRestored() }
 
-// SilentFor tells how long an upstream has not answered this node though others
-// of its zone do, 0 where it does or that is not known.
-func (s *Server) SilentFor(u *directory.Upstream) time.Duration { return s.picks.silentFor(u) }
+// SilentFor returns for how long an upstream has not answered this node, although
+// others of its zone do. It is 0 if the upstream answers, or if that is not known.
+func (s *Server) SilentFor(u *directory.Upstream) time.Duration { return s.picker.silentFor(u) }
 
-// AddVerdict takes a peer's verdict on requests that crash upstreams.
-func (s *Server) AddVerdict(v quarantine.Verdict) { s.culprits.told(v) }
+// AddVerdict applies a peer's verdict on requests that crash upstreams.
+func (s *Server) AddVerdict(v quarantine.Verdict) { s.crashes.addPeerVerdict(v) }
 
-// confirm connects to an upstream that broke a connection off: one that has
-// crashed refuses.
-func (s *Server) confirm(u *directory.Upstream) {
-	limit, done := context.WithTimeout(context.Background(), confirmTimeout)
-	defer done()
-	conn, err := s.pool.Dial(limit, target(u))
+// confirmAlive connects to an upstream that broke off a connection. If the process has
+// crashed, its host refuses the connection.
+func (s *Server) confirmAlive(u *directory.Upstream) {
+	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
+	defer cancel()
+	conn, err := s.pool.Dial(ctx, target(u))
 	if err != nil {
-		s.picks.notReached(u, err)
+		s.picker.connectFailed(u, err)
 		return
 	}
 	s.pool.Put(conn, 0)
 }
 
-// confirmTimeout bounds that connection. A refusal comes within a round trip.
+// confirmTimeout bounds the connection attempt of confirmAlive. A refusal arrives within one round
+// trip.
 const confirmTimeout = 300 * time.Millisecond
 
-// draw gives a random number from 0 up to 1.
+// draw returns a random number in [0, 1), and the 64 random bits it is made of.
 func (s *Server) draw() (float64, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +178,7 @@
 	return float64(u>>11) / (1 << 53), u
 }
 
-// target names an upstream for the pool.
+// target returns an upstream's key in the connection pool.
 func target(u *directory.Upstream) upconn.Target {
 	return upconn.Target{ID: u.ID, Address: u.Address}
 }
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -13,139 +13,147 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// Waits of streams, after which the engines of the chain are asked whether they
-// live. They are parts of the route's own objectives, so that a chain is left
-// before its caller notices.
+// Timeouts after which the engines of a stalled chain are probed. They are fractions of
+// the route's objectives, so that a request can leave a chain before its caller
+// notices.
 const (
-	// firstPart of the objective is waited for the first event.
-	firstPart = 0.4
-	// pausePart of the longest pause is waited for the next: pauses of calm chains
-	// are shorter, and a question still comes before the caller notices.
-	pausePart = 0.5
-	// gapFactor times a stream's own mean pause is waited where that is less.
-	gapFactor = 3.0
-	// slowFactor times it is waited at least, so that a stream which is slow
-	// throughout does not ask at each pause.
-	slowFactor = 1.5
-	// firstGapParts of the longest pause is the mean before a pause was seen:
-	// fast chains take a sixth to a fourth of 200 ms.
-	firstGapParts = 4
-	// gapWeight is the weight of a new pause in that mean.
-	gapWeight = 0.2
-	// leastWait keeps short objectives from asking for usual pauses.
-	leastWait = 60 * time.Millisecond
-	// patienceFactor of these waits ends an attempt even if all engines live:
-	// the connection itself may have gone silent.
-	patienceFactor = 12
-	// defaultObjective and defaultPause stand for objectives that are not set.
-	defaultObjective = time.Second
-	defaultPause     = 500 * time.Millisecond
-	// rerouteTimeout bounds the order that leads a request around an engine.
+	// firstEventFraction is the timeout for the first event, as a fraction of its
+	// objective.
+	firstEventFraction = 0.4
+	// pauseFraction bounds the timeout for later events, as a fraction of the pause
+	// objective. Pauses of healthy chains are shorter, and a probe still ends before the
+	// caller notices.
+	pauseFraction = 0.5
+	// meanGapFactor is the timeout for later events below that bound, in multiples of the
+	// stream's mean pause.
+	meanGapFactor = 3.0
+	// minMeanGapFactor is the least timeout for later events, in multiples of the mean
+	// pause, so that a stream which is slow throughout is not probed at each pause.
+	minMeanGapFactor = 1.5
+	// initialGapDivisor divides the pause objective to give the initial mean pause. The
+	// pauses of fast chains are a sixth to a quarter of a 200 ms objective.
+	initialGapDivisor = 4
+	// gapSmoothing is the weight of a new pause in the moving average.
+	gapSmoothing = 0.2
+	// minStallTimeout prevents probes for usual pauses on routes with short objectives.
+	minStallTimeout = 60 * time.Millisecond
+	// silenceFactor is the wait after which an attempt ends even if all engines are alive,
+	// in multiples of the timeout. The connection itself may be dead.
+	silenceFactor = 12
+	// defaultObjective and defaultPauseObjective replace objectives that are not set.
+	defaultObjective      = time.Second
+	defaultPauseObjective = 500 * time.Millisecond
+	// rerouteTimeout bounds the call that reroutes a request.
 	rerouteTimeout = 100 * time.Millisecond
-	// rerouteTries is how many chains are tried for one stall.
-	rerouteTries = 2
-	// rerouteRest is how long a request stays on the chain it was led to
-	// before it is led elsewhere: the new stages read all its tokens first.
-	rerouteRest = 400 * time.Millisecond
+	// maxRerouteAttempts is how many chains are tried per stall.
+	maxRerouteAttempts = 2
+	// rerouteCooldown is how long a request stays on a chain after a reroute. The new
+	// stages first have to read all its tokens.
+	rerouteCooldown = 400 * time.Millisecond
 )
 
-// streamWait decides how long a stream waits for its next bytes, and what is
-// done when they do not come.
-type streamWait struct {
+// stallWatch sets how long an attempt waits for the next bytes of a stream, and reacts
+// to stalls.
+type stallWatch struct {
 	s     *stream
 	ctx   context.Context
 	chain chain.Chain
-	// off tells that the request was taken off its chain.
-	off   bool
-	begun bool
-	// restUntil is until when the chain is left alone.
-	restUntil time.Time
-	// reroutes is how often the chain was changed since the last event.
+	// released is true once the request was removed from the counts of its chain.
+	released bool
+	// started is true once the response has started.
+	started bool
+	// cooldownUntil is the time before which stalls are not acted upon.
+	cooldownUntil time.Time
+	// reroutes is the number of reroutes since the last event.
 	reroutes int
-	// ran tells that an event came through the present chain: its engines have
-	// begun to run the request and live.
-	ran bool
-	// found is what the stages said when they were asked since the last event.
-	found lateness
+	// eventSeen is true once an event has come through the present chain, which proves
+	// that its engines run the request and are alive.
+	eventSeen bool
+	// probeResult is the result of the latest probe since the last event, empty if there
+	// was none.
+	probeResult lateCause
 }
 
-// progress tells that an event came.
-func (w *streamWait) progress() {
+// progress records the arrival of an event, and logs and counts a pause that exceeds
+// the route's objective.
+func (w *stallWatch) progress() {
 	x := w.s.x
 	now := x.server.opts.Now()
-	pause := now.Sub(w.s.last)
-	if !w.begun && x.route.Objective > 0 && now.Sub(x.arrived) > x.route.Objective {
-		x.lateFor(w.why(true))
+	pause := now.Sub(w.s.lastEvent)
+	if !w.started && x.route.Objective > 0 && now.Sub(x.arrived) > x.route.Objective {
+		x.markLate(w.delayCause(true))
 	}
-	if w.begun && x.route.PauseObjective > 0 && pause > x.route.PauseObjective {
-		why := w.why(!w.ran && w.reroutes == 0)
-		x.lateFor(why)
+	if w.started && x.route.PauseObjective > 0 && pause > x.route.PauseObjective {
+		cause := w.delayCause(!w.eventSeen && w.reroutes == 0)
+		x.markLate(cause)
 		x.count("stream.long_pause")
-		x.log("long_pause").Str("why", string(why)).Dur("pause_ms", pause).Int("reroutes", w.reroutes).Int("sends", x.sends).
+		x.log("long_pause").Str("why", string(cause)).Dur("pause_ms", pause).Int("reroutes", w.reroutes).Int("sends", x.sends).
 			Str("chain", w.chain.String()).Int64("after_event", w.s.seq.last).Send()
 	}
-	if w.begun {
-		x.server.pauses(pause)
-		w.s.gap += time.Duration(gapWeight * float64(pause-w.s.gap))
+	if w.started {
+		x.server.observePause(pause)
+		w.s.meanGap += time.Duration(gapSmoothing * float64(pause-w.s.meanGap))
 	}
-	w.begun, w.ran = true, true
-	w.s.last = now
-	w.reroutes, w.found = 0, ""
+	w.started, w.eventSeen = true, true
+	w.s.lastEvent = now
+	w.reroutes, w.probeResult = 0, ""
 }
 
-// patience gives the usual wait.
-func (w *streamWait) patience() time.Duration {
+// stallTimeout returns how long to wait for the next event before the engines are
+// probed.
+func (w *stallWatch) stallTimeout() time.Duration {
 	route := w.s.x.route
-	if !w.begun {
+	if !w.started {
 		objective := route.Objective
 		if objective <= 0 {
 			objective = defaultObjective
 		}
-		return max(time.Duration(float64(objective)*firstPart), leastWait)
+		return max(time.Duration(float64(objective)*firstEventFraction), minStallTimeout)
 	}
 	pause := route.PauseObjective
 	if pause <= 0 {
-		pause = defaultPause
+		pause = defaultPauseObjective
 	}
-	most := time.Duration(float64(pause) * pausePart)
-	usual := min(max(time.Duration(float64(w.s.gap)*gapFactor), leastWait), most)
-	return max(usual, time.Duration(float64(w.s.gap)*slowFactor))
+	limit := time.Duration(float64(pause) * pauseFraction)
+	timeout := min(max(time.Duration(float64(w.s.meanGap)*meanGapFactor), minStallTimeout), limit)
+	return max(timeout, time.Duration(float64(w.s.meanGap)*minMeanGapFactor))
 }
 
-// wait is the upconn.Watch of a stream: once the usual wait is over, the
-// engines of the chain are asked. If one is dead, or much slower than another
-// that holds its layers, the request is led around it, or else the attempt
-// ends, if the request may go on elsewhere.
-func (w *streamWait) wait(waited time.Duration) (time.Duration, error) {
-	patience := w.patience()
+// wait is the upconn.Watch of a stream. When the stall timeout has passed, it probes
+// the engines of the chain. If one of them is dead or slow, it tries to reroute the
+// request. If that fails and the request may be sent again, it ends the attempt with an
+// *upconn.SilentError.
+func (w *stallWatch) wait(waited time.Duration) (time.Duration, error) {
+	timeout := w.stallTimeout()
 	x := w.s.x
-	if waited == 0 || w.s.model == nil || x.server.opts.Now().Before(w.restUntil) {
-		return patience, nil
+	if waited == 0 || w.s.model == nil || x.server.opts.Now().Before(w.cooldownUntil) {
+		return timeout, nil
 	}
-	dead, slow := x.server.probe.ask(w.ctx, x.id, w.chain)
-	w.found = answered(dead, slow)
-	silent := waited >= patienceFactor*patience
+	dead, slow := x.server.prober.diagnoseStall(w.ctx, x.id, w.chain)
+	w.probeResult = classifyProbes(dead, slow)
+	silent := waited >= silenceFactor*timeout
 	if len(dead)+len(slow) == 0 && !silent {
-		return patience, nil
+		return timeout, nil
 	}
 	if len(dead) > 0 && x.quarantined() {
 		return 0, &upconn.SilentError{For: waited}
 	}
-	bad := slices.Concat(dead, slow)
-	if w.reroute(bad, len(dead) > 0) {
-		return patience, nil
+	faulty := slices.Concat(dead, slow)
+	if w.reroute(faulty, len(dead) > 0) {
+		return timeout, nil
 	}
-	if !w.mayLeave(bad, silent || len(dead) > 0) {
-		return patience, nil
+	if !w.shouldSwitch(faulty, silent || len(dead) > 0) {
+		return timeout, nil
 	}
-	for _, u := range bad {
+	for _, u := range faulty {
 		w.s.req.Avoid[u.ID] = true
 	}
 	return 0, &upconn.SilentError{For: waited}
 }
 
-// answered tells what stages said that were asked.
-func answered(dead, slow []*directory.Upstream) lateness {
+// classifyProbes returns the cause of a delay, given the engines that did not answer
+// and those that are slow.
+func classifyProbes(dead, slow []*directory.Upstream) lateCause {
 	switch {
 	case len(dead) > 0:
 		return lateDead
@@ -155,43 +163,45 @@
 	return lateBusy
 }
 
-// without gives the request with engines to avoid.
-func (w *streamWait) without(bad []*directory.Upstream) chain.Request {
+// requestAvoiding returns a copy of the chain request that also avoids the given
+// engines.
+func (w *stallWatch) requestAvoiding(faulty []*directory.Upstream) chain.Request {
 	req := w.s.req
 	req.Avoid = maps.Clone(req.Avoid)
-	for _, u := range bad {
+	for _, u := range faulty {
 		req.Avoid[u.ID] = true
 	}
 	return req
 }
 
-// reroute leads the request around bad stages, with its first stage and what
-// the others have read kept. It draws on no retry budget, as nothing is sent
-// again.
-func (w *streamWait) reroute(bad []*directory.Upstream, dead bool) bool {
-	if len(bad) == 0 || slices.Contains(bad, w.chain[0].Engine) {
+// reroute moves the request to a chain without the given engines. The first stage
+// stays, and so do the tokens that the remaining stages have read. Nothing is sent
+// again, so it uses no retry budget. dead is true if one of the engines does not
+// answer.
+func (w *stallWatch) reroute(faulty []*directory.Upstream, dead bool) bool {
+	if len(faulty) == 0 || slices.Contains(faulty, w.chain[0].Engine) {
 		return false
 	}
 	x := w.s.x
-	req := w.without(bad)
-	for range rerouteTries {
-		other := x.server.picks.reroute(w.s.model, x.server.opts.View(), req, w.chain, dead)
+	req := w.requestAvoiding(faulty)
+	for range maxRerouteAttempts {
+		other := x.server.picker.reroute(w.s.model, x.server.opts.View(), req, w.chain, dead)
 		if other == nil {
 			return false
 		}
 		old := w.chain
 		w.chain = other
-		limit, done := context.WithTimeout(w.ctx, rerouteTimeout)
-		err := x.server.opts.Engines.Reroute(limit, x.id, other)
-		done()
+		rerouteCtx, cancel := context.WithTimeout(w.ctx, rerouteTimeout)
+		err := x.server.opts.Engines.Reroute(rerouteCtx, x.id, other)
+		cancel()
 		x.log("rerouted").Str("chain", other.String()).Str("was", old.String()).Int64("after_event", w.s.seq.last).
 			Int64("directory", x.server.opts.View().Revision).AnErr("error", err).Send()
 		if err == nil {
 			x.count("stream.rerouted")
 			w.reroutes++
-			w.left(old, other)
-			w.ran = false
-			w.restUntil = x.server.opts.Now().Add(rerouteRest)
+			w.recordBypassed(old, other)
+			w.eventSeen = false
+			w.cooldownUntil = x.server.opts.Now().Add(rerouteCooldown)
 			return true
 		}
 		x.count("stream.reroute_failed")
@@ -199,26 +209,27 @@
 		if !errors.As(err, &stage) {
 			return false
 		}
-		w.avoid(req.Avoid, other, stage.Address)
+		w.avoidAddress(req.Avoid, other, stage.Address)
 	}
 	return false
 }
 
-// left notes the engines of the chain before that the present one leads around,
-// if they may have ended as they began to run the request.
-func (w *streamWait) left(old, now chain.Chain) {
-	if w.ran {
+// recordBypassed records the engines that a reroute has removed from the chain as lost
+// runs, unless the chain has already produced events: they may have crashed when they
+// started to run the request.
+func (w *stallWatch) recordBypassed(old, present chain.Chain) {
+	if w.eventSeen {
 		return
 	}
-	kept := now.Engines()
+	kept := present.Engines()
 	gone := slices.DeleteFunc(old.Engines(), func(id ids.Life) bool { return slices.Contains(kept, id) })
 	if len(gone) > 0 {
-		w.s.x.lost(gone...)
+		w.s.x.recordLostRun(gone...)
 	}
 }
 
-// avoid leaves out the engine of a chain that has an address.
-func (w *streamWait) avoid(avoid map[ids.Life]bool, c chain.Chain, address string) {
+// avoidAddress adds the engine of a chain that has the given address to avoid.
+func (w *stallWatch) avoidAddress(avoid map[ids.Life]bool, c chain.Chain, address string) {
 	for _, h := range c {
 		if h.Engine.Address == address {
 			avoid[h.Engine.ID] = true
@@ -226,14 +237,14 @@
 	}
 }
 
-// mayLeave reports whether the request may run once more, and whether that is
-// better than to wait on.
-func (w *streamWait) mayLeave(bad []*directory.Upstream, dead bool) bool {
+// shouldSwitch reports whether the request may be sent again, and whether that is
+// better than to keep waiting.
+func (w *stallWatch) shouldSwitch(faulty []*directory.Upstream, dead bool) bool {
 	x := w.s.x
 	if !x.route.MayRepeat() || x.sends >= maxSends {
 		return false
 	}
-	req := w.without(bad)
-	req.FirstOf = x.bound(w.chain[0].Engine.ID)
-	return x.server.picks.worthLeaving(w.s.model, x.server.opts.View(), req, w.chain, dead)
+	req := w.requestAvoiding(faulty)
+	req.FirstOf = x.allowedUpstreams(w.chain[0].Engine.ID)
+	return x.server.picker.worthSwitching(w.s.model, x.server.opts.View(), req, w.chain, dead)
 }
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -16,49 +16,50 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// stream is what a streaming request is at, over all its attempts.
+// stream is the state of a streaming request over all its attempts.
 type stream struct {
 	x     *exchange
 	model *layered.Model
 	req   chain.Request
 	seq   sequence
-	// shunned are engines that broke off though they live; they are taken
-	// again only if no chain is left without them.
-	shunned map[ids.Life]bool
-	// resting are engines that had no room for the rest of a stream, until they are
-	// tried again.
-	resting map[ids.Life]time.Time
-	// last is when the latest event came.
-	last time.Time
-	// gap is the mean pause between events.
-	gap time.Duration
-	// refused counts refusals before the answer began, unrun sends after that which are
-	// proved not to have run.
-	refused, unrun int
+	// lastResort holds engines that broke off the connection although they are alive.
+	// They are used only if no chain is possible without them.
+	lastResort map[ids.Life]bool
+	// fullUntil holds engines that had no room for the rest of the stream, with the time
+	// after which they are tried again.
+	fullUntil map[ids.Life]time.Time
+	// lastEvent is when the latest event arrived.
+	lastEvent time.Time
+	// meanGap is the moving average of the pauses between events.
+	meanGap time.Duration
+	// refusals counts refusals before the response started. unrunSends counts later sends
+	// that are proved not to have run.
+	refusals, unrunSends int
 }
 
-// stream serves a request that is answered by events.
-func (x *exchange) stream(ctx context.Context, table *routing.Table) {
-	s := &stream{x: x, gap: x.route.PauseObjective / firstGapParts, shunned: make(map[ids.Life]bool), resting: make(map[ids.Life]time.Time)}
+// serveStream serves a request whose response is a stream of events.
+func (x *exchange) serveStream(ctx context.Context, table *routing.Table) {
+	s := &stream{x: x, meanGap: x.route.PauseObjective / initialGapDivisor, lastResort: make(map[ids.Life]bool), fullUntil: make(map[ids.Life]time.Time)}
 	_, draw := x.server.draw()
 	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Life]bool), Draw: draw}
 	if service := table.Service(x.service); service != nil {
 		s.model = service.Model
 	}
-	s.size()
+	s.estimateSize()
 	if id, err := strconv.ParseInt(string(x.req.Header.Peek(x.server.opts.Headers.LastEventID)), 10, 64); err == nil {
-		s.seq = sequence{last: id, begun: true}
+		s.seq = sequence{last: id, started: true}
 	}
 	for {
 		failed := s.attempt(ctx)
-		if failed == nil || x.ended(ctx) || !s.next(ctx, failed) {
+		if failed == nil || x.contextDone(ctx) || !s.handleFailure(ctx, failed) {
 			return
 		}
 	}
 }
 
-// size finds what the request needs, by its headers or else by the mean.
-func (s *stream) size() {
+// estimateSize sets the numbers of prompt and answer tokens from the request's headers,
+// or else from the model's means.
+func (s *stream) estimateSize() {
 	s.req.Prompt, s.req.Answer = s.x.parseTokens()
 	if s.model == nil {
 		return
@@ -71,44 +72,45 @@
 	}
 }
 
-// next decides what follows a failed attempt; if nothing, it answers.
-func (s *stream) next(ctx context.Context, failed *failure) bool {
+// handleFailure decides whether another attempt follows a failed one. If not, it
+// responds to the caller and returns false.
+func (s *stream) handleFailure(ctx context.Context, failed *failure) bool {
 	x := s.x
-	var none *chain.NoChainError
-	if errors.As(failed.cause, &none) {
-		if x.written {
-			s.pause(ctx)
+	var noChain *chain.NoChainError
+	if errors.As(failed.cause, &noChain) {
+		if x.responseStarted {
+			s.waitToResume(ctx)
 			return true
 		}
-		left := x.limit.Sub(x.server.opts.Now())
-		x.giveUp(outcome.NoUpstream, none.Error(), x.server.picks.retryAfter(x.service, left))
+		left := x.deadline.Sub(x.server.opts.Now())
+		x.giveUp(outcome.NoUpstream, noChain.Error(), x.server.picker.retryAfter(x.service, left))
 		return false
 	}
 	var full *chain.FullError
 	if errors.As(failed.cause, &full) {
-		x.giveUp(outcome.UpstreamBusy, full.Error(), busyAfter)
+		x.giveUp(outcome.UpstreamBusy, full.Error(), busyRetryAfter)
 		return false
 	}
-	if x.written {
-		return s.goOn(ctx, failed)
+	if x.responseStarted {
+		return s.resume(ctx, failed)
 	}
 	if failed.phase.ProvesNotRun() {
-		if s.refused++; s.refused >= maxRefusals {
-			x.giveUp(failed.reason, failed.Error(), busyAfter)
+		if s.refusals++; s.refusals >= maxRefusals {
+			x.giveUp(failed.reason, failed.Error(), busyRetryAfter)
 			return false
 		}
 	}
-	return x.again(failed)
+	return x.retryOrGiveUp(failed)
 }
 
-// goOnRetry is the wait before a stream that cannot go on looks again. Engines that take
-// over layers load them in about a second, and a node's part of the retry budget grows by
-// some sends a second.
-const goOnRetry = 150 * time.Millisecond
+// resumeRetryDelay is the wait before a stream that cannot resume tries again. Engines
+// that take over layers load them in about a second, and a node's retry budget grows by
+// a few retries per second.
+const resumeRetryDelay = 150 * time.Millisecond
 
-// pause waits a moment before the next look.
-func (s *stream) pause(ctx context.Context) {
-	timer := time.NewTimer(goOnRetry)
+// waitToResume waits for resumeRetryDelay or the end of ctx.
+func (s *stream) waitToResume(ctx context.Context) {
+	timer := time.NewTimer(resumeRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -116,87 +118,88 @@
 	}
 }
 
-// goOn decides what follows a failed attempt once part of the answer is with the caller,
-// who would lose it all. It waits for what is missing until the caller leaves or the
-// request's time is up; only what no wait can bring ends the answer.
-func (s *stream) goOn(ctx context.Context, failed *failure) bool {
+// resume decides whether another attempt follows a failed one after the response has
+// started, when an error would lose what the caller has. It waits for a retry until the
+// caller leaves or the deadline passes, and gives up only on failures that no wait can
+// help.
+func (s *stream) resume(ctx context.Context, failed *failure) bool {
 	x := s.x
 	if failed.phase.ProvesNotRun() {
-		s.unrun++
+		s.unrunSends++
 	}
-	if x.over(failed, x.sends-s.unrun) {
+	if x.giveUpIfFinal(failed, x.sends-s.unrunSends) {
 		return false
 	}
-	for !x.server.picks.again(x.service, failed.reason, true) {
-		s.pause(ctx)
+	for !x.server.picker.allowRetry(x.service, failed.reason, true) {
+		s.waitToResume(ctx)
 		if ctx.Err() != nil {
 			return true
 		}
 	}
-	x.retried(failed)
+	x.recordRetry(failed)
 	return true
 }
 
-// attempt sends the request through one chain and passes its events on. It
-// gives nil once the caller was answered.
+// attempt sends the request through one chain and passes the events on. It returns nil
+// once the request is over.
 func (s *stream) attempt(ctx context.Context) *failure {
 	x := s.x
-	c, failed := s.choose(ctx)
+	c, failed := s.chooseChain(ctx)
 	if failed != nil {
 		return failed
 	}
 	first := c[0].Engine
 	x.log("chain").Str("chain", c.String()).Str("upstream", first.ID.String()).Str("route", x.route.Name).
 		Int64("directory", x.server.opts.View().Revision).Int64("after_event", s.seq.last).Send()
-	w := &streamWait{s: s, ctx: ctx, chain: c, begun: s.x.written}
-	defer s.uncount(w)
-	a, failed := x.begin(ctx, first, x.compose(first, s.headers(c)), w.wait)
+	w := &stallWatch{s: s, ctx: ctx, chain: c, started: s.x.responseStarted}
+	defer s.releaseChain(w)
+	a, failed := x.begin(ctx, first, x.composeHead(first, s.headers(c)), w.wait)
 	if failed == nil {
 		failed = s.relay(a, w)
 	}
 	if failed != nil {
-		s.blame(ctx, w, failed)
+		s.recordFailure(ctx, w, failed)
 	}
 	return failed
 }
 
-// uncount takes the request off the chain on which it ended, which a stall may
-// have changed, or off its one upstream; once only.
-func (s *stream) uncount(w *streamWait) {
-	if w.off {
+// releaseChain removes the request from the counts of its chain, which a reroute may
+// have changed, or of its only upstream. Further calls have no effect.
+func (s *stream) releaseChain(w *stallWatch) {
+	if w.released {
 		return
 	}
-	w.off = true
+	w.released = true
 	if s.model == nil {
-		s.x.server.picks.replicaEnded(w.chain[0].Engine.ID, 0, false)
+		s.x.server.picker.replicaEnded(w.chain[0].Engine.ID, 0, false)
 		return
 	}
-	s.x.server.picks.chainEnded(w.chain, s.req)
+	s.x.server.picker.chainEnded(w.chain, s.req)
 }
 
-// choose picks the chain: of engines that hold layers, or of one upstream where
-// the service has no model of layers.
-func (s *stream) choose(ctx context.Context) (chain.Chain, *failure) {
+// chooseChain chooses a chain of engines, or a single upstream if the service has no
+// layered model.
+func (s *stream) chooseChain(ctx context.Context) (chain.Chain, *failure) {
 	x := s.x
 	if s.model == nil {
-		u := x.server.picks.replica(x.server.opts.View().Of(x.service), s.req.Avoid, x.draw())
+		u := x.server.picker.chooseReplica(x.server.opts.View().Of(x.service), s.req.Avoid, x.draw())
 		if u == nil {
 			return nil, &failure{phase: outcome.NotSent, reason: outcome.NoUpstream, cause: &chain.NoChainError{Service: x.service}}
 		}
 		return chain.Chain{{Engine: u}}, nil
 	}
 	view := x.server.opts.View()
-	x.server.probe.refresh(ctx, view)
-	s.req.FirstOf = x.bound()
-	usual := s.req
-	// A caller that resumes has part of the answer too.
-	usual.Avoid, usual.Begun = s.avoided(), x.written || s.seq.begun
-	careful := usual
-	careful.Avoid = maps.Clone(usual.Avoid)
-	maps.Copy(careful.Avoid, s.shunned)
-	c, err := x.server.picks.chain(s.model, view, careful)
-	if err != nil && len(s.shunned) > 0 {
-		c, err = x.server.picks.chain(s.model, view, usual)
+	x.server.prober.refresh(ctx, view)
+	s.req.FirstOf = x.allowedUpstreams()
+	req := s.req
+	// A caller that resumes a stream also has part of the response.
+	req.Avoid, req.Begun = s.avoidedEngines(), x.responseStarted || s.seq.started
+	strict := req
+	strict.Avoid = maps.Clone(req.Avoid)
+	maps.Copy(strict.Avoid, s.lastResort)
+	c, err := x.server.picker.chooseChain(s.model, view, strict)
+	if err != nil && len(s.lastResort) > 0 {
+		c, err = x.server.picker.chooseChain(s.model, view, req)
 	}
 	if err != nil {
 		return nil, &failure{phase: outcome.NotSent, reason: outcome.NoUpstream, cause: err}
@@ -204,55 +207,56 @@
 	return c, nil
 }
 
-// roomRest is how long the rest of a stream is not offered again to an engine that
-// had no room for it. Some of its streams end meanwhile, and their callers wait for 2 s
-// after an event: an engine that alone holds some layers is asked four times in that.
-const roomRest = 400 * time.Millisecond
+// fullEngineCooldown is how long the rest of a stream is not sent to an engine that had
+// no room for it. Meanwhile some of the engine's streams end. Callers wait 2 s after an
+// event, so an engine that alone holds some layers is tried four times in that time.
+const fullEngineCooldown = 400 * time.Millisecond
 
-// avoided gives the engines that the request is not to use now.
-func (s *stream) avoided() map[ids.Life]bool {
-	all := maps.Clone(s.req.Avoid)
+// avoidedEngines returns the engines that the request must not use now.
+func (s *stream) avoidedEngines() map[ids.Life]bool {
+	avoid := maps.Clone(s.req.Avoid)
 	now := s.x.server.opts.Now()
-	for id, until := range s.resting {
+	for id, until := range s.fullUntil {
 		if now.Before(until) {
-			all[id] = true
+			avoid[id] = true
 		}
 	}
-	return all
+	return avoid
 }
 
-// refusedBy notes an engine that refused. One that had no room is tried again where
-// part of the answer is with the caller, who else would lose it all.
-func (s *stream) refusedBy(id ids.Life, reason outcome.Reason) {
-	if s.x.written && reason == outcome.UpstreamBusy {
-		s.resting[id] = s.x.server.opts.Now().Add(roomRest)
+// avoidRefusing excludes an engine that refused. If the engine was full and the
+// response has started, the exclusion is temporary, since giving up would lose what the
+// caller has.
+func (s *stream) avoidRefusing(id ids.Life, reason outcome.Reason) {
+	if s.x.responseStarted && reason == outcome.UpstreamBusy {
+		s.fullUntil[id] = s.x.server.opts.Now().Add(fullEngineCooldown)
 		return
 	}
 	s.req.Avoid[id] = true
 }
 
-// headers gives the headers of a send through a chain.
+// headers returns a function that appends the headers of a send through a chain.
 func (s *stream) headers(c chain.Chain) func([]byte) []byte {
 	h := &s.x.server.opts.Headers
 	return func(out []byte) []byte {
 		if s.model != nil {
 			out = appendHeader(out, h.Stages, c.String())
 		}
-		if s.seq.begun {
+		if s.seq.started {
 			out = appendHeader(out, h.LastEventID, strconv.FormatInt(s.seq.last, 10))
 		}
-		return appendHeader(out, h.Priority, strconv.Itoa(level(s.x.route.PriorityOf(s.x.account))))
+		return appendHeader(out, h.Priority, strconv.Itoa(priorityLevel(s.x.route.PriorityOf(s.x.account))))
 	}
 }
 
-// noteLoad takes the load that an engine tells with an answer, also one that refuses. A
-// load that cannot be read is as none.
-func (s *stream) noteLoad(a *attempt) {
-	if s.model == nil || a.answer == nil {
+// recordLoad records the load that an engine reports in the head of its response,
+// including a refusal. A malformed load is counted and otherwise ignored.
+func (s *stream) recordLoad(a *attempt) {
+	if s.model == nil || a.resp == nil {
 		return
 	}
 	x := s.x
-	value := string(a.answer.Head.Peek(x.server.opts.Headers.Load))
+	value := string(a.resp.Head.Peek(x.server.opts.Headers.Load))
 	if value == "" {
 		return
 	}
@@ -261,82 +265,83 @@
 		x.count("upstream.load_malformed")
 		return
 	}
-	x.server.picks.reported(a.u, requests)
+	x.server.picker.loadReported(a.u, requests)
 }
 
-// relay reads the answer of one attempt and passes its events on.
-func (s *stream) relay(a *attempt, w *streamWait) *failure {
+// relay reads the response of one attempt and passes its events on.
+func (s *stream) relay(a *attempt, w *stallWatch) *failure {
 	x := s.x
-	failed := a.head()
-	s.noteLoad(a)
+	failed := a.readHead()
+	s.recordLoad(a)
 	if failed != nil {
 		return failed
 	}
-	if status := a.answer.Head.StatusCode(); status != 200 {
-		return s.other(a)
+	if status := a.resp.Head.StatusCode(); status != 200 {
+		return s.passNonStream(a)
 	}
-	in := &events{r: bufio.NewReaderSize(a.answer, eventBuffer)}
+	in := &eventReader{r: bufio.NewReaderSize(a.resp, eventBufferBytes)}
 	for {
 		ev, err := in.next()
 		if errors.Is(err, io.EOF) {
-			// The caller's next request must find the engines free.
-			s.uncount(w)
-			return s.finish(a)
+			// The engines have to count as free before the caller sends its next request.
+			s.releaseChain(w)
+			return s.finishResponse(a)
 		}
 		if err != nil {
-			return a.lost(err)
+			return a.readFailed(err)
 		}
-		pass, err := s.seq.take(ev)
+		pass, err := s.seq.accept(ev)
 		if err != nil {
-			a.abandon()
+			a.discard()
 			return &failure{phase: outcome.Started, reason: outcome.LedgerViolation, cause: err}
 		}
 		w.progress()
 		if !pass {
 			continue
 		}
-		if err := s.pass(a, ev); err != nil {
-			a.abandon()
-			x.gone()
+		if err := s.writeEvent(a, ev); err != nil {
+			a.discard()
+			x.callerGone()
 			return nil
 		}
 	}
 }
 
-// eventBuffer holds usual events whole, in bytes.
-const eventBuffer = 1 << 10
+// eventBufferBytes is large enough for a usual event.
+const eventBufferBytes = 1 << 10
 
-// other passes on an answer that is no stream: an engine's own failure. Where
-// the request may run elsewhere, that comes first.
-func (s *stream) other(a *attempt) *failure {
-	body, err := a.answer.Body()
+// passNonStream passes on a response that is not a stream. If it is a server error and
+// the request may run elsewhere, it returns a failure instead.
+func (s *stream) passNonStream(a *attempt) *failure {
+	body, err := a.resp.Body()
 	if err != nil {
-		return a.lost(err)
+		return a.readFailed(err)
 	}
-	a.keep()
-	status := a.answer.Head.StatusCode()
-	elsewhere := status >= serverError && s.x.route.MayRepeat() && s.x.sends < s.x.route.Attempts()
-	if s.x.written || elsewhere {
+	a.release()
+	status := a.resp.Head.StatusCode()
+	elsewhere := status >= statusServerError && s.x.route.MayRepeat() && s.x.sends < s.x.route.Attempts()
+	if s.x.responseStarted || elsewhere {
 		return &failure{phase: outcome.Started, reason: outcome.UpstreamInvalid, cause: &StatusError{status}}
 	}
-	s.x.answerPlain(a.u, a.answer, body)
+	s.x.writePlainResponse(a.u, a.resp, body)
 	return nil
 }
 
-// pass writes one event to the caller, with the head before the first.
-func (s *stream) pass(a *attempt, ev event) error {
-	c := s.x.client
+// writeEvent writes one event to the caller, preceded by the response head for the
+// first event.
+func (s *stream) writeEvent(a *attempt, ev event) error {
+	c := s.x.caller
 	s.x.events++
-	if s.x.written {
+	if s.x.responseStarted {
 		c.out = c.out[:0]
 	} else {
-		c.copyHead(&a.answer.Head)
+		c.copyHead(&a.resp.Head)
 		c.addHeader("Transfer-Encoding", "chunked")
 		c.endHead()
-		s.x.written = true
-		s.x.first = s.last.Sub(s.x.arrived)
-		s.x.server.opts.Metrics.Took("stream.first_event", s.x.first)
-		s.x.server.picks.answered(a.u)
+		s.x.responseStarted = true
+		s.x.firstEvent = s.lastEvent.Sub(s.x.arrived)
+		s.x.server.opts.Metrics.Took("stream.first_event", s.x.firstEvent)
+		s.x.server.picker.recordAnswer(a.u)
 	}
 	c.out = strconv.AppendInt(c.out, int64(len(ev.bytes)), 16)
 	c.out = append(c.out, "\r\n"...)
@@ -345,57 +350,58 @@
 	return c.write(c.out)
 }
 
-// finish ends the answer after the stream's last event.
-func (s *stream) finish(a *attempt) *failure {
+// finishResponse writes the final chunk after the stream's last event.
+func (s *stream) finishResponse(a *attempt) *failure {
 	x := s.x
-	a.keep()
-	c := x.client
-	if !x.written {
-		c.copyHead(&a.answer.Head)
+	a.release()
+	c := x.caller
+	if !x.responseStarted {
+		c.copyHead(&a.resp.Head)
 		c.addHeader("Transfer-Encoding", "chunked")
 		c.endHead()
-		x.written = true
+		x.responseStarted = true
 	} else {
 		c.out = c.out[:0]
 	}
 	c.out = append(c.out, "0\r\n\r\n"...)
 	if err := c.write(c.out); err != nil {
-		x.gone()
+		x.callerGone()
 		return nil
 	}
-	x.done(a.answer.Head.StatusCode(), a.u)
+	x.recordAnswered(a.resp.Head.StatusCode(), a.u)
 	return nil
 }
 
-// lookFor finds out which engine of a chain ended a stream: those that do not
-// answer, or else the first, which broke the connection off.
-func (s *stream) lookFor(ctx context.Context, c chain.Chain) {
-	dead, _ := s.x.server.probe.wide(ctx, c)
+// avoidBrokenEngines probes the chain of a broken stream and excludes the engines that
+// do not answer. If all answer, the first engine broke off the connection and becomes a
+// last resort.
+func (s *stream) avoidBrokenEngines(ctx context.Context, c chain.Chain) {
+	dead, _ := s.x.server.prober.probeChain(ctx, c)
 	for _, u := range dead {
 		s.req.Avoid[u.ID] = true
 	}
 	if len(dead) == 0 {
-		s.shunned[c[0].Engine.ID] = true
+		s.lastResort[c[0].Engine.ID] = true
 	}
 }
 
-// blame notes what a failed attempt says about the engines of its chain.
-func (s *stream) blame(ctx context.Context, w *streamWait, failed *failure) {
+// recordFailure records what a failed attempt says about the engines of its chain.
+func (s *stream) recordFailure(ctx context.Context, w *stallWatch, failed *failure) {
 	x, c := s.x, w.chain
-	x.settle(c[0].Engine, failed)
-	if ctx.Err() == nil && failed.midRun() && !w.ran {
-		x.lost(c.Engines()...)
+	x.recordPossibleRun(c[0].Engine, failed)
+	if ctx.Err() == nil && failed.lostWhileRunning() && !w.eventSeen {
+		x.recordLostRun(c.Engines()...)
 	}
 	switch {
-	case failed.phase == outcome.NotSent, failed.phase == outcome.Refused && failed.culprit == "":
-		s.refusedBy(c[0].Engine.ID, failed.reason)
+	case failed.phase == outcome.NotSent, failed.phase == outcome.Refused && failed.faultyStage == "":
+		s.avoidRefusing(c[0].Engine.ID, failed.reason)
 	case failed.reason == outcome.UpstreamLost || failed.reason == outcome.UpstreamInvalid:
-		s.lookFor(ctx, c)
+		s.avoidBrokenEngines(ctx, c)
 	}
 	for _, h := range c {
-		if h.Engine.Address == failed.culprit {
-			s.refusedBy(h.Engine.ID, failed.reason)
-			x.server.probe.judge(ctx, h.Engine, failed.reason)
+		if h.Engine.Address == failed.faultyStage {
+			s.avoidRefusing(h.Engine.ID, failed.reason)
+			x.server.prober.diagnoseRefusal(ctx, h.Engine, failed.reason)
 		}
 	}
 }
