--- a/decide/routing/routing.go
+++ b/decide/routing/routing.go
@@ -1,9 +1,10 @@
-// Package routing decides where a request belongs: which route its host and
-// path select, which client account its key names, and which service of a
-// weighted split it goes to.
+// Package routing matches requests with the routes, client accounts and services
+// of the configuration: which route the host and path of a request select, which
+// account its API key belongs to, and which service of a weighted traffic split
+// it goes to.
 //
-// A Table is built once for each configuration and never changes, so any
-// goroutine may read it.
+// It is used once for each request. A Table is built once for each version of the
+// configuration and never changes, so any goroutine may read it.
 package routing
 
 import (
@@ -16,77 +17,93 @@
 	"mimosaarch.example/core/layered"
 )
 
-// Kind tells how the requests of a route may be repeated and answered.
+// Kind states whether requests of a route may be repeated, and how they are
+// answered.
 type Kind int
 
 const (
-	// NonIdempotent requests run at most once for each client attempt.
+	// NonIdempotent requests run at most once for each request of a client.
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Streaming requests are answered by a series of events.
+	// Streaming requests are answered with a stream of events.
 	Streaming
 )
 
-// Route is where requests of one host and path prefix go.
+// Route defines how requests with one host and path prefix are handled. Nodes
+// exchange it as JSON under the names of its fields or tags.
 type Route struct {
-	// Name of the route, for logs.
+	// Name is the name of the route, for logs.
 	Name string
-	// Host and PathPrefix select the route; the longest prefix wins. A prefix
-	// begins and ends with a slash.
+	// Host and PathPrefix are matched with a request; the longest matching prefix
+	// wins. A prefix begins and ends with a slash.
 	Host, PathPrefix string
 	Kind             Kind
-	// Resumable streams may be continued after their last event elsewhere.
+	// Resumable is set when another upstream may continue a stream after its
+	// last event.
 	Resumable bool
-	// Splits share the route's requests among services. At least one.
+	// Splits distributes the requests among services. It has at least one
+	// element.
 	Splits []Split
-	// MaxAttempts is the most upstreams on which one request may run.
+	// MaxAttempts is the maximum number of upstreams that one request may run
+	// on; see Attempts.
 	MaxAttempts int
-	// Timeout is the longest a caller is kept waiting.
+	// Timeout is the maximum time until a request is answered.
 	Timeout time.Duration
-	// LatencyObjective is the time to the answer, or to a stream's first event.
+	// LatencyObjective is the target for the time to the answer, or to the first
+	// event of a stream.
 	LatencyObjective time.Duration `json:"Objective"`
-	// PauseObjective is the longest pause between two events of a stream.
+	// PauseObjective is the target for the longest pause between two events of a
+	// stream.
 	PauseObjective time.Duration
-	// Priority ranks the route's requests; 0 goes first.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// AuthExempt routes need no key.
+	// AuthExempt is set when requests need no API key.
 	AuthExempt bool `json:"Open"`
 }
 
-// MayRepeat reports whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once:
+// idempotent requests and resumable streams may.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Split is one service of a route and its weight among the others.
+// Split is one service of a route. It gets the fraction Weight / sum of all
+// weights of the route's requests.
 type Split struct {
 	Service ids.Service
-	Weight  int
+	// Weight counts as 0 if it is negative.
+	Weight int
 }
 
-// Account is a client account with the keys that name it.
+// Account is a client account.
 type Account struct {
 	Name ids.Account
+	// Keys are the API keys of the account.
 	Keys []string
-	// Priority goes before the route's where it is set.
+	// Priority overrides the priority of the route if it is set.
 	Priority *int
 }
 
-// Service is a routed service.
+// Service is a service that requests can be routed to.
 type Service struct {
 	Name ids.Service
-	// Model is set for services of model engines.
+	// Model describes the model that the engines of the service run; nil for a
+	// plain service.
 	Model *layered.Model
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bounds the size of clients' requests and the time they take to send
+// them.
 type Limits struct {
 	MaxHeaderBytes, MaxBodyBytes int
-	HeaderTimeout, IdleTimeout   time.Duration
+	// HeaderTimeout is the maximum time to receive the headers of a request,
+	// IdleTimeout that to receive its body, and that until the next request on an
+	// open connection.
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Config is one version of the configuration.
+// Config is one version of the configuration. Nodes exchange it as JSON.
 type Config struct {
 	Version  int64
 	Routes   []Route
@@ -95,9 +112,10 @@
 	Limits   Limits
 }
 
-// ConfigError tells why a configuration cannot be put in force.
+// ConfigError reports an invalid configuration.
 type ConfigError struct {
-	// Version is the configuration's; Item names what is wrong in it.
+	// Version is the version of the configuration, Item the invalid part of it,
+	// such as a route, and Reason what is wrong.
 	Version int64
 	Item    string
 	Reason  string
@@ -108,18 +126,20 @@
 	return fmt.Sprintf("configuration %d: %s: %s", e.Version, e.Item, e.Reason)
 }
 
-// Table answers for one configuration.
+// Table looks up routes, accounts and services of one version of the
+// configuration.
 type Table struct {
-	config   Config
-	routes   map[routeKey]*Route
+	config Config
+	routes map[routeKey]*Route
+	// accounts holds the accounts by API key.
 	accounts map[string]*Account
 	services map[ids.Service]*Service
 }
 
-// routeKey selects a route.
+// routeKey is the host, in lower case, and the path prefix of a route.
 type routeKey struct{ host, prefix string }
 
-// Build checks a configuration and makes its table. The error is a
+// Build validates a configuration and returns its table. The error is a
 // *ConfigError.
 func Build(config Config) (*Table, error) {
 	t := &Table{
@@ -145,35 +165,36 @@
 	return t, nil
 }
 
-// addRoute checks one route and adds it.
+// addRoute validates a route and adds it. The error is a *ConfigError.
 func (t *Table) addRoute(r *Route) error {
 	invalid := func(reason string) error {
 		return &ConfigError{Version: t.config.Version, Item: "route " + r.Name, Reason: reason}
 	}
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
-		return invalid("the path prefix does not begin and end with a slash")
+		return invalid("path prefix must begin and end with a slash")
 	}
 	if len(r.Splits) == 0 {
-		return invalid("no service")
+		return invalid("no service configured")
 	}
 	key := routeKey{strings.ToLower(r.Host), r.PathPrefix}
 	if t.routes[key] != nil {
-		return invalid("host and path prefix stand twice")
+		return invalid("another route has the same host and path prefix")
 	}
 	t.routes[key] = r
 	return nil
 }
 
-// Version gives the configuration's version.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Limits gives the bounds on clients.
+// Limits returns the limits for clients.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Services gives all services; the slice must not be changed.
+// Services returns all services. The slice must not be changed.
 func (t *Table) Services() []Service { return t.config.Services }
 
-// ServiceNames gives the names of all services.
+// ServiceNames returns the names of all services in the order of the
+// configuration.
 func (t *Table) ServiceNames() []ids.Service {
 	names := make([]ids.Service, len(t.config.Services))
 	for i, s := range t.config.Services {
@@ -182,11 +203,11 @@
 	return names
 }
 
-// Service gives one service; nil if there is none of that name.
+// Service returns the service of that name, nil if there is none.
 func (t *Table) Service(name ids.Service) *Service { return t.services[name] }
 
-// Match gives the route with the longest prefix of path on host, without its
-// port; nil if there is none.
+// Match returns the route of a host whose path prefix is the longest one that
+// matches path, nil if there is none. A port in host is ignored, and so is case.
 func (t *Table) Match(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
@@ -197,14 +218,18 @@
 	return nil
 }
 
-// RequiresKey reports whether requests must name a client account.
+// RequiresKey reports whether requests need an API key, which is so once accounts
+// are configured.
 func (t *Table) RequiresKey() bool { return len(t.config.Accounts) > 0 }
 
-// AccountByKey gives the client account of a key; nil if no account has it.
+// AccountByKey returns the account that an API key belongs to, nil if there is
+// none.
 func (t *Table) AccountByKey(key string) *Account { return t.accounts[key] }
 
-// PickService gives the service for a draw that is uniform over all of uint64.
-func (r *Route) PickService(draw uint64) ids.Service {
+// PickService returns a service of the route with a probability in proportion to
+// its weight, given a random number that is uniform over all of uint64. If all
+// weights are 0, it returns the first service.
+func (r *Route) PickService(random uint64) ids.Service {
 	total := 0
 	for _, s := range r.Splits {
 		total += max(s.Weight, 0)
@@ -212,16 +237,17 @@
 	if total == 0 {
 		return r.Splits[0].Service
 	}
-	at := int(draw % uint64(total))
+	rest := int(random % uint64(total))
 	for _, s := range r.Splits {
-		if at -= max(s.Weight, 0); at < 0 {
+		if rest -= max(s.Weight, 0); rest < 0 {
 			return s.Service
 		}
 	}
 	return r.Splits[0].Service
 }
 
-// PriorityOf ranks a request of the route; account may be nil. 0 goes first.
+// PriorityOf returns the priority of a request of the route: that of its account
+// if set, or else that of the route. 0 is the highest; account may be nil.
 func (r *Route) PriorityOf(account *Account) int {
 	if account == nil || account.Priority == nil {
 		return r.Priority
@@ -229,5 +255,6 @@
 	return *account.Priority
 }
 
-// Attempts gives the most upstreams a request may run on, at least 1.
+// Attempts returns the maximum number of upstreams that a request may run on:
+// MaxAttempts, but at least 1.
 func (r *Route) Attempts() int { return cmp.Or(max(r.MaxAttempts, 0), 1) }
--- a/decide/routing/routing_test.go
+++ b/decide/routing/routing_test.go
@@ -7,7 +7,7 @@
 	"mimosaarch.example/core/ids"
 )
 
-// route makes a route to one service.
+// route returns a route to one service of the same name.
 func route(name, host, prefix string) Route {
 	return Route{Name: name, Host: host, PathPrefix: prefix, Splits: []Split{{Service: ids.Service(name), Weight: 1}}}
 }
@@ -59,32 +59,32 @@
 func TestSplitFollowsWeights(t *testing.T) {
 	r := Route{Splits: []Split{{"a", 90}, {"b", 10}, {"c", 0}}}
 	counts := make(map[ids.Service]int)
-	for draw := range uint64(1000) {
-		counts[r.PickService(draw)]++
+	for random := range uint64(1000) {
+		counts[r.PickService(random)]++
 	}
 	if counts["a"] != 900 || counts["b"] != 100 || counts["c"] != 0 {
-		t.Errorf("shares %v", counts)
+		t.Errorf("requests per service %v, want a: 900, b: 100", counts)
 	}
 }
 
 func TestAccountsAndPriorities(t *testing.T) {
-	first := 0
+	highest := 0
 	table, err := Build(Config{Accounts: []Account{
-		{Name: "x", Keys: []string{"k1", "k2"}, Priority: &first},
+		{Name: "x", Keys: []string{"k1", "k2"}, Priority: &highest},
 		{Name: "y", Keys: []string{"k3"}},
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if a := table.AccountByKey("k2"); a == nil || a.Name != "x" {
-		t.Errorf("account of k2: %v", a)
+		t.Errorf("account of k2 is %v, want x", a)
 	}
 	if table.AccountByKey("k4") != nil || table.AccountByKey("") != nil {
-		t.Error("an unknown key names an account")
+		t.Error("an unknown key has an account")
 	}
 	r := Route{Priority: 2}
 	if r.PriorityOf(table.AccountByKey("k1")) != 0 || r.PriorityOf(table.AccountByKey("k3")) != 2 || r.PriorityOf(nil) != 2 {
-		t.Error("an account's priority goes before the route's, where it is set")
+		t.Error("the priority of the account must override that of the route if it is set")
 	}
 }
 
@@ -100,7 +100,7 @@
 		{Route{Kind: Streaming, Resumable: true}, true},
 	} {
 		if got := c.route.MayRepeat(); got != c.want {
-			t.Errorf("%+v: may repeat %v", c.route, got)
+			t.Errorf("%+v: MayRepeat returned %v", c.route, got)
 		}
 	}
 }
