--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -1,8 +1,10 @@
-// Package replica decides which of the equal upstreams of a plain service
-// serves a request: the one expected to answer first, by the work that this
-// node has there and the time its latest answers took.
+// Package replica picks the upstream of a plain service, all of whose upstreams
+// are equivalent, for a request: the one with the least expected response time, as
+// estimated from the requests that this node has there and the latest response
+// times.
 //
-// A Book is used by one goroutine at a time and reads no clock.
+// It is used once for each attempt of a plain request. A Picker must be used by one
+// goroutine at a time and reads no clock.
 package replica
 
 import (
@@ -14,98 +16,110 @@
 	"mimosaarch.example/decide/directory"
 )
 
-// Constants of the choice.
+// Parameters of the cost of an upstream.
 const (
-	// usualMs is the time an answer is taken to need before one was seen, ms.
-	usualMs = 40.0
-	// weight of a new answer in the mean of an upstream's times: with 0.2 the
-	// last five answers count for two thirds.
-	weight = 0.2
-	// failedMs is what a failed answer counts as, ms: an upstream that fails
-	// fast must not look like a quick one.
-	failedMs = 400.0
-	// awayMs is charged for another zone, ms: the way there and back twice.
-	awayMs = 3.0
-	// forgetAfter is the age at which an upstream's times count no longer, so
-	// that one which was slow is tried again.
-	forgetAfter = 4 * time.Second
+	// defaultResponseMs is the response time that is assumed for an upstream
+	// without recent requests, in ms.
+	defaultResponseMs = 40.0
+	// newResponseWeight is the weight of a new response time in the moving
+	// average of an upstream. With 0.2, the last five responses make up two
+	// thirds of it.
+	newResponseWeight = 0.2
+	// minFailedResponseMs is the least response time that a failed response
+	// counts with, in ms. An upstream that fails quickly must not look fast.
+	minFailedResponseMs = 400.0
+	// remoteZoneMs is the cost of an upstream in another zone, in ms: two network
+	// round trips.
+	remoteZoneMs = 3.0
+	// averageMaxAge is the age from which on an upstream's moving average is
+	// ignored, so that one that was slow is tried again.
+	averageMaxAge = 4 * time.Second
 )
 
-// Picker is what a node knows of the upstreams of plain services. Make it with
-// New.
+// Picker picks upstreams of plain services. It tracks the requests and response
+// times of this node. Make it with New.
 type Picker struct {
 	conditions *condition.Table
-	upstreams  map[ids.Life]*state
-	fleet      float64
+	upstreams  map[ids.Life]*upstreamState
+	// nodeCount is the number of nodes. This node's own load, multiplied by it,
+	// is the estimate of the load from all nodes.
+	nodeCount float64
 }
 
-// state is what is known of one upstream.
-type state struct {
-	active int
-	meanMs float64
-	at     time.Time
+// upstreamState is the load of one upstream as this node knows it.
+type upstreamState struct {
+	// inFlight is the number of requests of this node.
+	inFlight int
+	// meanMs is the moving average of the response time in ms, as of updatedAt.
+	meanMs    float64
+	updatedAt time.Time
 }
 
-// New makes a Book that shares beliefs with others.
+// New returns a Picker that takes the health of upstreams from conditions, which
+// may be shared with other pickers.
 func New(conditions *condition.Table) *Picker {
-	return &Picker{conditions: conditions, upstreams: make(map[ids.Life]*state), fleet: 1}
+	return &Picker{conditions: conditions, upstreams: make(map[ids.Life]*upstreamState), nodeCount: 1}
 }
 
-// SetNodeCount tells how many nodes share the upstreams.
-func (b *Picker) SetNodeCount(nodes int) { b.fleet = float64(max(nodes, 1)) }
+// SetNodeCount sets the number of nodes that share the upstreams, at least 1.
+func (p *Picker) SetNodeCount(nodes int) { p.nodeCount = float64(max(nodes, 1)) }
 
-// of gives the state of an upstream.
-func (b *Picker) of(id ids.Life) *state {
-	s := b.upstreams[id]
+// upstreamState returns the state of an upstream, created if missing.
+func (p *Picker) upstreamState(id ids.Life) *upstreamState {
+	s := p.upstreams[id]
 	if s == nil {
-		s = &state{meanMs: usualMs}
-		b.upstreams[id] = s
+		s = &upstreamState{meanMs: defaultResponseMs}
+		p.upstreams[id] = s
 	}
 	return s
 }
 
-// RequestStarted counts a request at an upstream.
-func (b *Picker) RequestStarted(id ids.Life) { b.of(id).active++ }
+// RequestStarted counts a request of this node at an upstream.
+func (p *Picker) RequestStarted(id ids.Life) { p.upstreamState(id).inFlight++ }
 
-// RequestEnded takes a request off an upstream and notes how long its answer took.
-// Those that say nothing of the upstream have no time.
-func (b *Picker) RequestEnded(now time.Time, id ids.Life, took time.Duration, failed bool) {
-	s := b.of(id)
-	s.active--
-	if took <= 0 && !failed {
+// RequestEnded removes a request from the count of an upstream and adds its
+// response time to the moving average. responseTime is 0 for a request that ended
+// without a failure but says nothing about the upstream, for instance because the
+// caller has gone; it then leaves the average as it is.
+func (p *Picker) RequestEnded(now time.Time, id ids.Life, responseTime time.Duration, failed bool) {
+	s := p.upstreamState(id)
+	s.inFlight--
+	if responseTime <= 0 && !failed {
 		return
 	}
-	ms := float64(took) / float64(time.Millisecond)
+	ms := float64(responseTime) / float64(time.Millisecond)
 	if failed {
-		ms = max(ms, failedMs)
+		ms = max(ms, minFailedResponseMs)
 	}
-	if now.Sub(s.at) > forgetAfter {
-		s.meanMs = usualMs
+	if now.Sub(s.updatedAt) > averageMaxAge {
+		s.meanMs = defaultResponseMs
 	}
-	s.meanMs += weight * (ms - s.meanMs)
-	s.at = now
+	s.meanMs += newResponseWeight * (ms - s.meanMs)
+	s.updatedAt = now
 }
 
-// Forget drops what is known of an upstream that is gone.
-func (b *Picker) Forget(id ids.Life) {
-	if s := b.upstreams[id]; s != nil && s.active <= 0 {
-		delete(b.upstreams, id)
+// Forget drops the state of an upstream that is gone, unless requests of this node
+// still run there.
+func (p *Picker) Forget(id ids.Life) {
+	if s := p.upstreams[id]; s != nil && s.inFlight <= 0 {
+		delete(p.upstreams, id)
 	}
 }
 
-// Pick gives the upstream for a request, nil if none may take it. Upstreams
-// in avoid are left out; suspected ones are taken only if no other is left.
-// draw is uniform over 0 to 1 and decides among equals.
-func (b *Picker) Pick(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
+// Pick returns the upstream of list with the lowest cost for a request from a
+// zone, nil if none may be used. Upstreams that are leaving or in avoid are left
+// out. Suspected ones are picked only if no other is left. random, uniform over
+// [0, 1), decides between upstreams of equal cost.
+func (p *Picker) Pick(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Life]bool, random float64) *directory.Upstream {
 	var best *directory.Upstream
 	bestCost := math.Inf(1)
 	for i, u := range list {
 		if u.Leaving || avoid[u.ID] {
 			continue
 		}
-		cost := b.cost(now, u, zone)
-		// Equal costs are told apart by less than a hundredth of a ms.
-		cost += math.Mod(draw+float64(i)*math.Phi, 1) / 100
+		cost := p.cost(now, u, zone)
+		// The random part is less than 0.01 ms, so it only breaks ties.
+		cost += math.Mod(random+float64(i)*math.Phi, 1) / 100
 		if cost < bestCost {
 			best, bestCost = u, cost
 		}
@@ -113,25 +127,27 @@
 	return best
 }
 
-// suspectMs puts a suspected upstream behind every other, ms.
-const suspectMs = 1e6
+// suspectedMs is the cost of a suspected upstream, in ms. It exceeds the cost of
+// any other.
+const suspectedMs = 1e6
 
-// cost is the time to an answer that is expected of an upstream, ms.
-func (b *Picker) cost(now time.Time, u *directory.Upstream, zone ids.Zone) float64 {
-	mean, active := usualMs, 0.0
-	if s := b.upstreams[u.ID]; s != nil {
-		active = float64(s.active)
-		if now.Sub(s.at) <= forgetAfter {
+// cost returns the expected response time of an upstream in ms, with the costs of
+// another zone and of a suspected upstream.
+func (p *Picker) cost(now time.Time, u *directory.Upstream, zone ids.Zone) float64 {
+	mean, inFlight := defaultResponseMs, 0.0
+	if s := p.upstreams[u.ID]; s != nil {
+		inFlight = float64(s.inFlight)
+		if now.Sub(s.updatedAt) <= averageMaxAge {
 			mean = s.meanMs
 		}
 	}
-	occupied := active * b.fleet / float64(max(u.Slots, 1))
-	cost := mean * b.conditions.Pace(now, u.ID) * (1 + occupied)
+	utilization := inFlight * p.nodeCount / float64(max(u.Slots, 1))
+	cost := mean * p.conditions.Pace(now, u.ID) * (1 + utilization)
 	if u.Zone != zone {
-		cost += awayMs
+		cost += remoteZoneMs
 	}
-	if b.conditions.Suspected(now, u.ID, u.Zone) {
-		cost += suspectMs
+	if p.conditions.Suspected(now, u.ID, u.Zone) {
+		cost += suspectedMs
 	}
 	return cost
 }
--- a/decide/replica/replica_test.go
+++ b/decide/replica/replica_test.go
@@ -9,9 +9,11 @@
 	"mimosaarch.example/decide/directory"
 )
 
+// start is the start time of the tests.
 var start = time.Unix(1000, 0)
 
-func three() []*directory.Upstream {
+// threeZones returns three equal upstreams, each in another zone.
+func threeZones() []*directory.Upstream {
 	return []*directory.Upstream{
 		{ID: ids.Life{Upstream: "a"}, Zone: "1", Slots: 6},
 		{ID: ids.Life{Upstream: "b"}, Zone: "2", Slots: 6},
@@ -20,55 +22,55 @@
 }
 
 func TestPrefersOwnZoneThenSpreads(t *testing.T) {
-	b := New(condition.New())
-	if u := b.Pick(start, three(), "2", nil, 0.5); u.ID != life("b") {
-		t.Errorf("idle: %s, want the own zone's", u.ID)
+	p := New(condition.New())
+	if u := p.Pick(start, threeZones(), "2", nil, 0.5); u.ID != life("b") {
+		t.Errorf("picked %s of idle upstreams, want the one in the zone of the request", u.ID)
 	}
 	for range 6 {
-		b.RequestStarted(life("b"))
+		p.RequestStarted(life("b"))
 	}
-	if u := b.Pick(start, three(), "2", nil, 0.5); u.ID == life("b") {
-		t.Error("the own zone's is chosen though it is full")
+	if u := p.Pick(start, threeZones(), "2", nil, 0.5); u.ID == life("b") {
+		t.Error("picked the upstream in the zone of the request although it is full")
 	}
 }
 
 func TestLeavingAndAvoidedGetNothing(t *testing.T) {
-	b := New(condition.New())
-	list := three()
+	p := New(condition.New())
+	list := threeZones()
 	list[1].Leaving = true
-	if u := b.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
-		t.Errorf("chosen %s", u.ID)
+	if u := p.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
+		t.Errorf("picked %s, want c", u.ID)
 	}
-	if u := b.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
-		t.Errorf("chosen %s, though none is left", u.ID)
+	if u := p.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
+		t.Errorf("picked %s, want none", u.ID)
 	}
 }
 
 func TestSuspectedIsTheLastResort(t *testing.T) {
 	conditions := condition.New()
-	b := New(conditions)
+	p := New(conditions)
 	conditions.Failed(start, life("b"))
-	if u := b.Pick(start, three(), "2", nil, 0); u.ID == life("b") {
-		t.Error("a suspected one is chosen before others")
+	if u := p.Pick(start, threeZones(), "2", nil, 0); u.ID == life("b") {
+		t.Error("picked a suspected upstream before others")
 	}
-	if u := b.Pick(start, three(), "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
-		t.Error("a suspected one is not chosen as the last")
+	if u := p.Pick(start, threeZones(), "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
+		t.Error("did not pick a suspected upstream although no other is left")
 	}
 }
 
 func TestFailuresCostAndAreForgotten(t *testing.T) {
-	b := New(condition.New())
+	p := New(condition.New())
 	for range 3 {
-		b.RequestStarted(life("b"))
-		b.RequestEnded(start, life("b"), time.Millisecond, true)
+		p.RequestStarted(life("b"))
+		p.RequestEnded(start, life("b"), time.Millisecond, true)
 	}
-	if u := b.Pick(start, three(), "2", nil, 0); u.ID == life("b") {
-		t.Error("one that fails fast looks quick")
+	if u := p.Pick(start, threeZones(), "2", nil, 0); u.ID == life("b") {
+		t.Error("picked an upstream that fails quickly")
 	}
-	if u := b.Pick(start.Add(5*time.Second), three(), "2", nil, 0); u.ID != life("b") {
-		t.Error("it is not tried again later")
+	if u := p.Pick(start.Add(5*time.Second), threeZones(), "2", nil, 0); u.ID != life("b") {
+		t.Error("an upstream that has failed is not tried again later")
 	}
 }
 
-// life is the one life of an upstream whose start is not told.
+// life returns the ID of an upstream that does not report its start time.
 func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
