--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -161,7 +161,7 @@
 	if c.dead[u.ID] {
 		return layered.Report{}, &CallerGoneError{Cause: context.DeadlineExceeded}
 	}
-	return layered.Report{Born: c.born[u.ID.Upstream], Slowdown: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
+	return layered.Report{Born: c.born[u.ID.Upstream], Pace: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
 }
 
 // Reroute implements Engines.
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -166,12 +166,12 @@
 		p.picks.notReached(u, err)
 		return
 	}
-	out.pace = report.Slowdown
+	out.pace = report.Pace
 	out.full = isFull(report)
 	out.stalled = report.Stalled
 	p.picks.answered(u)
-	p.picks.paced(u, report.Slowdown)
-	if report.Slowdown >= condition.SlowPace {
-		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Slowdown).Send()
+	p.picks.paced(u, report.Pace)
+	if report.Pace >= condition.SlowPace {
+		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Pace).Send()
 	}
 }
--- a/core/layered/layered.go
+++ b/core/layered/layered.go
@@ -1,6 +1,7 @@
-// Package layered describes models whose layers are spread over several
-// accelerators: the shape of a model, the kinds of accelerators, and the ranges
-// of layers that engines hold.
+// Package layered describes models whose layers are spread over several engines:
+// the sizes and speeds of a model, the types of accelerator cards, ranges of layers,
+// and the reports of engines. Model is also the performance model that decisions
+// about chains and placement estimate times and memory with.
 package layered
 
 import (
@@ -9,12 +10,13 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Range is the layers From up to, not including, To. The zero Range is empty.
+// Range is a range of layers, from From up to but not including To. The zero Range
+// is empty.
 type Range struct {
 	From, To int
 }
 
-// Len gives the number of layers.
+// Len returns the number of layers.
 func (r Range) Len() int { return max(r.To-r.From, 0) }
 
 // Empty reports whether the range has no layers.
@@ -23,79 +25,86 @@
 // Covers reports whether every layer of o is in r.
 func (r Range) Covers(o Range) bool { return r.From <= o.From && o.To <= r.To }
 
-// Intersect gives the layers that are in both ranges.
+// Intersect returns the layers that are in both ranges. The result is empty, but not
+// necessarily zero, if there are none.
 func (r Range) Intersect(o Range) Range {
 	return Range{From: max(r.From, o.From), To: min(r.To, o.To)}
 }
 
-// String implements fmt.Stringer.
+// String implements fmt.Stringer: "from-to", where to is not included.
 func (r Range) String() string { return fmt.Sprintf("%d-%d", r.From, r.To) }
 
-// Card is a kind of accelerator.
+// Card is a type of accelerator card.
 type Card struct {
-	// MemoryMB holds weights and the KV cache of requests.
+	// MemoryMB is the memory for weights and the KV cache of requests.
 	MemoryMB float64
-	// StepFactor multiplies the time of a decoding step.
+	// StepFactor multiplies the time of a decoding step. A card of factor 1 is as
+	// fast as the Model says.
 	StepFactor float64
-	// PrefillFactor multiplies the time of reading a prompt.
+	// PrefillFactor multiplies the time of reading a prompt in the same way.
 	PrefillFactor float64 `json:"ReadFactor"`
 }
 
-// Model is a model and the pace of its engines. Times are for all layers on a
-// card of factor 1; a pass over a part of the layers takes that part of them.
+// Model is a model with the performance of its engines. Times are for all layers on
+// a card of factor 1; a part of the layers takes the same part of the time. Nodes
+// exchange it as JSON under the names of its fields or tags.
 type Model struct {
 	// Layers is the number of layers of the model.
 	Layers int
-	// LayerMB is the weight of one layer, in MB.
+	// LayerMB is the size of the weights of one layer, in MB.
 	LayerMB float64
-	// KVTokenBytes is the KV cache of one token in all layers, in bytes.
+	// KVTokenBytes is the size of the KV cache of one token in all layers, in bytes.
 	KVTokenBytes float64
-	// StepMs is the time of one decoding step, in ms.
+	// StepMs is the time of one decoding step without any requests, in ms.
 	StepMs float64
-	// PerSequenceMs is added to a step for each request that is writing.
+	// PerSequenceMs is added to StepMs for each decoding request.
 	PerSequenceMs float64
-	// PerContextMs is added to a step for each 1,000 tokens of context.
+	// PerContextMs is added to StepMs for each 1,000 tokens of context of each
+	// decoding request.
 	PerContextMs float64
-	// PrefillTokensPerMs is how many prompt tokens are read in a ms.
+	// PrefillTokensPerMs is the number of prompt tokens read per ms.
 	PrefillTokensPerMs float64 `json:"ReadPerMs"`
-	// StepsPerPass is how many steps one pass makes.
+	// StepsPerPass is the number of decoding steps in one pass through the engines.
 	StepsPerPass int `json:"Stride"`
-	// LoadSeconds is the time to load all layers, in s.
+	// LoadSeconds is the time to load the weights of all layers.
 	LoadSeconds float64
-	// MeanPromptTokens and MeanOutputTokens are the mean sizes of requests, in tokens.
+	// MeanPromptTokens and MeanOutputTokens are the mean sizes of requests.
 	MeanPromptTokens float64 `json:"Prompt"`
 	MeanOutputTokens float64 `json:"Answer"`
-	// Cards are the kinds of accelerators by name.
+	// Cards holds the types of accelerator cards by name.
 	Cards map[string]Card
-	// ActivationBytes is what one token hands on from stage to stage.
+	// ActivationBytes is the size of the activations of one token that a stage
+	// sends to the next, in bytes.
 	ActivationBytes float64
-	// ZoneLinkMbps is the rate of the way between two zones, which all share, 0 where
-	// it is not known.
+	// ZoneLinkMbps is the capacity in Mbit/s of the link between two availability
+	// zones, which all engines share; 0 when not known.
 	ZoneLinkMbps float64 `json:"PipeMbps"`
 }
 
-// mb is the number of bytes in a MB, as the platform counts them.
-const mb = 1e6
+// bytesPerMB is the number of bytes in a MB, as the platform counts them.
+const bytesPerMB = 1e6
 
-// Fits reports whether a card can hold so many layers.
+// Fits reports whether the weights of a number of layers fit on a card.
 func (m *Model) Fits(card Card, layers int) bool {
 	return float64(layers)*m.LayerMB <= card.MemoryMB
 }
 
-// KVCapacityTokens gives the tokens of KV cache that fit beside so many layers of weights.
+// KVCapacityTokens returns the number of tokens whose KV cache fits on a card beside
+// the weights of a number of layers. It is 0 if the sizes are not known.
 func (m *Model) KVCapacityTokens(card Card, layers int) float64 {
 	if layers <= 0 || m.Layers <= 0 || m.KVTokenBytes <= 0 {
 		return 0
 	}
-	free := (card.MemoryMB - float64(layers)*m.LayerMB) * mb
+	free := (card.MemoryMB - float64(layers)*m.LayerMB) * bytesPerMB
 	perToken := m.KVTokenBytes / float64(m.Layers) * float64(layers)
 	return max(free, 0) / perToken
 }
 
-// MaxWeightFraction gives the part of a card's memory that weights may take, 0 to 1, so that so
-// many tokens of KV cache fit beside them, as Room tells; 0 where the cache is not known.
+// MaxWeightFraction returns the largest fraction of a card's memory that weights may
+// take, 0 to 1, so that KVCapacityTokens is at least tokens. It is 0 if the sizes are
+// not known.
 func (m *Model) MaxWeightFraction(tokens float64) float64 {
-	weights := float64(m.Layers) * m.LayerMB * mb
+	weights := float64(m.Layers) * m.LayerMB * bytesPerMB
 	cache := tokens * m.KVTokenBytes
 	if weights <= 0 || cache <= 0 {
 		return 0
@@ -103,36 +112,41 @@
 	return weights / (weights + cache)
 }
 
-// share is the part of the model's layers.
-func (m *Model) share(layers int) float64 { return float64(layers) / float64(max(m.Layers, 1)) }
+// layerFraction returns a number of layers as a fraction of the model's layers.
+func (m *Model) layerFraction(layers int) float64 {
+	return float64(layers) / float64(max(m.Layers, 1))
+}
 
-// PassMs is the time of one decoding pass over so many layers, in ms, with so
-// many requests writing, each with context tokens behind it.
-func (m *Model) PassMs(card Card, layers int, writers, context float64) float64 {
-	step := m.StepMs + writers*(m.PerSequenceMs+m.PerContextMs*context/1000)
-	return float64(max(m.StepsPerPass, 1)) * step * card.StepFactor * m.share(layers)
+// PassMs returns the time of one decoding pass over a number of layers, in ms, while
+// a number of requests are decoding, each with the given number of context tokens.
+func (m *Model) PassMs(card Card, layers int, decoding, context float64) float64 {
+	step := m.StepMs + decoding*(m.PerSequenceMs+m.PerContextMs*context/1000)
+	return float64(max(m.StepsPerPass, 1)) * step * card.StepFactor * m.layerFraction(layers)
 }
 
-// waitPart of a whole pass of an engine is waited at each stage for the pass that
-// is under way, which on average is half done.
-const waitPart = 0.5
+// waitPassFraction is the fraction of an engine's pass that a request waits for at
+// each stage, until the pass in progress ends. On average that is half done.
+const waitPassFraction = 0.5
 
-// WaitMs is the time that a request waits at an engine before each of its passes,
-// in ms; held is how many layers the engine holds.
-func (m *Model) WaitMs(card Card, held int, writers, context float64) float64 {
-	return waitPart * m.PassMs(card, held, writers, context)
+// WaitMs returns the time in ms that a request waits at an engine before each of its
+// passes there. heldLayers is the number of layers that the engine holds; the other
+// arguments are those of PassMs.
+func (m *Model) WaitMs(card Card, heldLayers int, decoding, context float64) float64 {
+	return waitPassFraction * m.PassMs(card, heldLayers, decoding, context)
 }
 
-// PrefillMs is the time to read a prompt through so many layers, in ms.
+// PrefillMs returns the time to read a prompt of a number of tokens through a number
+// of layers, in ms; 0 if the speed is not known.
 func (m *Model) PrefillMs(card Card, layers int, tokens float64) float64 {
 	if m.PrefillTokensPerMs <= 0 {
 		return 0
 	}
-	return tokens / m.PrefillTokensPerMs * card.PrefillFactor * m.share(layers)
+	return tokens / m.PrefillTokensPerMs * card.PrefillFactor * m.layerFraction(layers)
 }
 
-// Life gives the life that a report speaks for: the one known, or a later one if
-// its sender has started again.
+// Life returns the life of the engine that sent the report: known, or a later one if
+// the report has a later start time. A known life without a start time is returned as
+// it is.
 func (r Report) Life(known ids.Life) ids.Life {
 	if known.Born == 0 {
 		return known
@@ -140,35 +154,41 @@
 	return ids.Life{Upstream: known.Upstream, Born: max(known.Born, r.Born)}
 }
 
-// ZoneLinkUtilization gives the part of the way between two zones that so many tokens a
-// second take.
+// ZoneLinkUtilization returns the fraction of the capacity of the link between two
+// zones that a number of tokens per second takes; 0 if the capacity is not known.
 func (m *Model) ZoneLinkUtilization(tokensPerS float64) float64 {
 	if m.ZoneLinkMbps <= 0 {
 		return 0
 	}
-	return tokensPerS * m.ActivationBytes * bits / (m.ZoneLinkMbps * mb)
+	return tokensPerS * m.ActivationBytes * bitsPerByte / (m.ZoneLinkMbps * bytesPerMB)
 }
 
-// bits is the number of bits in a byte.
-const bits = 8
+// bitsPerByte is the number of bits in a byte.
+const bitsPerByte = 8
 
-// Report is what an engine reports of itself, some hundred ms old.
+// Report is the state that an engine reports of itself. It is some hundred ms old when
+// a node has it.
 type Report struct {
-	// Born is the Unix time of its start in ms, 0 where it does not tell.
+	// Born is the start time of the engine's process, in ms since the Unix epoch; 0
+	// when not reported.
 	Born int64
-	// Slowdown over 1 means that it takes so many times as long as usual.
-	Slowdown float64
-	// Active and Queued count its requests.
+	// Pace is the time that the engine takes per step as a multiple of the normal
+	// time: 1 is normal, more is slower.
+	Pace float64
+	// Active and Queued are the numbers of requests that run and that wait.
 	Active, Queued int
-	// ExecutingOrder tells that it carries out an order; Orders counts those it began
-	// since its start.
+	// ExecutingOrder is set while the engine executes an order to load other layers.
 	ExecutingOrder bool
-	OrdersStarted  int64
-	// Layers is what it holds, empty for nothing.
+	// OrdersStarted is the number of orders that the engine has started to execute
+	// since its own start.
+	OrdersStarted int64
+	// Layers is the range of layers that the engine holds.
 	Layers Range
-	// KVUsed and KVTotal are its KV cache, in tokens times layers.
+	// KVUsed and KVTotal are the used and total size of the KV cache, in tokens times
+	// layers.
 	KVUsed, KVTotal float64
-	// Stalled gives, for requests of which it is the first stage and that wait for
-	// another one which does not answer it, the address of that one.
+	// Stalled holds the requests that wait for a later stage which does not answer,
+	// with the address of that stage. It contains only requests whose first stage
+	// this engine is.
 	Stalled map[ids.Request]string
 }
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -334,22 +334,22 @@
 	if p.conditions.IsFull(now, e.ID) {
 		capacityCost += recentRefusalCostMs
 	}
-	return r.decodePasses(m)*(stageTransferCostMs+wait*p.slowdownCost(now, e.ID)) + capacityCost
+	return r.decodePasses(m)*(stageTransferCostMs+wait*p.paceFactor(now, e.ID)) + capacityCost
 }
 
 // slowEngineFactor multiplies the cost of an engine that is slow enough to delay
 // answers: callers lose more by a late answer than the time that it takes.
 const slowEngineFactor = 4.0
 
-// slowdownCost returns the factor by which the slowdown of an engine multiplies
-// its cost: the slowdown itself, 1 at the usual speed, and slowEngineFactor times
-// that from condition.SlowPace on.
-func (p *Picker) slowdownCost(now time.Time, id ids.Life) float64 {
-	slowdown := p.conditions.Pace(now, id)
-	if slowdown < condition.SlowPace {
-		return slowdown
+// paceFactor returns the factor that the pace of an engine puts on its costs: the
+// pace itself, which is 1 at normal speed and higher for a slower engine, and
+// slowEngineFactor times that from condition.SlowPace on.
+func (p *Picker) paceFactor(now time.Time, id ids.Life) float64 {
+	pace := p.conditions.Pace(now, id)
+	if pace < condition.SlowPace {
+		return pace
 	}
-	return slowdown * slowEngineFactor
+	return pace * slowEngineFactor
 }
 
 // layerCost returns the expected time in ms that a request takes in one layer of
@@ -364,7 +364,7 @@
 		streams += s.loadPerNode(now).streams * p.nodeCount
 	}
 	cost := m.PrefillMs(card, 1, r.PromptTokens) + r.decodePasses(m)*m.PassMs(card, 1, streams, r.kvTokens())
-	return cost * p.slowdownCost(now, e.ID)
+	return cost * p.paceFactor(now, e.ID)
 }
 
 // chainOf returns the chain of the path that ends at boundary last.
--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -28,9 +28,9 @@
 	// minFailedResponseMs is the least response time that a failed response
 	// counts with, in ms. An upstream that fails quickly must not look fast.
 	minFailedResponseMs = 400.0
-	// remoteZoneMs is the cost of an upstream in another zone, in ms: two network
+	// remoteZoneCostMs is the cost of an upstream in another zone, in ms: two network
 	// round trips.
-	remoteZoneMs = 3.0
+	remoteZoneCostMs = 3.0
 	// averageMaxAge is the age from which on an upstream's moving average is
 	// ignored, so that one that was slow is tried again.
 	averageMaxAge = 4 * time.Second
@@ -127,9 +127,9 @@
 	return best
 }
 
-// suspectedMs is the cost of a suspected upstream, in ms. It exceeds the cost of
+// suspectedCostMs is the cost of a suspected upstream, in ms. It exceeds the cost of
 // any other.
-const suspectedMs = 1e6
+const suspectedCostMs = 1e6
 
 // cost returns the expected response time of an upstream in ms, with the costs of
 // another zone and of a suspected upstream.
@@ -144,10 +144,10 @@
 	utilization := inFlight * p.nodeCount / float64(max(u.Slots, 1))
 	cost := mean * p.conditions.Pace(now, u.ID) * (1 + utilization)
 	if u.Zone != zone {
-		cost += remoteZoneMs
+		cost += remoteZoneCostMs
 	}
 	if p.conditions.Suspected(now, u.ID, u.Zone) {
-		cost += suspectedMs
+		cost += suspectedCostMs
 	}
 	return cost
 }
