--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -159,7 +159,7 @@
 
 // FullEngine returns the first engine of a chain that has recently refused a
 // request for lack of capacity, nil if there is none. Pick returns a chain with
-// such an engine only if it finds none without one, or only much dearer ones.
+// such an engine only if every chain without one is missing or costs more.
 func (p *Picker) FullEngine(now time.Time, c Chain) *directory.Upstream {
 	for _, stage := range c {
 		if p.conditions.IsFull(now, stage.Engine.ID) {
