--- a/decide/balancer/balancer.go
+++ b/decide/balancer/balancer.go
@@ -48,9 +48,9 @@
 	// hash prefer the same chain, whose KV cache may hold the prefix; 0 means
 	// no preference.
 	PrefixHash uint64
-	// Tokens is the estimated number of token steps that the request needs:
+	// TokenSteps is the estimated number of token steps that the request needs:
 	// its output tokens and the steps that read its prompt.
-	Tokens int
+	TokenSteps int
 	// Zone is the availability zone of this node.
 	Zone ids.Zone
 	// Exclude reports whether an upstream must not be used, for instance
--- a/decide/load/entry.go
+++ b/decide/load/entry.go
@@ -111,7 +111,7 @@
 		Rate:            e.lastReport.TokensPerSecond,
 		Epoch:           e.lastReport.Epoch,
 		Leaving:         e.lastReport.Leaving,
-		Failures:        e.failedPolls,
+		FailedPolls:     e.failedPolls,
 		HasReport:       e.hasReport,
 	}
 	if e.hasReport {
--- a/decide/load/estimator_test.go
+++ b/decide/load/estimator_test.go
@@ -106,7 +106,7 @@
 	mustApply(t, est, 1200, restarted)
 	checkInFlight(t, est, 1200, 0)
 	est.PollFailed(at(1300), "e")
-	if got := est.Estimate(at(1300), "e"); got.Epoch != "2" || !got.Leaving || got.Failures != 1 {
+	if got := est.Estimate(at(1300), "e"); got.Epoch != "2" || !got.Leaving || got.FailedPolls != 1 {
 		t.Errorf("estimate %+v", got)
 	}
 }
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -62,8 +62,8 @@
 	Leaving bool
 	// Age is the time since the last report was measured; 0 without a report.
 	Age time.Duration
-	// Failures is the number of failed polls since the last report.
-	Failures int
+	// FailedPolls is the number of failed polls since the last report.
+	FailedPolls int
 	// HasReport is set when there is a load report.
 	HasReport bool
 }
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -62,7 +62,7 @@
 	want := balancer.Request{
 		Service:    req.arrival.Service,
 		PrefixHash: req.arrival.PrefixHash,
-		Tokens:     int(req.cost()),
+		TokenSteps: int(req.cost()),
 		Zone:       r.opts.Zone,
 		Exclude:    exclude,
 	}
