--- a/decide/balancer/balancer.go
+++ b/decide/balancer/balancer.go
@@ -21,8 +21,8 @@
 
 // Picker chooses a chain of engines for each model request.
 type Picker interface {
-	// Pick returns the chain for a request at time now, and false when no
-	// chain of usable engines has capacity, so that the request must wait.
+	// Pick returns the chain for a request at time now. It returns false when it
+	// finds no chain of usable engines with capacity; the request must then wait.
 	Pick(now time.Time, r Request, v View) (topology.Chain, bool)
 }
 
@@ -61,7 +61,7 @@
 // Options configures the strategies.
 type Options struct {
 	// TokenInterval is the target for the time between two tokens of a stream:
-	// strategy flow gives an engine no further request that would exceed it.
+	// strategy flow gives a busy engine no further request that would exceed it.
 	// 0 means no target. The other strategies ignore it.
 	TokenInterval time.Duration
 }
