--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -190,11 +190,11 @@
 	conditions := condition.New()
 	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.SetPace(start, life("a"), 5)
+	conditions.SetSlowdown(start, life("a"), 5)
 	if got := mustPick(t, p, v, request); got != "b=0-80" {
 		t.Errorf("with engine a slow: chain %s", got)
 	}
-	conditions.SetPace(start, life("a"), 1)
+	conditions.SetSlowdown(start, life("a"), 1)
 	conditions.RefusedFull(start, life("a"))
 	if got := mustPick(t, p, v, request); got != "b=0-80" {
 		t.Errorf("with engine a full: chain %s", got)
@@ -251,7 +251,7 @@
 	conditions := condition.New()
 	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.SetPace(start, life("b"), 4)
+	conditions.SetSlowdown(start, life("b"), 4)
 	streams := 0
 	for c, _ := p.Pick(start, model(), v, request); c.Has(life("a")); c, _ = p.Pick(start, model(), v, request) {
 		p.RequestStarted(start, c, request)
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -345,8 +345,8 @@
 // pace itself, which is 1 at normal speed and higher for a slower engine, and
 // slowEngineFactor times that from condition.SlowPace on.
 func (p *Picker) paceFactor(now time.Time, id ids.Life) float64 {
-	pace := p.conditions.Pace(now, id)
-	if pace < condition.SlowPace {
+	pace := p.conditions.Slowdown(now, id)
+	if pace < condition.StalledSlowdown {
 		return pace
 	}
 	return pace * slowEngineFactor
--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -142,7 +142,7 @@
 		}
 	}
 	utilization := inFlight * p.nodeCount / float64(max(u.Slots, 1))
-	cost := mean * p.conditions.Pace(now, u.ID) * (1 + utilization)
+	cost := mean * p.conditions.Slowdown(now, u.ID) * (1 + utilization)
 	if u.Zone != zone {
 		cost += remoteZoneCostMs
 	}
