--- a/adapter/forward/crashes.go
+++ b/adapter/forward/crashes.go
@@ -47,7 +47,7 @@
 	opts Options
 
 	mu             sync.Mutex
-	blamers        map[ids.Service]*quarantine.Blamer
+	detectors      map[ids.Service]*quarantine.Detector
 	lostRuns       []*run
 	lostByUpstream map[ids.Life][]*run
 	diedAt         map[ids.Life]time.Time
@@ -65,23 +65,23 @@
 func newCrashTracker(o Options) *crashTracker {
 	return &crashTracker{
 		opts:           o,
-		blamers:        make(map[ids.Service]*quarantine.Blamer),
+		detectors:      make(map[ids.Service]*quarantine.Detector),
 		lostByUpstream: make(map[ids.Life][]*run),
 		diedAt:         make(map[ids.Life]time.Time),
 		verdicts:       make(map[quarantine.Fingerprint]heldVerdict),
 	}
 }
 
-// blamer returns the evidence of a service, and creates it if there is none.
-func (c *crashTracker) blamer(service ids.Service) *quarantine.Blamer {
-	q := c.blamers[service]
-	if q == nil {
+// detector returns the detector of a service, and creates it if there is none.
+func (c *crashTracker) detector(service ids.Service) *quarantine.Detector {
+	d := c.detectors[service]
+	if d == nil {
 		// Nodes exchange verdicts but no evidence, so there is no evidence of peers to wait
 		// for.
-		q = quarantine.New(quarantine.Options{Settle: -1})
-		c.blamers[service] = q
+		d = quarantine.New(quarantine.Options{PeerWait: -1})
+		c.detectors[service] = d
 	}
-	return q
+	return d
 }
 
 // runLost records that the connection of a run broke, or that the run was rerouted
@@ -135,7 +135,7 @@
 	c.blameLostRuns(now, u.ID, u.Service)
 }
 
-// blameLostRuns reports a death to the blamer, with the fingerprints of the runs lost
+// blameLostRuns reports a death to the detector, with the fingerprints of the runs lost
 // on that upstream.
 func (c *crashTracker) blameLostRuns(now time.Time, id ids.Life, service ids.Service) {
 	var fingerprints []quarantine.Fingerprint
@@ -147,14 +147,14 @@
 	}
 	// A death without lost runs is reported too: it is evidence for a cause other than a
 	// request.
-	c.blamer(service).Died(now, id.Upstream, strconv.FormatInt(id.Born, 10), fingerprints)
+	c.detector(service).RecordDeath(now, id.Upstream, strconv.FormatInt(id.Born, 10), fingerprints)
 }
 
 // requestServed records that a request was answered completely, which clears it.
 func (c *crashTracker) requestServed(service ids.Service, fingerprint quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.blamer(service).Succeeded(c.opts.Now(), fingerprint)
+	c.detector(service).RecordSuccess(c.opts.Now(), fingerprint)
 }
 
 // quarantined reports whether requests with a fingerprint are to be refused. newVerdict
@@ -168,7 +168,7 @@
 	if held && !known.local {
 		return true, nil
 	}
-	found, until := c.blamer(service).Quarantined(now, fingerprint)
+	found, until := c.detector(service).Quarantined(now, fingerprint)
 	if !found || held {
 		return found, nil
 	}
@@ -195,6 +195,6 @@
 		}
 	}
 	if len(c.verdicts) < maxVerdicts {
-		c.verdicts[v.Fingerprint] = heldVerdict{until: now.Add(min(v.For, quarantine.DefaultFor)), local: local}
+		c.verdicts[v.Fingerprint] = heldVerdict{until: now.Add(min(v.For, quarantine.DefaultDuration)), local: local}
 	}
 }
--- a/adapter/forward/crashes_test.go
+++ b/adapter/forward/crashes_test.go
@@ -318,8 +318,8 @@
 
 func TestEnginesThatStayInARerouteAreNotLost(t *testing.T) {
 	r := newTestServer(t)
-	engine := func(id string, revision int64) chain.Hop {
-		return chain.Hop{Engine: &directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Revision: revision}}
+	engine := func(id string, revision int64) chain.Stage {
+		return chain.Stage{Engine: &directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Revision: revision}}
 	}
 	w := &stallWatch{s: &stream{x: &exchange{server: r.Server}}}
 	// The entry of the first engine changes between the two chains.
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -169,7 +169,7 @@
 		return &refusal{fasthttp.StatusUnauthorized, outcome.Unauthorized, "missing or unknown key", 0}
 	}
 	_, draw := x.server.draw()
-	x.service = x.route.Pick(draw)
+	x.service = x.route.PickService(draw)
 	x.fingerprint = x.computeFingerprint()
 	x.setDeadline()
 	return nil
@@ -310,7 +310,7 @@
 // recordAnswered logs and counts a complete response of an upstream.
 func (x *exchange) recordAnswered(status int, u *directory.Upstream) {
 	took := x.server.opts.Now().Sub(x.arrived)
-	if x.route.Kind != routing.Streaming && x.route.Objective > 0 && took > x.route.Objective {
+	if x.route.Kind != routing.Streaming && x.route.LatencyObjective > 0 && took > x.route.LatencyObjective {
 		x.markLate(latePlain)
 	}
 	x.count("outcome.answered")
--- a/adapter/forward/headers.go
+++ b/adapter/forward/headers.go
@@ -137,9 +137,9 @@
 // authenticate returns the account whose key the request carries, nil if the route
 // needs no key. ok is false if a key is needed and is missing or unknown.
 func (x *exchange) authenticate(table *routing.Table) (account *routing.Account, ok bool) {
-	if x.route.Open || !table.KeysNeeded() {
+	if x.route.AuthExempt || !table.RequiresKey() {
 		return nil, true
 	}
-	account = table.Account(string(x.req.Header.Peek(x.server.opts.Headers.Key)))
+	account = table.AccountByKey(string(x.req.Header.Peek(x.server.opts.Headers.Key)))
 	return account, account != nil
 }
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -26,9 +26,9 @@
 	mu          sync.Mutex
 	nodes       int
 	conditions  *condition.Table
-	chains      *chain.Book
-	retryAfters *retryafter.Book
-	replicas    *replica.Book
+	chains      *chain.Picker
+	retryAfters *retryafter.Estimator
+	replicas    *replica.Picker
 	budgets     map[ids.Service]*retry.Budget
 }
 
@@ -51,8 +51,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nodes = n
-	p.chains.SetFleet(n)
-	p.replicas.SetFleet(n)
+	p.chains.SetNodeCount(n)
+	p.replicas.SetNodeCount(n)
 	for _, b := range p.budgets {
 		p.applyBudget(b)
 	}
@@ -62,7 +62,7 @@
 func (p *picker) applyBudget(b *retry.Budget) {
 	ratio, perSecond := p.opts.Budget.nodeAllowance(p.nodes)
 	b.SetPolicy(fleet.RetryPolicy{BudgetRatio: ratio, BudgetMin: perSecond})
-	b.BoundWindow(p.opts.Budget.nodeWindowLimit(p.nodes))
+	b.LimitWindow(p.opts.Budget.nodeWindowLimit(p.nodes))
 }
 
 // budget returns the retry budget of a service, and creates it if there is none.
@@ -80,7 +80,7 @@
 func (p *picker) recordFirstSend(service ids.Service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(service).First(p.opts.Now())
+	p.budget(service).RecordFirst(p.opts.Now())
 }
 
 // newRequestBudgetFraction is the fraction of the retry budget available to requests
@@ -95,7 +95,7 @@
 	defer p.mu.Unlock()
 	now := p.opts.Now()
 	b := p.budget(service)
-	if !begun && !b.AvailableOf(now, newRequestBudgetFraction) {
+	if !begun && !b.AvailableWithin(now, newRequestBudgetFraction) {
 		return false
 	}
 	return b.Allow(now, reason)
@@ -107,18 +107,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer func() { p.opts.Metrics.Took("decision.chain", p.opts.Now().Sub(began)) }()
-	c, err := p.chains.Choose(p.opts.Now(), m, view, r)
+	c, err := p.chains.Pick(p.opts.Now(), m, view, r)
 	if err != nil {
 		return nil, err
 	}
-	p.retryAfters.Found(began, r.Service)
+	p.retryAfters.ChainFound(began, r.Service)
 	if !p.checkTiling(c, m.Layers) {
 		return nil, &chain.TilingError{Chain: c.String(), Layers: m.Layers}
 	}
-	if full := p.chains.Full(began, c); full != nil && !r.Begun {
+	if full := p.chains.FullEngine(began, c); full != nil && !r.OutputStarted {
 		return nil, &chain.FullError{Service: r.Service, Engine: full.ID}
 	}
-	p.chains.Began(p.opts.Now(), c, r)
+	p.chains.RequestStarted(p.opts.Now(), c, r)
 	return c, nil
 }
 
@@ -127,14 +127,14 @@
 func (p *picker) retryAfter(service ids.Service, left time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.retryAfters.Missing(p.opts.Now(), service, left)
+	return p.retryAfters.ChainMissing(p.opts.Now(), service, left)
 }
 
 // probesDue returns the slow or silent upstreams that are due for another probe.
 func (p *picker) probesDue() []ids.Life {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conditions.Due(p.opts.Now())
+	return p.conditions.ProbesDue(p.opts.Now())
 }
 
 // silentFor returns for how long an upstream has not answered.
@@ -173,10 +173,10 @@
 	if dead {
 		fraction = 1
 	}
-	if !p.budget(r.Service).AvailableOf(now, fraction) {
+	if !p.budget(r.Service).AvailableWithin(now, fraction) {
 		return false
 	}
-	other, err := p.chains.Choose(now, m, view, r)
+	other, err := p.chains.Pick(now, m, view, r)
 	if err != nil {
 		return false
 	}
@@ -190,16 +190,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Now()
-	r.First = &present[0]
-	other, err := p.chains.Choose(now, m, view, r)
+	r.PinnedFirst = &present[0]
+	other, err := p.chains.Pick(now, m, view, r)
 	if err != nil || !p.checkTiling(other, m.Layers) {
 		return nil
 	}
 	if !dead && p.chains.Cost(now, m, r, other) >= maxSwitchCostRatio*p.chains.Cost(now, m, r, present) {
 		return nil
 	}
-	p.chains.Ended(now, present, r)
-	p.chains.Began(now, other, r)
+	p.chains.RequestEnded(now, present, r)
+	p.chains.RequestStarted(now, other, r)
 	return other
 }
 
@@ -207,7 +207,7 @@
 func (p *picker) chainEnded(c chain.Chain, r chain.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chains.Ended(p.opts.Now(), c, r)
+	p.chains.RequestEnded(p.opts.Now(), c, r)
 }
 
 // chooseReplica chooses the upstream of a plain request and counts the request on it.
@@ -217,9 +217,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer func() { p.opts.Metrics.Took("decision.replica", p.opts.Now().Sub(began)) }()
-	u := p.replicas.Choose(p.opts.Now(), list, p.opts.Zone, avoid, draw)
+	u := p.replicas.Pick(p.opts.Now(), list, p.opts.Zone, avoid, draw)
 	if u != nil {
-		p.replicas.Began(u.ID)
+		p.replicas.RequestStarted(u.ID)
 	}
 	return u
 }
@@ -229,7 +229,7 @@
 func (p *picker) replicaEnded(id ids.Life, took time.Duration, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replicas.Ended(p.opts.Now(), id, took, failed)
+	p.replicas.RequestEnded(p.opts.Now(), id, took, failed)
 }
 
 // recordFailure records that an upstream did not answer. It logs and counts a new
@@ -265,14 +265,14 @@
 func (p *picker) connectivityRestored() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Reached()
+	p.conditions.ConnectivityRestored()
 }
 
 // setPace records the pace that an upstream reports.
 func (p *picker) setPace(u *directory.Upstream, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Paced(p.opts.Now(), u.ID, pace)
+	p.conditions.SetSlowdown(p.opts.Now(), u.ID, pace)
 }
 
 // connectFailed records that no connection to an upstream could be made. A refused
@@ -297,14 +297,14 @@
 func (p *picker) loadReported(u *directory.Upstream, requests int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chains.Reported(p.opts.Now(), u.ID, requests)
+	p.chains.LoadReported(p.opts.Now(), u.ID, requests)
 }
 
 // refusedFull records that an upstream refused a request because it is full.
 func (p *picker) refusedFull(u *directory.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.Full(p.opts.Now(), u.ID)
+	p.conditions.RefusedFull(p.opts.Now(), u.ID)
 }
 
 // refusedWithRoom records that an upstream refused a request although it is not full.
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -154,7 +154,7 @@
 	// The request's own deadline has to end first, as it determines the response.
 	wait := x.deadline.Sub(x.server.opts.Now()) + time.Second
 	if first && x.route.Kind == routing.Idempotent && x.route.Attempts() > 1 {
-		hedge := max(time.Duration(float64(x.route.Objective)*hedgeDelayObjectives), minHedgeDelay)
+		hedge := max(time.Duration(float64(x.route.LatencyObjective)*hedgeDelayObjectives), minHedgeDelay)
 		wait = min(wait, hedge)
 	}
 	return func(waited time.Duration) (time.Duration, error) {
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -97,7 +97,7 @@
 		switch {
 		case probes[i].dead:
 			dead = append(dead, h.Engine)
-		case probes[i].pace >= condition.SlowPace:
+		case probes[i].pace >= condition.StalledSlowdown:
 			slow = append(slow, h.Engine)
 		}
 	}
@@ -175,7 +175,7 @@
 	out.stalled = report.Stalled
 	p.picker.recordAnswer(u)
 	p.picker.setPace(u, report.Pace)
-	if report.Pace >= condition.SlowPace {
+	if report.Pace >= condition.StalledSlowdown {
 		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Pace).Send()
 	}
 }
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -80,7 +80,7 @@
 	x := w.s.x
 	now := x.server.opts.Now()
 	pause := now.Sub(w.s.lastEvent)
-	if !w.started && x.route.Objective > 0 && now.Sub(x.arrived) > x.route.Objective {
+	if !w.started && x.route.LatencyObjective > 0 && now.Sub(x.arrived) > x.route.LatencyObjective {
 		x.markLate(w.delayCause(true))
 	}
 	if w.started && x.route.PauseObjective > 0 && pause > x.route.PauseObjective {
@@ -104,7 +104,7 @@
 func (w *stallWatch) stallTimeout() time.Duration {
 	route := w.s.x.route
 	if !w.started {
-		objective := route.Objective
+		objective := route.LatencyObjective
 		if objective <= 0 {
 			objective = defaultObjective
 		}
@@ -245,6 +245,6 @@
 		return false
 	}
 	req := w.requestAvoiding(faulty)
-	req.FirstOf = x.allowedUpstreams(w.chain[0].Engine.ID)
+	req.AllowedFirst = x.allowedUpstreams(w.chain[0].Engine.ID)
 	return x.server.picker.worthSwitching(w.s.model, x.server.opts.View(), req, w.chain, dead)
 }
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -41,7 +41,7 @@
 func (x *exchange) serveStream(ctx context.Context, table *routing.Table) {
 	s := &stream{x: x, meanGap: x.route.PauseObjective / initialGapDivisor, lastResort: make(map[ids.Life]bool), fullUntil: make(map[ids.Life]time.Time)}
 	_, draw := x.server.draw()
-	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Life]bool), Draw: draw}
+	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Life]bool), JitterSeed: draw}
 	if service := table.Service(x.service); service != nil {
 		s.model = service.Model
 	}
@@ -60,15 +60,15 @@
 // estimateSize sets the numbers of prompt and answer tokens from the request's headers,
 // or else from the model's means.
 func (s *stream) estimateSize() {
-	s.req.Prompt, s.req.Answer = s.x.parseTokens()
+	s.req.PromptTokens, s.req.OutputTokens = s.x.parseTokens()
 	if s.model == nil {
 		return
 	}
-	if s.req.Prompt == 0 {
-		s.req.Prompt = s.model.Prompt
+	if s.req.PromptTokens == 0 {
+		s.req.PromptTokens = s.model.MeanPromptTokens
 	}
-	if s.req.Answer == 0 {
-		s.req.Answer = s.model.Answer
+	if s.req.OutputTokens == 0 {
+		s.req.OutputTokens = s.model.MeanOutputTokens
 	}
 }
 
@@ -190,10 +190,10 @@
 	}
 	view := x.server.opts.View()
 	x.server.prober.refresh(ctx, view)
-	s.req.FirstOf = x.allowedUpstreams()
+	s.req.AllowedFirst = x.allowedUpstreams()
 	req := s.req
 	// A caller that resumes a stream also has part of the response.
-	req.Avoid, req.Begun = s.avoidedEngines(), x.responseStarted || s.seq.started
+	req.Avoid, req.OutputStarted = s.avoidedEngines(), x.responseStarted || s.seq.started
 	strict := req
 	strict.Avoid = maps.Clone(req.Avoid)
 	maps.Copy(strict.Avoid, s.lastResort)
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -400,7 +400,7 @@
 		t.Fatalf("probed %d engines, want only the slow one", len(prober.latest))
 	}
 	<-prober.latest[life("slow")].done
-	if pace := p.conditions.Pace(now, life("slow")); pace != 1 {
+	if pace := p.conditions.Slowdown(now, life("slow")); pace != 1 {
 		t.Errorf("a recovered engine has pace %v, want 1", pace)
 	}
 }
@@ -487,7 +487,7 @@
 	m, view := table.Service("model").Model, r.dir.View()
 	p.setPace(&slow.Upstream, 50)
 	now := chain.Chain{{Engine: view.Get(life("a")), Layers: slow.Layers}}
-	req := chain.Request{Service: "model", Zone: "z", Prompt: 10, Answer: 10, Avoid: map[ids.Life]bool{life("a"): true}}
+	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Life]bool{life("a"): true}}
 	if p.worthSwitching(m, view, req, now, false) {
 		t.Error("a slow stream takes one of the last retries")
 	}
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -96,7 +96,7 @@
 	probe     *probe
 	fleet     *fleet
 	server    *forward.Server
-	keeper    *leader.Keeper
+	keeper    *leader.Elector
 	placer    *placer.Placer
 
 	verdicts chan quarantine.Verdict
@@ -147,11 +147,11 @@
 	n.upstreams.gone, n.upstreams.reached = n.server.UpstreamRemoved, n.server.StoreReconnected
 	n.keeper = leader.New(leader.Options{
 		Lease: lease.Options{
-			Holder:     holder(settings),
-			Duration:   settings.Lease,
-			ReadEvery:  settings.Lease / leaseReadPart,
-			StaleReads: true,
-			Seed:       settings.Seed,
+			Holder:       holder(settings),
+			Duration:     settings.Lease,
+			ReadInterval: settings.Lease / leaseReadPart,
+			StaleReads:   true,
+			Seed:         settings.Seed,
 		},
 		Store:     &timedLease{ports.Lease, n.metrics.Took},
 		Now:       boottime.Now,
@@ -160,17 +160,17 @@
 		Log:       log,
 	})
 	n.placer = placer.New(placer.Options{
-		Table:     n.configs.table.Load,
-		View:      n.upstreams.view.Load,
-		Engines:   ports.Engines,
-		Lease:     n.keeper,
-		Plan:      settings.Plan,
-		Fenced:    settings.Fenced,
-		Now:       boottime.Now,
-		Log:       log,
-		Count:     n.metrics.Add,
-		SilentFor: n.server.SilentFor,
-		Restarted: n.upstreams.restarted,
+		Table:       n.configs.table.Load,
+		View:        n.upstreams.view.Load,
+		Engines:     ports.Engines,
+		Lease:       n.keeper,
+		Plan:        settings.Plan,
+		ChecksFence: settings.Fenced,
+		Now:         boottime.Now,
+		Log:         log,
+		Count:       n.metrics.Add,
+		SilentFor:   n.server.SilentFor,
+		Restarted:   n.upstreams.restarted,
 	})
 	n.gauges()
 	return n
