--- a/adapter/forward/headers.go
+++ b/adapter/forward/headers.go
@@ -92,17 +92,17 @@
 	return base + time.Duration(x.draw()*float64(base)/2)
 }
 
-// parseTokens reads the number of prompt tokens of a request, and the number of answer
+// parseTokens reads the number of prompt tokens of a request, and the number of output
 // tokens: the caller's length hint, or else its maximum. 0 means unknown.
-func (x *exchange) parseTokens() (prompt, answer float64) {
+func (x *exchange) parseTokens() (prompt, output float64) {
 	h := &x.server.opts.Headers
 	first, second, _ := strings.Cut(string(x.req.Header.Peek(h.TokenCounts)), ",")
 	prompt = parseFloat(first)
-	answer = parseFloat(second)
+	output = parseFloat(second)
 	if hint := parseFloat(string(x.req.Header.Peek(h.LengthHint))); hint > 0 {
-		answer = hint
+		output = hint
 	}
-	return prompt, answer
+	return prompt, output
 }
 
 // parseFloat parses a number. It returns 0, which means unknown, if the number is
--- a/adapter/forward/late.go
+++ b/adapter/forward/late.go
@@ -10,7 +10,7 @@
 	lateSlow lateCause = "slow_stage"
 	// lateDead: a stage did not answer a probe, and the request was not rerouted in time.
 	lateDead lateCause = "dead_stage"
-	// lateBusy: all stages answered their probes and reported a normal pace.
+	// lateBusy: all stages answered their probes and reported no slowdown.
 	lateBusy lateCause = "busy_stage"
 	// lateUnasked: the wait was too short for the stages to be probed.
 	lateUnasked lateCause = "unasked"
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -48,7 +48,7 @@
 	Stages string
 	// Priority is the rank of a request at an engine, 0 first, 9 last.
 	Priority string
-	// TokenCounts carries the number of prompt tokens and the maximum number of answer
+	// TokenCounts carries the number of prompt tokens and the maximum number of output
 	// tokens, separated by a comma. LengthHint is the caller's estimate of the latter.
 	TokenCounts, LengthHint string
 	// LastEventID is the id of the last event of a stream that the caller has.
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -268,11 +268,11 @@
 	p.conditions.ConnectivityRestored()
 }
 
-// setPace records the pace that an upstream reports.
-func (p *picker) setPace(u *directory.Upstream, pace float64) {
+// setSlowdown records the slowdown that an upstream reports, 1 for a normal speed.
+func (p *picker) setSlowdown(u *directory.Upstream, slowdown float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conditions.SetSlowdown(p.opts.Now(), u.ID, pace)
+	p.conditions.SetSlowdown(p.opts.Now(), u.ID, slowdown)
 }
 
 // connectFailed records that no connection to an upstream could be made. A refused
@@ -307,8 +307,8 @@
 	p.conditions.RefusedFull(p.opts.Now(), u.ID)
 }
 
-// refusedWithRoom records that an upstream refused a request although it is not full.
-func (p *picker) refusedWithRoom(u *directory.Upstream) {
+// refusedNotFull records that an upstream refused a request although it is not full.
+func (p *picker) refusedNotFull(u *directory.Upstream) {
 	p.mu.Lock()
 	p.conditions.Refused(p.opts.Now(), u.ID)
 	p.mu.Unlock()
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -25,7 +25,8 @@
 	// streams at once, and one probe is enough for all of them.
 	probeTTL = 250 * time.Millisecond
 	// chainProbeTTL is how long a result is reused when all stages of a chain are probed.
-	// Their pace changes only over seconds, and a chain can have a dozen stages or more.
+	// Their slowdown changes only over seconds, and a chain can have a dozen stages or
+	// more.
 	chainProbeTTL = time.Second
 )
 
@@ -42,11 +43,11 @@
 type probe struct {
 	at   time.Time
 	done chan struct{}
-	// dead, pace, full and stalled are valid once done is closed.
-	dead    bool
-	pace    float64
-	full    bool
-	stalled map[ids.Request]string
+	// dead, slowdown, full and stalled are valid once done is closed.
+	dead     bool
+	slowdown float64
+	full     bool
+	stalled  map[ids.Request]string
 }
 
 // newProber returns a prober without results.
@@ -67,7 +68,7 @@
 // diagnoseStall finds out why a request makes no progress on a chain. It probes the
 // first stage, whose report names the stage that does not answer it. If the report
 // names none, it probes all stages. dead are the engines that did not answer, slow
-// those whose reported pace is at least condition.SlowPace.
+// those that report a slowdown of at least condition.StalledSlowdown.
 func (p *prober) diagnoseStall(ctx context.Context, request string, c chain.Chain) (dead, slow []*directory.Upstream) {
 	first := p.latestProbe(ctx, c[0].Engine, probeTTL)
 	<-first.done
@@ -75,11 +76,11 @@
 		return []*directory.Upstream{c[0].Engine}, nil
 	}
 	if address := first.stalled[ids.Request(request)]; address != "" {
-		for _, h := range c {
-			if h.Engine.Address == address {
+		for _, stage := range c {
+			if stage.Engine.Address == address {
 				// The engine does not answer the first stage, even if it answers this node.
-				p.latestProbe(ctx, h.Engine, probeTTL)
-				return []*directory.Upstream{h.Engine}, nil
+				p.latestProbe(ctx, stage.Engine, probeTTL)
+				return []*directory.Upstream{stage.Engine}, nil
 			}
 		}
 	}
@@ -89,16 +90,16 @@
 // probeChain probes all engines of a chain that were not probed within chainProbeTTL.
 func (p *prober) probeChain(ctx context.Context, c chain.Chain) (dead, slow []*directory.Upstream) {
 	probes := make([]*probe, len(c))
-	for i, h := range c {
-		probes[i] = p.latestProbe(ctx, h.Engine, chainProbeTTL)
+	for i, stage := range c {
+		probes[i] = p.latestProbe(ctx, stage.Engine, chainProbeTTL)
 	}
-	for i, h := range c {
+	for i, stage := range c {
 		<-probes[i].done
 		switch {
 		case probes[i].dead:
-			dead = append(dead, h.Engine)
-		case probes[i].pace >= condition.StalledSlowdown:
-			slow = append(slow, h.Engine)
+			dead = append(dead, stage.Engine)
+		case probes[i].slowdown >= condition.StalledSlowdown:
+			slow = append(slow, stage.Engine)
 		}
 	}
 	return dead, slow
@@ -109,7 +110,7 @@
 // not the expected process, it may have restarted, which its report shows.
 func (p *prober) diagnoseRefusal(ctx context.Context, u *directory.Upstream, reason outcome.Reason) {
 	if reason != outcome.UpstreamBusy {
-		p.picker.refusedWithRoom(u)
+		p.picker.refusedNotFull(u)
 		p.latestProbe(ctx, u, probeTTL)
 		return
 	}
@@ -120,7 +121,7 @@
 	case probe.full:
 		p.picker.refusedFull(u)
 	default:
-		p.picker.refusedWithRoom(u)
+		p.picker.refusedNotFull(u)
 	}
 }
 
@@ -170,11 +171,11 @@
 		p.picker.connectFailed(u, err)
 		return
 	}
-	out.pace = report.Pace
+	out.slowdown = report.Pace
 	out.full = isFull(report)
 	out.stalled = report.Stalled
 	p.picker.recordAnswer(u)
-	p.picker.setPace(u, report.Pace)
+	p.picker.setSlowdown(u, report.Pace)
 	if report.Pace >= condition.StalledSlowdown {
 		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Pace).Send()
 	}
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -230,9 +230,9 @@
 
 // avoidAddress adds the engine of a chain that has the given address to avoid.
 func (w *stallWatch) avoidAddress(avoid map[ids.Life]bool, c chain.Chain, address string) {
-	for _, h := range c {
-		if h.Engine.Address == address {
-			avoid[h.Engine.ID] = true
+	for _, stage := range c {
+		if stage.Engine.Address == address {
+			avoid[stage.Engine.ID] = true
 		}
 	}
 }
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// estimateSize sets the numbers of prompt and answer tokens from the request's headers,
+// estimateSize sets the numbers of prompt and output tokens from the request's headers,
 // or else from the model's means.
 func (s *stream) estimateSize() {
 	s.req.PromptTokens, s.req.OutputTokens = s.x.parseTokens()
@@ -398,10 +398,10 @@
 	case failed.reason == outcome.UpstreamLost || failed.reason == outcome.UpstreamInvalid:
 		s.avoidBrokenEngines(ctx, c)
 	}
-	for _, h := range c {
-		if h.Engine.Address == failed.faultyStage {
-			s.avoidRefusing(h.Engine.ID, failed.reason)
-			x.server.prober.diagnoseRefusal(ctx, h.Engine, failed.reason)
+	for _, stage := range c {
+		if stage.Engine.Address == failed.faultyStage {
+			s.avoidRefusing(stage.Engine.ID, failed.reason)
+			x.server.prober.diagnoseRefusal(ctx, stage.Engine, failed.reason)
 		}
 	}
 }
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -388,8 +388,8 @@
 		d.Put(directory.Upstream{ID: id, Service: "model", Address: string(id.Upstream), Revision: 1})
 	}
 	view := d.View()
-	p.setPace(view.Get(life("slow")), 12)
-	p.setPace(view.Get(life("usual")), 1)
+	p.setSlowdown(view.Get(life("slow")), 12)
+	p.setSlowdown(view.Get(life("usual")), 1)
 	prober.refresh(t.Context(), view)
 	if len(prober.latest) != 0 {
 		t.Fatal("probed again at once")
@@ -400,8 +400,8 @@
 		t.Fatalf("probed %d engines, want only the slow one", len(prober.latest))
 	}
 	<-prober.latest[life("slow")].done
-	if pace := p.conditions.Slowdown(now, life("slow")); pace != 1 {
-		t.Errorf("a recovered engine has pace %v, want 1", pace)
+	if slowdown := p.conditions.Slowdown(now, life("slow")); slowdown != 1 {
+		t.Errorf("a recovered engine has slowdown %v, want 1", slowdown)
 	}
 }
 
@@ -485,7 +485,7 @@
 	}
 	table := r.table.Load()
 	m, view := table.Service("model").Model, r.dir.View()
-	p.setPace(&slow.Upstream, 50)
+	p.setSlowdown(&slow.Upstream, 50)
 	now := chain.Chain{{Engine: view.Get(life("a")), Layers: slow.Layers}}
 	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Life]bool{life("a"): true}}
 	if p.worthSwitching(m, view, req, now, false) {
