--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	guarded := &guardedConn{Conn: conn, silence: within - callTimeout + roster.PeerSilence}
+	guarded := &guardedConn{Conn: conn, silence: within - callTimeout + roster.PeerReadTimeout}
 	stream := jsonrpc2.NewBufferedStream(guarded, jsonrpc2.VarintObjectCodec{})
 	rpc := jsonrpc2.NewConn(limit, stream, jsonrpc2.HandlerWithError(answer(nothing{})), jsonrpc2.SetLogger(quiet))
 	defer rpc.Close()
@@ -249,7 +249,7 @@
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.silence = roster.PeerSilence
+	c.silence = roster.PeerReadTimeout
 	return n, err
 }
 
--- a/adapter/relay/relay_test.go
+++ b/adapter/relay/relay_test.go
@@ -153,7 +153,7 @@
 	if news, err := Ask(t.Context(), thin, Have{}); err != nil || news.Config == nil {
 		t.Errorf("%+v, %v", news, err)
 	}
-	if took := time.Since(began); took < 2*roster.PeerSilence {
+	if took := time.Since(began); took < 2*roster.PeerReadTimeout {
 		t.Errorf("the answer came after %v: the test shows nothing", took)
 	}
 	still := listen(t)
@@ -164,7 +164,7 @@
 	if !errors.As(err, &silent) {
 		t.Errorf("error %v", err)
 	}
-	if took := time.Since(began); took < wait+roster.PeerSilence || took > wait+2*roster.PeerSilence {
+	if took := time.Since(began); took < wait+roster.PeerReadTimeout || took > wait+2*roster.PeerReadTimeout {
 		t.Errorf("left after %v", took)
 	}
 }
--- a/decide/roster/lease_test.go
+++ b/decide/roster/lease_test.go
@@ -55,7 +55,7 @@
 		if s.dead {
 			continue
 		}
-		if s.roster.Head(now) {
+		if s.roster.IsLeaseCandidate(now) {
 			s.lease.Campaign()
 		} else {
 			s.lease.Resign()
--- a/decide/roster/model_test.go
+++ b/decide/roster/model_test.go
@@ -14,7 +14,7 @@
 	step         = 25 * time.Millisecond
 	watchWait    = 3 * time.Second
 	watchSlack   = 400 * time.Millisecond
-	peerSilent   = PeerWait + PeerSilence
+	peerSilent   = PeerPollWait + PeerReadTimeout
 	dialSilent   = 150 * time.Millisecond
 	backoffFirst = 100 * time.Millisecond
 	backoffMost  = 800 * time.Millisecond
@@ -93,7 +93,7 @@
 	hops  int
 
 	calling bool
-	way     Way
+	way     Source
 	peer    *vm
 	began   time.Duration
 	// unreached: the peer did not take the connection. silent: it went silent.
@@ -204,7 +204,7 @@
 			}
 		case took >= callSilent:
 			n.probing = false
-		case took >= n.probe.Allowed():
+		case took >= n.probe.Timeout():
 			w.silent(n, true)
 		}
 	}
@@ -212,7 +212,7 @@
 	for _, l := range n.follows {
 		atStore = atStore || l.calling && l.way == Store
 	}
-	if atStore && !w.one && !n.probing && w.time().Sub(n.probe.sentAt) >= ProbeEvery {
+	if atStore && !w.one && !n.probing && w.time().Sub(n.probe.sentAt) >= ProbeInterval {
 		n.probe.Sent(w.time())
 		n.probing = true
 	}
@@ -221,7 +221,7 @@
 // silent notes whether the store answers a node; its watches end where it does not.
 func (w *world) silent(n *vm, silent bool) {
 	n.silent = silent
-	n.roster.SetSilent(silent)
+	n.roster.SetStoreUnresponsive(silent)
 	for _, l := range n.follows {
 		if silent && l.calling && l.way == Store {
 			w.failed(l)
@@ -281,7 +281,7 @@
 		return
 	case w.version > l.version || took >= wait:
 		l.version, l.heard, l.hops = w.version, w.now, 0
-		l.selector.Served(w.time())
+		l.selector.StoreAnswered(w.time())
 		w.answered(l)
 		return
 	}
@@ -295,7 +295,7 @@
 	l := n.follows[i]
 	q := l.asides
 	if q == nil {
-		if m, ok := l.selector.Beside(w.time()); ok {
+		if m, ok := l.selector.NextDuringWatch(w.time()); ok {
 			p := w.named(m)
 			l.asides = &question{peer: p, began: w.now, unreached: !reachable(n, p)}
 		}
@@ -304,22 +304,22 @@
 	took, p := w.now-q.began, q.peer.follows[i]
 	if !reachable(n, q.peer) {
 		if q.peer.fault == killed || took >= peerSilent || q.unreached && took >= dialSilent {
-			n.roster.Failed(w.time(), q.peer.member.Name)
+			n.roster.MarkUnreachable(w.time(), q.peer.member.Name)
 			l.asides = nil
 		}
 		return
 	}
-	if q.readyAt == 0 && (p.version > l.version || took >= PeerWait || p.lost) {
+	if q.readyAt == 0 && (p.version > l.version || took >= PeerPollWait || p.lost) {
 		q.readyAt = w.now
 	}
 	if q.readyAt == 0 || q.peer.fault == slow && w.now-q.readyAt < slowBy {
 		if took >= peerSilent {
-			n.roster.Failed(w.time(), q.peer.member.Name)
+			n.roster.MarkUnreachable(w.time(), q.peer.member.Name)
 			l.asides = nil
 		}
 		return
 	}
-	n.roster.Reached(q.peer.member.Name)
+	n.roster.MarkReachable(q.peer.member.Name)
 	l.version, l.asides = max(l.version, p.version), nil
 }
 
@@ -330,7 +330,7 @@
 		w.unanswered(l, took)
 		return
 	}
-	if l.readyAt == 0 && (p.version > l.version || took >= PeerWait || p.lost) {
+	if l.readyAt == 0 && (p.version > l.version || took >= PeerPollWait || p.lost) {
 		l.readyAt = w.now
 	}
 	if l.readyAt == 0 || l.peer.fault == slow && w.now-l.readyAt < slowBy {
@@ -341,11 +341,11 @@
 	}
 	age := w.now - p.heard
 	if p.lost || !Fresh(age, p.hops) {
-		l.selector.Behind(w.time(), l.peer.member.Name)
+		l.selector.PeerStale(w.time(), l.peer.member.Name)
 		w.inVain(l)
 		return
 	}
-	l.selector.Answered(l.peer.member.Name)
+	l.selector.PeerFresh(l.peer.member.Name)
 	l.version, l.heard, l.hops = max(l.version, p.version), p.heard, p.hops+1
 	w.answered(l)
 }
@@ -355,14 +355,14 @@
 	if l.peer.fault != killed && took < peerSilent && (!l.unreached || took < dialSilent) {
 		return
 	}
-	l.selector.Unanswered(w.time(), l.peer.member.Name, took)
+	l.selector.PeerFailed(w.time(), l.peer.member.Name, took)
 	w.inVain(l)
 }
 
 // inVain ends a question that brought nothing.
 func (w *world) inVain(l *learner) {
 	l.calling = false
-	if l.selector.GivesUp(w.time(), start.Add(l.searched)) {
+	if l.selector.SearchExhausted(w.time(), start.Add(l.searched)) {
 		w.failed(l)
 	}
 }
--- a/decide/roster/probe.go
+++ b/decide/roster/probe.go
@@ -4,8 +4,8 @@
 
 // Times of probes.
 const (
-	// ProbeEvery is the time between two probes of a node.
-	ProbeEvery = 600 * time.Millisecond
+	// ProbeInterval is the time between two probes of a node.
+	ProbeInterval = 600 * time.Millisecond
 	// probeLate is how long the store may take to answer one, a hundred times what it
 	// usually takes; probeLatest is the most where it has become slow.
 	probeLate   = 400 * time.Millisecond
@@ -32,7 +32,7 @@
 // Answered tells that the store answered, in whatever way.
 func (p *Probe) Answered(now time.Time) { p.took = now.Sub(p.sentAt) }
 
-// Allowed is how long the store may take to answer the probe.
-func (p *Probe) Allowed() time.Duration {
+// Timeout is how long the store may take to answer the probe.
+func (p *Probe) Timeout() time.Duration {
 	return min(max(probeLate, probeSlack*p.took), probeLatest)
 }
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -33,8 +33,8 @@
 type Member struct {
 	Name ids.VM   `json:"name"`
 	Zone ids.Zone `json:"zone"`
-	// Peer is the address at which it answers peers, IP and port.
-	Peer string `json:"peer"`
+	// PeerAddress is the address at which it answers peers, IP and port.
+	PeerAddress string `json:"peer"`
 }
 
 const (
@@ -53,12 +53,12 @@
 	restMost  = time.Minute
 )
 
-// Way is where a node is to learn what is new.
-type Way int
+// Source is where a node is to learn what is new.
+type Source int
 
 const (
-	// Unsettled: the list of nodes is not known yet.
-	Unsettled Way = iota
+	// NotReady: the list of nodes is not known yet.
+	NotReady Source = iota
 	// Store: watch the store.
 	Store
 	// Peer: ask a peer.
@@ -130,15 +130,15 @@
 	r.settled = r.settled || r.at >= 0
 }
 
-// Settle has the node go by the list as it is, though its own entry is not in it.
-func (r *Roster) Settle() { r.settled = true }
+// ForceReady has the node go by the list as it is, though its own entry is not in it.
+func (r *Roster) ForceReady() { r.settled = true }
 
-// Settled reports whether the node knows whom to learn from.
-func (r *Roster) Settled() bool { return r.settled }
+// Ready reports whether the node knows whom to learn from.
+func (r *Roster) Ready() bool { return r.settled }
 
 // Others gives all members but the own node.
 func (r *Roster) Others() []Member {
-	return slices.DeleteFunc(slices.Clone(r.members), func(m Member) bool { return m.Name == r.own || m.Peer == "" })
+	return slices.DeleteFunc(slices.Clone(r.members), func(m Member) bool { return m.Name == r.own || m.PeerAddress == "" })
 }
 
 // WatchWait is how long the node's watch of the store is to wait for a change where one
@@ -162,8 +162,8 @@
 	return peers, own || len(peers) == 0
 }
 
-// Watcher reports whether the node is one of those that watch the store for all.
-func (r *Roster) Watcher(now time.Time) bool {
+// IsWatcher reports whether the node is one of those that watch the store for all.
+func (r *Roster) IsWatcher(now time.Time) bool {
 	if !r.settled {
 		return false
 	}
@@ -171,9 +171,9 @@
 	return watches
 }
 
-// Head reports whether the node is one of those of its zone that do duties which one
+// IsLeaseCandidate reports whether the node is one of those of its zone that do duties which one
 // node of the fleet does at a time.
-func (r *Roster) Head(now time.Time) bool {
+func (r *Roster) IsLeaseCandidate(now time.Time) bool {
 	if !r.settled {
 		return false
 	}
@@ -191,7 +191,7 @@
 		case m.Name == r.own && others:
 		case m.Name == r.own:
 			return peers, true
-		case m.Peer != "" && !now.Before(r.of(m.Name).restUntil):
+		case m.PeerAddress != "" && !now.Before(r.of(m.Name).restUntil):
 			peers = append(peers, m)
 		}
 	}
@@ -216,23 +216,23 @@
 	return b
 }
 
-// Failed leaves a peer that did not answer out for a while.
-func (r *Roster) Failed(now time.Time, name ids.VM) {
+// MarkUnreachable leaves a peer that did not answer out for a while.
+func (r *Roster) MarkUnreachable(now time.Time, name ids.VM) {
 	b := r.of(name)
 	b.rest = min(max(b.rest*2, restFirst), restMost)
 	b.restUntil = now.Add(b.rest)
 }
 
-// Reached tells that a peer answered.
-func (r *Roster) Reached(name ids.VM) { delete(r.peers, name) }
+// MarkReachable tells that a peer answered.
+func (r *Roster) MarkReachable(name ids.VM) { delete(r.peers, name) }
 
-// SetSilent notes whether the store has stopped answering this node, which asks its peers
+// SetStoreUnresponsive notes whether the store has stopped answering this node, which asks its peers
 // until it does again; changed tells that this is new.
-func (r *Roster) SetSilent(silent bool) (changed bool) {
+func (r *Roster) SetStoreUnresponsive(silent bool) (changed bool) {
 	changed = r.silent != silent
 	r.silent = silent
 	return changed
 }
 
-// Silent reports whether the store has stopped answering this node.
-func (r *Roster) Silent() bool { return r.silent }
+// StoreUnresponsive reports whether the store has stopped answering this node.
+func (r *Roster) StoreUnresponsive() bool { return r.silent }
--- a/decide/roster/roster_test.go
+++ b/decide/roster/roster_test.go
@@ -14,7 +14,7 @@
 func zone(name string, n int) []Member {
 	var out []Member
 	for i := range n {
-		out = append(out, Member{Name: ids.VM(fmt.Sprintf("%s-%03d", name, i)), Zone: ids.Zone(name), Peer: fmt.Sprint(name, i)})
+		out = append(out, Member{Name: ids.VM(fmt.Sprintf("%s-%03d", name, i)), Zone: ids.Zone(name), PeerAddress: fmt.Sprint(name, i)})
 	}
 	return out
 }
@@ -71,7 +71,7 @@
 	asked := make(map[ids.VM]int)
 	for i, m := range members {
 		r := knowing(m, members)
-		if r.Head(start) {
+		if r.IsLeaseCandidate(start) {
 			seekers[m.Name] = true
 		}
 		if way, _ := r.Next(start); way == Store {
@@ -119,16 +119,16 @@
 	members := fleet()
 	r := knowing(Member{Name: "a-000", Zone: "a"}, members)
 	expectStore(t, r, start)
-	r.SetSilent(true)
+	r.SetStoreUnresponsive(true)
 	for range 3 {
 		if peer := expectPeer(t, r, start); peer.Name != "b-000" && peer.Name != "c-000" && peer.Name != "d-000" {
 			t.Errorf("asks %s", peer.Name)
 		}
 	}
-	if r.Watcher(start) || !r.Head(start) {
+	if r.IsWatcher(start) || !r.IsLeaseCandidate(start) {
 		t.Error("a silent watcher watches for others, or no longer seeks the lease")
 	}
-	r.SetSilent(false)
+	r.SetStoreUnresponsive(false)
 	expectStore(t, r, start)
 }
 
@@ -138,7 +138,7 @@
 	r := knowing(Member{Name: "a-000", Zone: "a"}, members)
 	seen := make(map[ids.VM]bool)
 	for range 3 {
-		peer, ok := r.Beside(start)
+		peer, ok := r.NextDuringWatch(start)
 		if !ok || peer.Name == "a-000" {
 			t.Fatalf("asks %s, %t", peer.Name, ok)
 		}
@@ -148,7 +148,7 @@
 		t.Errorf("asks %v", seen)
 	}
 	alone := knowing(members[0], members[:1])
-	if peer, ok := alone.Beside(start); ok {
+	if peer, ok := alone.NextDuringWatch(start); ok {
 		t.Errorf("a node alone asks %s", peer.Name)
 	}
 }
@@ -158,10 +158,10 @@
 	members := fleet()
 	r := knowing(members[40], members)
 	for range maxUnanswered {
-		r.Unanswered(start, expectPeer(t, r, start).Name, 0)
+		r.PeerFailed(start, expectPeer(t, r, start).Name, 0)
 	}
 	expectStore(t, r, start)
-	r.Served(start)
+	r.StoreAnswered(start)
 	expectStore(t, r, start.Add(servedFor-time.Millisecond))
 	expectPeer(t, r, start.Add(servedFor))
 }
@@ -205,17 +205,17 @@
 			t.Errorf("%s is asked again at once", peer.Name)
 		}
 		seen[peer.Name] = true
-		r.Failed(start, peer.Name)
+		r.MarkUnreachable(start, peer.Name)
 	}
 	expectStore(t, r, start)
 	now := start.Add(restFirst)
 	peer := expectPeer(t, r, now)
-	r.Failed(now, peer.Name)
+	r.MarkUnreachable(now, peer.Name)
 	now = now.Add(restFirst)
 	if next := expectPeer(t, r, now); next.Name == peer.Name {
 		t.Errorf("%s is asked again as soon as the first time", peer.Name)
 	}
-	r.Answered(peer.Name)
+	r.PeerFresh(peer.Name)
 	again := false
 	for range 3 {
 		again = again || expectPeer(t, r, now).Name == peer.Name
@@ -236,7 +236,7 @@
 				t.Fatalf("%s still asks peers", name)
 			}
 			if peer.Zone != "e" {
-				r.Failed(start, peer.Name)
+				r.MarkUnreachable(start, peer.Name)
 			}
 		}
 	}
@@ -246,13 +246,13 @@
 	members := fleet()
 	r := knowing(members[40], members)
 	first := expectPeer(t, r, start)
-	r.Behind(start, first.Name)
+	r.PeerStale(start, first.Name)
 	for range 3 {
 		peer := expectPeer(t, r, start.Add(time.Millisecond))
 		if peer.Name == first.Name {
 			t.Fatal("a peer without news is asked while another has some")
 		}
-		r.Answered(peer.Name)
+		r.PeerFresh(peer.Name)
 	}
 	found := false
 	for range 3 {
@@ -269,14 +269,14 @@
 	calls, first := 0, make(map[time.Duration]int)
 	for _, m := range members {
 		r := knowing(m, members)
-		if r.Watcher(start) {
+		if r.IsWatcher(start) {
 			continue
 		}
 		began := true
 		for at := time.Duration(0); at < 8*time.Second; at += 50 * time.Millisecond {
 			way, peer := r.Next(start.Add(at))
 			if way == Peer {
-				r.Behind(start.Add(at), peer.Name)
+				r.PeerStale(start.Add(at), peer.Name)
 				continue
 			}
 			if calls++; began {
@@ -303,35 +303,35 @@
 	r := knowing(Member{Name: "d-000", Zone: "d"}, members)
 	now := start
 	for way, peer := r.Next(now); way == Peer; way, peer = r.Next(now) {
-		r.Behind(now, peer.Name)
+		r.PeerStale(now, peer.Name)
 		now = now.Add(100 * time.Millisecond)
 		if now.Sub(start) > 5*time.Second {
 			t.Fatal("the store is never asked")
 		}
 	}
-	r.Served(now)
+	r.StoreAnswered(now)
 	for range 5 {
 		now = now.Add(servedFor / 6)
 		expectStore(t, r, now)
-		r.Served(now)
+		r.StoreAnswered(now)
 	}
 	now = now.Add(servedFor)
-	r.Behind(now, expectPeer(t, r, now).Name)
+	r.PeerStale(now, expectPeer(t, r, now).Name)
 	expectStore(t, r, now)
-	r.Served(now)
+	r.StoreAnswered(now)
 	now = now.Add(servedFor)
-	r.Answered(expectPeer(t, r, now).Name)
+	r.PeerFresh(expectPeer(t, r, now).Name)
 	expectPeer(t, r, now)
 }
 
 func TestNodeWaitsForTheListThatHasIt(t *testing.T) {
 	members := fleet()
 	r := newView("a-007", "a")
-	if way, _ := r.Next(start); way != Unsettled || r.Head(start) || r.Watcher(start) {
+	if way, _ := r.Next(start); way != NotReady || r.IsLeaseCandidate(start) || r.IsWatcher(start) {
 		t.Errorf("way %v before any list", way)
 	}
 	r.Set(members[:3])
-	if way, _ := r.Next(start); way != Unsettled {
+	if way, _ := r.Next(start); way != NotReady {
 		t.Errorf("way %v by a list of those that joined before", way)
 	}
 	r.Set(members)
@@ -343,10 +343,10 @@
 	members := fleet()
 	r := newView("f-000", "f")
 	r.Set(members)
-	r.Settle()
+	r.ForceReady()
 	expectPeer(t, r, start)
 	alone := newView("f-000", "f")
-	alone.Settle()
+	alone.ForceReady()
 	expectStore(t, alone, start)
 	if len(r.Others()) != len(members) {
 		t.Errorf("%d others", len(r.Others()))
@@ -356,8 +356,8 @@
 func TestNodesThatAreGoneAreForgotten(t *testing.T) {
 	members := zone("a", 4)
 	r := knowing(members[3], members)
-	r.Failed(start, "a-000")
-	r.Failed(start, "a-001")
+	r.MarkUnreachable(start, "a-000")
+	r.MarkUnreachable(start, "a-001")
 	r.Set(members[2:])
 	if len(r.peers) != 0 {
 		t.Errorf("beliefs %v", r.peers)
@@ -373,7 +373,7 @@
 	} {
 		p.Sent(start)
 		p.Answered(start.Add(one.took))
-		if got := p.Allowed(); got != one.allowed {
+		if got := p.Timeout(); got != one.allowed {
 			t.Errorf("%v allowed after %v", got, one.took)
 		}
 	}
@@ -383,9 +383,9 @@
 func TestPeerThatStandsStillLeavesTheStoreOnce(t *testing.T) {
 	members := fleet()
 	r := knowing(members[40], members)
-	r.Unanswered(start, expectPeer(t, r, start).Name, PeerWait)
+	r.PeerFailed(start, expectPeer(t, r, start).Name, PeerPollWait)
 	expectStore(t, r, start)
-	r.Served(start)
+	r.StoreAnswered(start)
 	expectPeer(t, r, start)
 }
 
@@ -394,15 +394,15 @@
 	members := fleet()
 	r := knowing(members[40], members)
 	for i := range maxBehind {
-		if r.GivesUp(start, start) {
+		if r.SearchExhausted(start, start) {
 			t.Errorf("given up after %d peers without news", i)
 		}
-		r.Behind(start, expectPeer(t, r, start).Name)
+		r.PeerStale(start, expectPeer(t, r, start).Name)
 	}
-	if !r.GivesUp(start, start) || r.GivesUp(start, start) {
+	if !r.SearchExhausted(start, start) || r.SearchExhausted(start, start) {
 		t.Error("not given up after all peers, or twice")
 	}
-	if r.GivesUp(start.Add(askFor-1), start) || !r.GivesUp(start.Add(askFor), start) {
+	if r.SearchExhausted(start.Add(askFor-1), start) || !r.SearchExhausted(start.Add(askFor), start) {
 		t.Error("not given up in time")
 	}
 }
--- a/decide/roster/selector.go
+++ b/decide/roster/selector.go
@@ -12,7 +12,7 @@
 const (
 	// behindFor is how long a peer that has no news of the store is left out while
 	// another one has them: longer than it takes to ask all in turn.
-	behindFor = (sourceCount + 1) * PeerWait
+	behindFor = (sourceCount + 1) * PeerPollWait
 	// tryStep times a node's rank is how long its peers have no news of the store before
 	// it asks the store itself: while that is away ten more nodes a second ask, instead of
 	// all at once, and where it turns all watchers and a third of the others away one that
@@ -63,10 +63,10 @@
 }
 
 // Next tells where to learn what is new, and the peer to ask.
-func (s *Selector) Next(now time.Time) (Way, Member) {
+func (s *Selector) Next(now time.Time) (Source, Member) {
 	r := s.roster
 	if !r.settled {
-		return Unsettled, Member{}
+		return NotReady, Member{}
 	}
 	peers, watches := r.sources(now)
 	if watches || s.direct || s.stays(now) || s.try(now) {
@@ -84,9 +84,9 @@
 	return Peer, peers[from%len(peers)]
 }
 
-// Beside gives a watcher to ask while a watch waits at the store; false where there is
+// NextDuringWatch gives a watcher to ask while a watch waits at the store; false where there is
 // none.
-func (s *Selector) Beside(now time.Time) (Member, bool) {
+func (s *Selector) NextDuringWatch(now time.Time) (Member, bool) {
 	r := s.roster
 	peers, _ := r.first(now, r.ranks, sourceCount, true)
 	if len(peers) == 0 {
@@ -115,10 +115,10 @@
 	return true
 }
 
-// Behind tells that a peer answered, without news of the store. Where all have, the store
+// PeerStale tells that a peer answered, without news of the store. Where all have, the store
 // is asked.
-func (s *Selector) Behind(now time.Time, name ids.VM) {
-	s.roster.Reached(name)
+func (s *Selector) PeerStale(now time.Time, name ids.VM) {
+	s.roster.MarkReachable(name)
 	maps.DeleteFunc(s.behindUntil, func(_ ids.VM, until time.Time) bool { return !now.Before(until) })
 	if len(s.behindUntil) == 0 {
 		s.behindSince = now
@@ -136,24 +136,24 @@
 	s.away(s.behindSince)
 }
 
-// Unanswered tells that a peer did not answer a question that took so long. Several that
+// PeerFailed tells that a peer did not answer a question that took so long. Several that
 // take no connection show a node that is cut off from its peers: the store is asked, for a
 // while. So it is, once, where one took the connection: it stands still, or its link is too
 // thin for what it has to tell, while the store's carries a large configuration to all.
-func (s *Selector) Unanswered(now time.Time, name ids.VM, took time.Duration) {
-	s.roster.Failed(now, name)
+func (s *Selector) PeerFailed(now time.Time, name ids.VM, took time.Duration) {
+	s.roster.MarkUnreachable(now, name)
 	s.unanswered++
 	if s.unanswered >= maxUnanswered {
 		s.served = false
 		s.away(now)
 		s.direct = true
 	}
-	s.direct = s.direct || took >= PeerWait
+	s.direct = s.direct || took >= PeerPollWait
 }
 
-// GivesUp reports whether the search for news, begun at a moment, is over without: enough
+// SearchExhausted reports whether the search for news, begun at a moment, is over without: enough
 // peers had none, or it took too long. The next one begins anew.
-func (s *Selector) GivesUp(now, began time.Time) bool {
+func (s *Selector) SearchExhausted(now, began time.Time) bool {
 	if s.behind < maxBehind && now.Sub(began) < askFor {
 		return false
 	}
@@ -168,17 +168,17 @@
 	}
 }
 
-// Answered tells that a peer answered with news of the store, or that there are
+// PeerFresh tells that a peer answered with news of the store, or that there are
 // none.
-func (s *Selector) Answered(name ids.VM) {
-	s.roster.Reached(name)
+func (s *Selector) PeerFresh(name ids.VM) {
+	s.roster.MarkReachable(name)
 	delete(s.behindUntil, name)
 	s.awaySince, s.tryAt, s.servedUntil, s.tries, s.served = time.Time{}, time.Time{}, time.Time{}, 0, false
 	s.behind, s.unanswered = 0, 0
 }
 
-// Served tells that the store answered this node.
-func (s *Selector) Served(now time.Time) {
+// StoreAnswered tells that the store answered this node.
+func (s *Selector) StoreAnswered(now time.Time) {
 	s.behind = 0
 	if s.served {
 		return
--- a/decide/roster/spread_test.go
+++ b/decide/roster/spread_test.go
@@ -158,7 +158,7 @@
 			w := newWorld(members, seed)
 			w.run(time.Second + time.Duration(w.rand.IntN(40))*step)
 			for _, n := range w.nodes {
-				if n.roster.Watcher(w.time()) {
+				if n.roster.IsWatcher(w.time()) {
 					w.set(n, unheard)
 				}
 			}
@@ -184,7 +184,7 @@
 			w := newWorld(members, seed)
 			w.run(time.Second)
 			for i, n := range w.nodes {
-				if n.roster.Watcher(w.time()) || (i+int(seed))%3 == 0 {
+				if n.roster.IsWatcher(w.time()) || (i+int(seed))%3 == 0 {
 					w.set(n, rejected)
 				}
 			}
--- a/decide/roster/times.go
+++ b/decide/roster/times.go
@@ -6,12 +6,12 @@
 // new after that, half a second of which goes to links and requests under way. Nodes ask in
 // turn, and news pass two nodes: what one question takes at the most bounds the whole.
 const (
-	// PeerWait is how long a peer's answer may wait for news. What one peer does not know,
+	// PeerPollWait is how long a peer's answer may wait for news. What one peer does not know,
 	// being cut off, another is asked for after it.
-	PeerWait = 300 * time.Millisecond
-	// PeerSilence is how much longer than that a peer may be silent before it counts as
+	PeerPollWait = 300 * time.Millisecond
+	// PeerReadTimeout is how much longer than that a peer may be silent before it counts as
 	// standing still. One that is sending is not silent.
-	PeerSilence = 300 * time.Millisecond
+	PeerReadTimeout = 300 * time.Millisecond
 	// MaxAge is how old the view of a node that watches the store may be, whose probes are
 	// answered in time.
 	MaxAge = 1500 * time.Millisecond
--- a/node/entry/fleet.go
+++ b/node/entry/fleet.go
@@ -59,7 +59,7 @@
 func digest(members []roster.Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
-		for _, part := range []string{string(m.Name), string(m.Zone), m.Peer} {
+		for _, part := range []string{string(m.Name), string(m.Zone), m.PeerAddress} {
 			_, _ = h.Write([]byte(part)) // never fails
 			_, _ = h.Write([]byte{0})
 		}
@@ -69,7 +69,7 @@
 
 // settle closes known once the roster is settled, with the lock held.
 func (f *fleet) settle() {
-	if f.settled || !f.roster.Settled() {
+	if f.settled || !f.roster.Ready() {
 		return
 	}
 	f.settled = true
@@ -80,7 +80,7 @@
 func (f *fleet) goOn() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.Settle()
+	f.roster.ForceReady()
 	f.settle()
 }
 
@@ -107,7 +107,7 @@
 }
 
 // next tells where to learn what is new.
-func (f *fleet) next(a *roster.Selector) (roster.Way, roster.Member) {
+func (f *fleet) next(a *roster.Selector) (roster.Source, roster.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return a.Next(f.now())
@@ -117,14 +117,14 @@
 func (f *fleet) watches() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Watcher(f.now())
+	return f.roster.IsWatcher(f.now())
 }
 
 // head reports whether the node is one of its zone's heads.
 func (f *fleet) head() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Head(f.now())
+	return f.roster.IsLeaseCandidate(f.now())
 }
 
 // others gives the nodes of all zones but the own.
@@ -155,7 +155,7 @@
 func (f *fleet) beside(a *roster.Selector) (roster.Member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.Beside(f.now())
+	return a.NextDuringWatch(f.now())
 }
 
 // watchWait is how long a watch of the store is to wait where one that watches alone waits
@@ -171,7 +171,7 @@
 func (f *fleet) setSilent(silent bool) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.roster.SetSilent(silent) {
+	if !f.roster.SetStoreUnresponsive(silent) {
 		return false
 	}
 	if silent {
@@ -186,7 +186,7 @@
 func (f *fleet) isSilent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Silent()
+	return f.roster.StoreUnresponsive()
 }
 
 // silence gives a channel that is closed once the store has stopped answering this node.
@@ -199,35 +199,35 @@
 // unanswered and reached tell whether a peer answered, behind and answered whether it had
 // news of the store, and served that the store answered.
 func (f *fleet) unanswered(a *roster.Selector, name ids.VM, took time.Duration) {
-	f.note(func() { a.Unanswered(f.now(), name, took) })
+	f.note(func() { a.PeerFailed(f.now(), name, took) })
 }
 
 func (f *fleet) reached(name ids.VM) {
-	f.note(func() { f.roster.Reached(name) })
+	f.note(func() { f.roster.MarkReachable(name) })
 }
 
 func (f *fleet) behind(a *roster.Selector, name ids.VM) {
-	f.note(func() { a.Behind(f.now(), name) })
+	f.note(func() { a.PeerStale(f.now(), name) })
 }
 
 func (f *fleet) answered(a *roster.Selector, name ids.VM) {
-	f.note(func() { a.Answered(name) })
+	f.note(func() { a.PeerFresh(name) })
 }
 
 func (f *fleet) served(a *roster.Selector) {
-	f.note(func() { a.Served(f.now()) })
+	f.note(func() { a.StoreAnswered(f.now()) })
 }
 
 // failed tells that a peer did not answer what was asked beside a watch.
 func (f *fleet) failed(name ids.VM) {
-	f.note(func() { f.roster.Failed(f.now(), name) })
+	f.note(func() { f.roster.MarkUnreachable(f.now(), name) })
 }
 
 // givesUp reports whether a search for news is over without.
 func (f *fleet) givesUp(a *roster.Selector, began time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.GivesUp(f.now(), began)
+	return a.SearchExhausted(f.now(), began)
 }
 
 // note changes the roster, or what one that asks knows.
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -88,7 +88,7 @@
 
 // join enters the own node in the list.
 func (p *peers) join(ctx context.Context) {
-	err := p.members.Join(ctx, roster.Member{Name: p.settings.VM, Zone: p.settings.Zone, Peer: p.settings.Peers})
+	err := p.members.Join(ctx, roster.Member{Name: p.settings.VM, Zone: p.settings.Zone, PeerAddress: p.settings.Peers})
 	if err != nil {
 		p.log.Info().Str("event", "join_failed").Err(err).Send()
 		p.joinAt = time.Now().Add(backoff.Doubled(joinRetry, joinRetryMost, p.joinFails))
@@ -153,12 +153,12 @@
 	all := p.node.fleet.others()
 	for _, seed := range p.settings.Seeds {
 		if seed != p.settings.Peers {
-			all = append(all, roster.Member{Peer: seed})
+			all = append(all, roster.Member{PeerAddress: seed})
 		}
 	}
 	if len(all) == 0 {
 		return "", ""
 	}
 	m := all[p.rand.IntN(len(all))]
-	return m.Name, m.Peer
+	return m.Name, m.PeerAddress
 }
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -45,7 +45,7 @@
 
 // run works until ctx ends.
 func (p *probe) run(ctx context.Context) {
-	every.DoOrSooner(ctx, roster.ProbeEvery, p.soon, func() {
+	every.DoOrSooner(ctx, roster.ProbeInterval, p.soon, func() {
 		if p.due() {
 			p.send(ctx)
 		}
@@ -67,7 +67,7 @@
 	p.timing.Sent(boottime.Now())
 	answered := make(chan error, 1)
 	go func() { answered <- p.store.Probe(ctx) }()
-	late := time.NewTimer(p.timing.Allowed())
+	late := time.NewTimer(p.timing.Timeout())
 	defer late.Stop()
 	select {
 	case err := <-answered:
@@ -94,6 +94,6 @@
 // set notes whether the store has stopped answering.
 func (p *probe) set(silent bool) {
 	if p.fleet.setSilent(silent) {
-		p.log.Info().Str("event", "store_silent").Bool("silent", silent).Dur("allowed_ms", p.timing.Allowed()).Send()
+		p.log.Info().Str("event", "store_silent").Bool("silent", silent).Dur("allowed_ms", p.timing.Timeout()).Send()
 	}
 }
--- a/node/entry/share.go
+++ b/node/entry/share.go
@@ -142,16 +142,16 @@
 			s.fleet.failed(peer.Name)
 		}
 		// A peer that is lost itself answers at once.
-		every.Pause(ctx, roster.PeerWait-boottime.Now().Sub(asked))
+		every.Pause(ctx, roster.PeerPollWait-boottime.Now().Sub(asked))
 	}
 }
 
 // question, asked at a moment, waits at a peer for its news. The error is a *relay.CallError.
 func (s *shared[T]) question(ctx context.Context, peer roster.Member, asked time.Time) (relay.News, error) {
 	have := s.have(peer.Name)
-	have.WaitMs = roster.PeerWait.Milliseconds()
+	have.WaitMs = roster.PeerPollWait.Milliseconds()
 	have.Members = s.fleet.have()
-	news, err := relay.Ask(ctx, peer.Peer, have)
+	news, err := relay.Ask(ctx, peer.PeerAddress, have)
 	if err != nil {
 		if ctx.Err() == nil {
 			s.passedOver("peer_silent", peer.Name, asked).Err(err).Send()
--- a/node/entry/share_test.go
+++ b/node/entry/share_test.go
@@ -62,7 +62,7 @@
 // addresses, of which the last two are the same.
 func follower(first, second string) (*shared[routing.Config], *awayStore) {
 	members := zone("a", 4)
-	members[0].Peer, members[1].Peer, members[2].Peer = first, second, second
+	members[0].PeerAddress, members[1].PeerAddress, members[2].PeerAddress = first, second, second
 	f := newFleet(Settings{VM: members[3].Name, Zone: "a"}, boottime.Now, func(int) {})
 	f.set(members, 1)
 	store := &awayStore{}
@@ -225,7 +225,7 @@
 	s, _ := follower(others, others)
 	members := zone("a", 4)
 	for i := range members {
-		members[i].Peer = others
+		members[i].PeerAddress = others
 	}
 	s.store, s.fleet = store, newFleet(Settings{VM: members[0].Name, Zone: "a"}, boottime.Now, func(int) {})
 	s.fleet.set(members, 1)
@@ -278,9 +278,9 @@
 		t.Errorf("revision %d", revision)
 	}
 	// Answers that come at once are not asked for at once again.
-	time.Sleep(2 * roster.PeerWait)
+	time.Sleep(2 * roster.PeerPollWait)
 	if n := len(took); n > 3 {
-		t.Errorf("%d more questions in %v", n, 2*roster.PeerWait)
+		t.Errorf("%d more questions in %v", n, 2*roster.PeerPollWait)
 	}
 	end()
 	<-ended
@@ -293,7 +293,7 @@
 	if _, err := s.Watch(t.Context(), 5, time.Second); !errors.Is(err, errAway) || store.watches != 1 {
 		t.Errorf("error %v after %d calls", err, store.watches)
 	}
-	if took := time.Since(began); took > roster.PeerWait+roster.PeerSilence {
+	if took := time.Since(began); took > roster.PeerPollWait+roster.PeerReadTimeout {
 		t.Errorf("after %v", took)
 	}
 }
@@ -310,7 +310,7 @@
 	began := time.Now()
 	go func() { _, _ = s.watch(t.Context(), 5, time.Minute) }()
 	store.ends <- nil
-	if took := time.Since(began); took > roster.ProbeEvery/2 {
+	if took := time.Since(began); took > roster.ProbeInterval/2 {
 		t.Errorf("probed after %v", took)
 	}
 }
--- a/node/entry/verdicts.go
+++ b/node/entry/verdicts.go
@@ -35,7 +35,7 @@
 			return
 		case v := <-n.verdicts:
 			for _, m := range n.fleet.others() {
-				if err := relay.Tell(ctx, m.Peer, v); err != nil {
+				if err := relay.Tell(ctx, m.PeerAddress, v); err != nil {
 					n.log.Debug().Str("event", "peer_silent").Err(err).Send()
 				}
 			}
--- a/node/entry/verdicts_test.go
+++ b/node/entry/verdicts_test.go
@@ -20,7 +20,7 @@
 func zone(name string, n int) []roster.Member {
 	var out []roster.Member
 	for i := range n {
-		out = append(out, roster.Member{Name: ids.VM(fmt.Sprintf("%s-%02d", name, i)), Zone: ids.Zone(name), Peer: fmt.Sprint(name, i)})
+		out = append(out, roster.Member{Name: ids.VM(fmt.Sprintf("%s-%02d", name, i)), Zone: ids.Zone(name), PeerAddress: fmt.Sprint(name, i)})
 	}
 	return out
 }
@@ -40,7 +40,7 @@
 	}
 	members := append(zone("a", 3), zone("b", 2)...)
 	// The own node has nobody at its address, and one other is gone.
-	members[0].Peer, members[1].Peer = "127.0.0.1:1", "127.0.0.1:1"
+	members[0].PeerAddress, members[1].PeerAddress = "127.0.0.1:1", "127.0.0.1:1"
 	heard := make(chan quarantine.Verdict, len(members))
 	for i := 2; i < len(members); i++ {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = l.Close() }()
-		members[i].Peer = l.Addr().String()
+		members[i].PeerAddress = l.Addr().String()
 		go func() { _ = relay.Serve(t.Context(), l, listener{heard}) }()
 	}
 	n.fleet.set(members, 1)
