--- a/adapter/peer/claim_bench_test.go
+++ b/adapter/peer/claim_bench_test.go
@@ -23,7 +23,7 @@
 					ID: fmt.Sprint("vm-", i), Zone: "z", Role: platformapi.RoleEntry, PeerAddress: fmt.Sprint("127.0.0.1:", 1000+i),
 				})
 			}
-			s.members.VMs(time.Now(), list)
+			s.members.ApplyVMList(time.Now(), list)
 			c := NewClaims(b.Context(), s)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/adapter/peer/claim_test.go
+++ b/adapter/peer/claim_test.go
@@ -184,7 +184,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		s.members.VMs(time.Now(), platformapi.VMList{Revision: 1, VMs: list})
+		s.members.ApplyVMList(time.Now(), platformapi.VMList{Revision: 1, VMs: list})
 		services = append(services, NewClaims(t.Context(), s))
 	}
 	shares := make(map[ids.VM]int)
--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -163,7 +163,7 @@
 func (l *loop) tell(commands []member.Command) {
 	for _, command := range commands {
 		if gone, ok := command.(member.PeerGone); ok {
-			l.opts.Sink.PeerGone(gone.VM, gone.Why)
+			l.opts.Sink.PeerGone(gone.VM, gone.Reason)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	}
 	d := ev.digest
 	l.mu.Lock()
-	commands, err := l.members.Received(now, member.Heard{
+	commands, err := l.members.DigestReceived(now, member.Sender{
 		VM:       d.VM,
 		Zone:     d.Zone,
 		Boot:     d.Boot,
@@ -216,10 +216,10 @@
 func (ev replied) take(l *loop, now time.Time) {
 	r := ev.reply
 	l.mu.Lock()
-	commands, use := l.members.Replied(now, ev.address, member.Heard{VM: r.VM, Zone: r.Zone, Boot: r.Boot})
+	commands, use := l.members.ReplyReceived(now, ev.address, member.Sender{VM: r.VM, Zone: r.Zone, Boot: r.Boot})
 	if l.vms.Load().Revision == 0 {
 		for _, k := range r.Known {
-			l.members.Learn(now, k.VM, k.Zone, k.Address)
+			l.members.LearnAddress(now, k.VM, k.Zone, k.Address)
 		}
 	}
 	l.mu.Unlock()
@@ -240,7 +240,7 @@
 // take notes that a peer did not answer.
 func (ev missed) take(l *loop, now time.Time) {
 	l.mu.Lock()
-	commands := l.members.Missed(now, ev.address)
+	commands := l.members.CallFailed(now, ev.address)
 	l.mu.Unlock()
 	l.tell(commands)
 }
@@ -252,7 +252,7 @@
 	}
 	l.vms.Store(&ev.list)
 	l.mu.Lock()
-	commands := l.members.VMs(now, ev.list)
+	commands := l.members.ApplyVMList(now, ev.list)
 	l.mu.Unlock()
 	l.tell(commands)
 	if ev.fromPeer {
--- a/adapter/peer/options.go
+++ b/adapter/peer/options.go
@@ -40,7 +40,7 @@
 	// of one boot come in the order they were made.
 	PeerDigest(d peerapi.Digest, at time.Time)
 	// PeerGone tells that a peer's figures no longer stand, and why.
-	PeerGone(vm ids.VM, why member.Why)
+	PeerGone(vm ids.VM, why member.GoneReason)
 	// PeerVMs takes a list of VMs newer than all that the Service has seen.
 	PeerVMs(list platformapi.VMList)
 }
--- a/adapter/peer/service.go
+++ b/adapter/peer/service.go
@@ -57,7 +57,7 @@
 		members:  member.New(memberOptions(opts)),
 		bases:    newBases(),
 	}
-	s.members.Seeds(opts.Seeds)
+	s.members.SetSeeds(opts.Seeds)
 	s.vms.Store(&platformapi.VMList{})
 	s.own.Store(&ownState{})
 	return s, nil
--- a/adapter/peer/service_test.go
+++ b/adapter/peer/service_test.go
@@ -45,8 +45,8 @@
 }
 
 func (n *testNode) PeerDigest(d peerapi.Digest, _ time.Time) { put(n.digests, d) }
-func (n *testNode) PeerGone(vm ids.VM, why member.Why) {
-	put(n.gone, member.PeerGone{VM: vm, Why: why})
+func (n *testNode) PeerGone(vm ids.VM, why member.GoneReason) {
+	put(n.gone, member.PeerGone{VM: vm, Reason: why})
 }
 func (n *testNode) PeerVMs(list platformapi.VMList)          { put(n.lists, list) }
 func (n *testNode) Offer(objects []platformapi.Object) error { n.apply(objects...); return nil }
@@ -214,7 +214,7 @@
 		t.Fatalf("bytes not counted: %v", a.counts)
 	}
 	b.stop()
-	if gone := <-a.gone; gone != (member.PeerGone{VM: "b", Why: member.Silent}) {
+	if gone := <-a.gone; gone != (member.PeerGone{VM: "b", Reason: member.Silent}) {
 		t.Fatalf("%v", gone)
 	}
 	if !a.Polls("e1", "z1") {
--- a/decide/member/command.go
+++ b/decide/member/command.go
@@ -19,26 +19,26 @@
 	Address string
 }
 
-// Changed tells that a peer is in another state.
-type Changed struct {
+// StateChanged tells that a peer is in another state.
+type StateChanged struct {
 	VM    ids.VM
 	State State
 }
 
 // PeerGone tells that a peer's figures no longer stand.
 type PeerGone struct {
-	VM  ids.VM
-	Why Why
+	VM     ids.VM
+	Reason GoneReason
 }
 
-// Why tells why a peer is gone.
-type Why int
+// GoneReason tells why a peer is gone.
+type GoneReason int
 
 // Reasons of PeerGone.
 const (
 	// Silent: not heard from for long. It may work on behind a cut, so what
 	// it holds of a shared limit must not be given to others.
-	Silent Why = iota
+	Silent GoneReason = iota
 	// Restarted: its process began anew, and what it told before is void.
 	Restarted
 	// Delisted: silent, and the platform's list no longer has it; it follows
@@ -52,7 +52,7 @@
 var whyNames = [...]string{"silent", "restarted", "delisted", "forgotten"}
 
 // String implements fmt.Stringer.
-func (w Why) String() string {
+func (w GoneReason) String() string {
 	if w < 0 || int(w) >= len(whyNames) {
 		return fmt.Sprintf("why(%d)", int(w))
 	}
@@ -63,14 +63,14 @@
 func (c Send) String() string { return fmt.Sprintf("send %s at %s", c.VM, c.Address) }
 
 // String implements fmt.Stringer.
-func (c Changed) String() string { return fmt.Sprintf("%s is %s", c.VM, c.State) }
+func (c StateChanged) String() string { return fmt.Sprintf("%s is %s", c.VM, c.State) }
 
 // String implements fmt.Stringer.
-func (c PeerGone) String() string { return fmt.Sprintf("%s gone: %s", c.VM, c.Why) }
+func (c PeerGone) String() string { return fmt.Sprintf("%s gone: %s", c.VM, c.Reason) }
 
-func (Send) isCommand()     {}
-func (Changed) isCommand()  {}
-func (PeerGone) isCommand() {}
+func (Send) isCommand()         {}
+func (StateChanged) isCommand() {}
+func (PeerGone) isCommand()     {}
 
 // StaleError refuses a digest that is repeated or older than one taken.
 type StaleError struct {
--- a/decide/member/events.go
+++ b/decide/member/events.go
@@ -8,8 +8,8 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// Heard names the sender of a digest or of a reply.
-type Heard struct {
+// Sender names the sender of a digest or of a reply.
+type Sender struct {
 	VM   ids.VM
 	Zone ids.Zone
 	Boot string
@@ -23,9 +23,9 @@
 	Called bool
 }
 
-// Seeds sets the addresses to start from, at most MaxSeeds of them. The
+// SetSeeds sets the addresses to start from, at most MaxSeeds of them. The
 // node's own is passed over.
-func (m *Members) Seeds(addresses []string) {
+func (m *Members) SetSeeds(addresses []string) {
 	m.seeds = m.seeds[:0]
 	for _, address := range addresses {
 		if address != m.opts.Address && len(m.seeds) < m.opts.MaxSeeds {
@@ -34,9 +34,9 @@
 	}
 }
 
-// VMs takes the platform's list. One of an older revision is ignored. The
+// ApplyVMList takes the platform's list. One of an older revision is ignored. The
 // commands are valid until the next call.
-func (m *Members) VMs(now time.Time, list platformapi.VMList) []Command {
+func (m *Members) ApplyVMList(now time.Time, list platformapi.VMList) []Command {
 	m.out = m.out[:0]
 	if list.Revision <= m.listed {
 		return m.out
@@ -87,9 +87,9 @@
 	}
 }
 
-// Learn takes the address of a VM from another peer. It is used where nothing
+// LearnAddress takes the address of a VM from another peer. It is used where nothing
 // is known of the VM.
-func (m *Members) Learn(now time.Time, vm ids.VM, zone ids.Zone, address string) {
+func (m *Members) LearnAddress(now time.Time, vm ids.VM, zone ids.Zone, address string) {
 	if m.peers[vm] != nil {
 		return
 	}
@@ -99,11 +99,11 @@
 	}
 }
 
-// Received takes the sender of a digest. The error is a *StaleError,
+// DigestReceived takes the sender of a digest. The error is a *StaleError,
 // *SelfError or *FullError: the digest must not be used and nothing was
 // changed. The commands, valid until the next call, come before the digest:
 // Restarted voids what the sender told before.
-func (m *Members) Received(now time.Time, from Heard) ([]Command, error) {
+func (m *Members) DigestReceived(now time.Time, from Sender) ([]Command, error) {
 	m.out = m.out[:0]
 	if from.VM == m.opts.VM {
 		return nil, &SelfError{VM: from.VM, Boot: from.Boot}
@@ -129,11 +129,11 @@
 	return m.out, nil
 }
 
-// Replied takes the sender of a reply to a digest sent to an address. A peer
+// ReplyReceived takes the sender of a reply to a digest sent to an address. A peer
 // that was Gone becomes a Candidate by its first reply and Alive by a second.
 // take tells whether a digest that came with the reply may be used; it still
 // has to pass Received.
-func (m *Members) Replied(now time.Time, address string, from Heard) (commands []Command, take bool) {
+func (m *Members) ReplyReceived(now time.Time, address string, from Sender) (commands []Command, take bool) {
 	m.out = m.out[:0]
 	if from.VM == m.opts.VM {
 		m.seeds = slices.DeleteFunc(m.seeds, func(seed string) bool { return seed == address })
@@ -154,8 +154,8 @@
 	return m.out, true
 }
 
-// Missed tells that a digest sent to an address brought no reply in time.
-func (m *Members) Missed(_ time.Time, address string) []Command {
+// CallFailed tells that a digest sent to an address brought no reply in time.
+func (m *Members) CallFailed(_ time.Time, address string) []Command {
 	m.out = m.out[:0]
 	for _, vm := range m.order {
 		if p := m.peers[vm]; p.address == address {
@@ -236,5 +236,5 @@
 		return
 	}
 	p.state = state
-	m.out = append(m.out, Changed{p.vm, state})
+	m.out = append(m.out, StateChanged{p.vm, state})
 }
--- a/decide/member/member.go
+++ b/decide/member/member.go
@@ -39,15 +39,15 @@
 	Interval time.Duration
 	// Fanout is the most peers of the own zone sent to in a round. Default 5.
 	Fanout int
-	// FanoutAcross is the most peers of all other zones together sent to in a
+	// CrossZoneFanout is the most peers of all other zones together sent to in a
 	// round. Default 3.
-	FanoutAcross int
-	// CrossLinks is the most peers of one other zone sent to. Default 3, so
+	CrossZoneFanout int
+	// LinksPerZone is the most peers of one other zone sent to. Default 3, so
 	// that each two nodes of zones of three hear each other.
-	CrossLinks int
-	// LinksAcross bounds the links to all other zones together where there
+	LinksPerZone int
+	// MaxCrossZoneLinks bounds the links to all other zones together where there
 	// are many of them: each gets an even part, but at least one. Default 15.
-	LinksAcross int
+	MaxCrossZoneLinks int
 	// SuspectAfter and GoneAfter are how many of its turns a peer may stay
 	// silent. Default 4 and 20.
 	SuspectAfter, GoneAfter int
@@ -62,16 +62,16 @@
 
 // Defaults of Options.
 const (
-	DefaultInterval     = 250 * time.Millisecond
-	DefaultFanout       = 5
-	DefaultFanoutAcross = 3
-	DefaultCrossLinks   = 3
-	DefaultLinksAcross  = 15
-	DefaultSuspectAfter = 4
-	DefaultGoneAfter    = 20
-	DefaultForgetAfter  = 10 * time.Minute
-	DefaultMaxPeers     = 1024
-	DefaultMaxSeeds     = 64
+	DefaultInterval          = 250 * time.Millisecond
+	DefaultFanout            = 5
+	DefaultCrossZoneFanout   = 3
+	DefaultLinksPerZone      = 3
+	DefaultMaxCrossZoneLinks = 15
+	DefaultSuspectAfter      = 4
+	DefaultGoneAfter         = 20
+	DefaultForgetAfter       = 10 * time.Minute
+	DefaultMaxPeers          = 1024
+	DefaultMaxSeeds          = 64
 )
 
 // missesToSuspect is how many calls in a row may go without a reply.
@@ -84,9 +84,9 @@
 func (o Options) withDefaults() Options {
 	o.Interval = cmp.Or(o.Interval, DefaultInterval)
 	o.Fanout = cmp.Or(o.Fanout, DefaultFanout)
-	o.FanoutAcross = cmp.Or(o.FanoutAcross, DefaultFanoutAcross)
-	o.CrossLinks = cmp.Or(o.CrossLinks, DefaultCrossLinks)
-	o.LinksAcross = cmp.Or(o.LinksAcross, DefaultLinksAcross)
+	o.CrossZoneFanout = cmp.Or(o.CrossZoneFanout, DefaultCrossZoneFanout)
+	o.LinksPerZone = cmp.Or(o.LinksPerZone, DefaultLinksPerZone)
+	o.MaxCrossZoneLinks = cmp.Or(o.MaxCrossZoneLinks, DefaultMaxCrossZoneLinks)
 	o.SuspectAfter = cmp.Or(o.SuspectAfter, DefaultSuspectAfter)
 	o.GoneAfter = cmp.Or(o.GoneAfter, DefaultGoneAfter)
 	o.ForgetAfter = cmp.Or(o.ForgetAfter, DefaultForgetAfter)
@@ -181,8 +181,8 @@
 	State    State
 	Listed   bool
 	Draining bool
-	// Heard is when it was last heard from, or became known.
-	Heard time.Time
+	// LastHeard is when it was last heard from, or became known.
+	LastHeard time.Time
 }
 
 // Peers lists all peers, in no order that matters.
@@ -206,12 +206,12 @@
 // show copies what others may see.
 func (p *peer) show() Peer {
 	return Peer{
-		VM:       p.vm,
-		Zone:     p.zone,
-		Address:  p.address,
-		State:    p.state,
-		Listed:   p.listed,
-		Draining: p.draining,
-		Heard:    p.heard,
+		VM:        p.vm,
+		Zone:      p.zone,
+		Address:   p.address,
+		State:     p.state,
+		Listed:    p.listed,
+		Draining:  p.draining,
+		LastHeard: p.heard,
 	}
 }
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -69,23 +69,23 @@
 			vm, zone, _ := strings.Cut(word, "/")
 			list.VMs = append(list.VMs, platformapi.VM{ID: vm, Zone: zone, Role: platformapi.RoleEntry, PeerAddress: vm + ":1"})
 		}
-		s.print(s.m.VMs(s.now, list))
+		s.print(s.m.ApplyVMList(s.now, list))
 	case "digest", "call":
 		from := heard(words[1], words[2])
 		from.Called = words[0] == "call"
 		_, _ = fmt.Sscan(words[3], &from.Seq)
-		commands, err := s.m.Received(s.now, from)
+		commands, err := s.m.DigestReceived(s.now, from)
 		if err != nil {
 			fmt.Fprintln(&s.out, err)
 		}
 		s.print(commands)
 	case "reply":
 		from := heard(words[1], words[2])
-		commands, take := s.m.Replied(s.now, string(from.VM)+":1", from)
+		commands, take := s.m.ReplyReceived(s.now, string(from.VM)+":1", from)
 		s.print(commands)
 		fmt.Fprintln(&s.out, "take", take)
 	case "miss":
-		s.print(s.m.Missed(s.now, words[1]+":1"))
+		s.print(s.m.CallFailed(s.now, words[1]+":1"))
 	case "tick":
 		count := 1
 		if len(words) > 1 {
@@ -106,9 +106,9 @@
 	}
 }
 
-func heard(name, boot string) Heard {
+func heard(name, boot string) Sender {
 	vm, zone, _ := strings.Cut(name, "/")
-	return Heard{VM: ids.VM(vm), Zone: ids.Zone(zone), Boot: boot, Address: vm + ":1"}
+	return Sender{VM: ids.VM(vm), Zone: ids.Zone(zone), Boot: boot, Address: vm + ":1"}
 }
 
 func (s *script) want(t *testing.T, lines, want string) {
@@ -242,10 +242,10 @@
 		s.run("vms 1 me/p" + fleetOf("p", size) + fleetOf("q", size) + fleetOf("r", size))
 		inZone := map[string]int{}
 		across := map[string]bool{}
-		rounds := max((size+DefaultFanout-1)/DefaultFanout, (2*DefaultCrossLinks+DefaultFanoutAcross-1)/DefaultFanoutAcross)
+		rounds := max((size+DefaultFanout-1)/DefaultFanout, (2*DefaultLinksPerZone+DefaultCrossZoneFanout-1)/DefaultCrossZoneFanout)
 		for range rounds {
 			sent := strings.Split(strings.TrimSpace(s.run("tick")), "\n")[1:]
-			if most := DefaultFanout + DefaultFanoutAcross; len(sent) > most {
+			if most := DefaultFanout + DefaultCrossZoneFanout; len(sent) > most {
 				t.Fatalf("size %d: %d sent in a round", size, len(sent))
 			}
 			for _, line := range sent {
@@ -256,7 +256,7 @@
 				}
 			}
 		}
-		if len(inZone) != size || len(across) != 2*DefaultCrossLinks {
+		if len(inZone) != size || len(across) != 2*DefaultLinksPerZone {
 			t.Fatalf("size %d: %d of the zone, %d across", size, len(inZone), len(across))
 		}
 	}
@@ -266,10 +266,10 @@
 	s := newScript("a", "z1", func(o *Options) { o.MaxPeers, o.MaxSeeds = 1, 2 })
 	s.run("digest b/z1 x 1")
 	var full *FullError
-	if _, err := s.m.Received(start, heard("c/z1", "x")); !errors.As(err, &full) || len(s.m.Peers()) != 1 {
+	if _, err := s.m.DigestReceived(start, heard("c/z1", "x")); !errors.As(err, &full) || len(s.m.Peers()) != 1 {
 		t.Fatalf("got %v", err)
 	}
-	s.m.Seeds([]string{"a:1", "b:1", "s:1", "u:1"})
+	s.m.SetSeeds([]string{"a:1", "b:1", "s:1", "u:1"})
 	if got := s.run("tick 4"); strings.Count(got, "at s:1") != 1 || strings.Contains(got, "at a:1") || strings.Contains(got, "u:1") {
 		t.Fatal(got)
 	}
@@ -293,7 +293,7 @@
 		list.VMs = append(list.VMs, platformapi.VM{ID: string(vm), Zone: string(zone), Role: platformapi.RoleEntry, PeerAddress: string(vm)})
 	}
 	for _, m := range w.nodes {
-		m.VMs(start, list)
+		m.ApplyVMList(start, list)
 	}
 	return w
 }
@@ -315,23 +315,23 @@
 func (w *world) send(m *Members, send Send) {
 	to := w.nodes[ids.VM(send.Address)]
 	if to == nil || w.lost(m.opts.VM, to.opts.VM) {
-		m.Missed(w.now, send.Address)
+		m.CallFailed(w.now, send.Address)
 		return
 	}
 	from := m.who(w.seqs[m.opts.VM])
 	from.Called = true
-	_, _ = to.Received(w.now, from)
+	_, _ = to.DigestReceived(w.now, from)
 	if w.lost(to.opts.VM, m.opts.VM) {
-		m.Missed(w.now, send.Address)
+		m.CallFailed(w.now, send.Address)
 		return
 	}
-	if _, take := m.Replied(w.now, send.Address, to.who(0)); take {
-		_, _ = m.Received(w.now, to.who(w.seqs[to.opts.VM]))
+	if _, take := m.ReplyReceived(w.now, send.Address, to.who(0)); take {
+		_, _ = m.DigestReceived(w.now, to.who(w.seqs[to.opts.VM]))
 	}
 }
 
-func (m *Members) who(seq uint64) Heard {
-	return Heard{VM: m.opts.VM, Zone: m.opts.Zone, Boot: m.opts.Boot, Seq: seq, Address: m.opts.Address}
+func (m *Members) who(seq uint64) Sender {
+	return Sender{VM: m.opts.VM, Zone: m.opts.Zone, Boot: m.opts.Boot, Seq: seq, Address: m.opts.Address}
 }
 
 // populated reports whether a zone has a node.
@@ -413,7 +413,7 @@
 		w.nodes[gone] = New(Options{VM: gone, Zone: old.opts.Zone, Boot: string(gone) + "-2", Address: string(gone), Interval: time.Second})
 		w.seqs[gone] = 0
 		others := slices.DeleteFunc(slices.Sorted(maps.Keys(names)), func(vm ids.VM) bool { return vm == gone })
-		w.nodes[gone].Seeds([]string{string(others[0])})
+		w.nodes[gone].SetSeeds([]string{string(others[0])})
 		settle("restart")
 		for vm, m := range w.nodes {
 			if p, ok := m.Peer(gone); ok && p.State == Alive && m.peers[gone].boot != string(gone)+"-2" {
--- a/decide/member/tick.go
+++ b/decide/member/tick.go
@@ -38,7 +38,7 @@
 // turnAcross is the time in which each linked peer of another zone gets one
 // digest, and at least that of the zone.
 func (m *Members) turnAcross() time.Duration {
-	return max(m.turn(), m.roundsFor(len(m.links()), m.opts.FanoutAcross))
+	return max(m.turn(), m.roundsFor(len(m.links()), m.opts.CrossZoneFanout))
 }
 
 // roundsFor is how long a number of peers takes, so many in a round.
@@ -116,7 +116,7 @@
 
 // sendAcross sends to the linked peers of other zones.
 func (m *Members) sendAcross(now time.Time) {
-	turned := rotate(m.links(), &m.across, m.opts.FanoutAcross)
+	turned := rotate(m.links(), &m.across, m.opts.CrossZoneFanout)
 	m.send(m.spare(now, m.turnAcross(), turned))
 }
 
@@ -216,6 +216,6 @@
 	slices.SortFunc(peers, func(a, b *peer) int {
 		return byRank(m.opts.VM, string(a.vm), string(b.vm))
 	})
-	part := max(m.opts.LinksAcross/zones, 1)
-	return peers[:min(len(peers), m.opts.CrossLinks, part)]
+	part := max(m.opts.MaxCrossZoneLinks/zones, 1)
+	return peers[:min(len(peers), m.opts.LinksPerZone, part)]
 }
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -56,7 +56,7 @@
 // PeerGone reports that a peer's digests are no longer valid, and why.
 type PeerGone struct {
 	VM  ids.VM
-	Why member.Why
+	Why member.GoneReason
 }
 
 // SendDigest is the reply to DigestDue: the digest to send to all peers.
--- a/node/peers.go
+++ b/node/peers.go
@@ -84,7 +84,7 @@
 }
 
 // PeerGone implements peer.Sink.
-func (n *Node) PeerGone(vm ids.VM, why member.Why) {
+func (n *Node) PeerGone(vm ids.VM, why member.GoneReason) {
 	n.tell(router.PeerGone{VM: vm, Why: why})
 }
 
--- a/scenario/capacity/peers_test.go
+++ b/scenario/capacity/peers_test.go
@@ -191,7 +191,7 @@
 }
 
 // PeerGone implements peer.Sink.
-func (*node) PeerGone(ids.VM, member.Why) {}
+func (*node) PeerGone(ids.VM, member.GoneReason) {}
 
 // PeerVMs implements peer.Sink.
 func (*node) PeerVMs(platformapi.VMList) {}
