--- a/adapter/listwatch/listwatch.go
+++ b/adapter/listwatch/listwatch.go
@@ -20,11 +20,11 @@
 	"mimosaarch.example/core/every"
 )
 
-// HistoryError tells that the store no longer has the changes since a revision.
-type HistoryError struct{ Since int64 }
+// RevisionGoneError tells that the store no longer has the changes since a revision.
+type RevisionGoneError struct{ Since int64 }
 
 // Error implements error.
-func (e *HistoryError) Error() string {
+func (e *RevisionGoneError) Error() string {
 	return fmt.Sprintf("the store has forgotten the changes since revision %d", e.Since)
 }
 
@@ -74,22 +74,22 @@
 	Listed(list List[T])
 	// Changed may have no events, where only the revision went on.
 	Changed(changes Changes[T])
-	// Lost tells that the store does not answer; it is called after each
-	// failed call. Returned tells that it answers again, before what it tells.
-	Lost(err error)
-	Returned()
+	// Failed tells that the store does not answer; it is called after each
+	// failed call. Recovered tells that it answers again, before what it tells.
+	Failed(err error)
+	Recovered()
 }
 
 // Options set up a Follower. Zero values stand for the defaults.
 type Options struct {
 	// Name is the collection's, for logs.
 	Name string
-	// Wait is how long one watch waits. Default 3s: a silent connection must
+	// WatchWait is how long one watch waits. Default 3s: a silent connection must
 	// be noticed before what it hides is needed.
-	Wait time.Duration
-	// Pause is the least time between two watches, so that many changes come
+	WatchWait time.Duration
+	// BatchDelay is the least time between two watches, so that many changes come
 	// in one answer. Default 100ms.
-	Pause time.Duration
+	BatchDelay time.Duration
 	// Backoff is the wait after a first failure; it doubles up to MaxBackoff.
 	// Defaults 100ms and 800ms.
 	Backoff, MaxBackoff time.Duration
@@ -119,8 +119,8 @@
 
 // New makes a Follower.
 func New[T any](source Source[T], sink Sink[T], o Options) *Follower[T] {
-	setDefault(&o.Wait, defaultWait)
-	setDefault(&o.Pause, defaultPause)
+	setDefault(&o.WatchWait, defaultWait)
+	setDefault(&o.BatchDelay, defaultPause)
 	setDefault(&o.Backoff, defaultBackoff)
 	setDefault(&o.MaxBackoff, defaultMaxBackoff)
 	return &Follower[T]{source: source, sink: sink, opts: o, rand: rand.New(rand.NewPCG(o.Seed, seedStream))}
@@ -157,8 +157,8 @@
 // follow watches on from a revision until the history after it is forgotten.
 func (f *Follower[T]) follow(ctx context.Context, revision int64) {
 	for ctx.Err() == nil {
-		changes, err := f.source.Watch(ctx, revision, f.opts.Wait)
-		var history *HistoryError
+		changes, err := f.source.Watch(ctx, revision, f.opts.WatchWait)
+		var history *RevisionGoneError
 		if errors.As(err, &history) {
 			f.opts.Log.Info().Str("event", "history_lost").Str("kind", f.opts.Name).Int64("revision", revision).Send()
 			return
@@ -172,7 +172,7 @@
 			f.sink.Changed(changes)
 		}
 		if len(changes.Events) > 0 {
-			every.Pause(ctx, f.opts.Pause)
+			every.Pause(ctx, f.opts.BatchDelay)
 		}
 		revision = max(revision, changes.Revision)
 	}
@@ -187,7 +187,7 @@
 		f.opts.Log.Warn().Str("event", "store_lost").Str("kind", f.opts.Name).Err(err).Send()
 	}
 	f.lost = true
-	f.sink.Lost(err)
+	f.sink.Failed(err)
 	wait := backoff.Doubled(f.opts.Backoff, f.opts.MaxBackoff, f.fails)
 	f.fails++
 	every.Pause(ctx, wait/2+time.Duration(f.rand.Int64N(int64(wait))))
@@ -201,5 +201,5 @@
 	}
 	f.lost = false
 	f.opts.Log.Info().Str("event", "store_back").Str("kind", f.opts.Name).Send()
-	f.sink.Returned()
+	f.sink.Recovered()
 }
--- a/adapter/listwatch/listwatch_test.go
+++ b/adapter/listwatch/listwatch_test.go
@@ -70,8 +70,8 @@
 		}
 	}
 }
-func (r *recorder) Lost(error) { r.got = append(r.got, "lost") }
-func (r *recorder) Returned()  { r.got = append(r.got, "returned") }
+func (r *recorder) Failed(error) { r.got = append(r.got, "lost") }
+func (r *recorder) Recovered()   { r.got = append(r.got, "returned") }
 
 // run follows a script to its end.
 func run(t *testing.T, steps ...any) (calls, got []string) {
@@ -106,7 +106,7 @@
 func TestForgottenHistoryMeansAList(t *testing.T) {
 	calls, got := run(t,
 		List[string]{Items: []string{"a"}, Revision: 5},
-		&HistoryError{Since: 5},
+		&RevisionGoneError{Since: 5},
 		List[string]{Items: []string{"b"}, Revision: 50},
 	)
 	if diff := cmp.Diff([]string{"listed [a]", "listed [b]"}, got); diff != "" {
@@ -140,7 +140,7 @@
 	calls, got := run(t,
 		List[string]{Items: []string{"a"}, Revision: 5},
 		errAway,
-		&HistoryError{Since: 5},
+		&RevisionGoneError{Since: 5},
 		errAway,
 		List[string]{Items: []string{"b"}, Revision: 50},
 	)
--- a/node/entry/growth_test.go
+++ b/node/entry/growth_test.go
@@ -90,7 +90,7 @@
 
 func TestRemovalAfterTheGraceIsTold(t *testing.T) {
 	from, to := knowing("p", fleetOf(3)), knowing("q", nil)
-	from.Returned()
+	from.Recovered()
 	from.Listed(listwatch.List[directory.Upstream]{Items: fleetOf(2), Revision: 9})
 	take(to, from)
 	if to.view.Load().Get(life("u-0002")) == nil {
@@ -109,7 +109,7 @@
 	to := knowing("q", fleetOf(3))
 	reached := 0
 	to.reached = func() { reached++ }
-	to.Lost(context.DeadlineExceeded)
+	to.Failed(context.DeadlineExceeded)
 	// The cut ends: a peer is heard before the store, which has let the
 	// entries behind the cut lapse.
 	from := knowing("p", fleetOf(3))
@@ -128,7 +128,7 @@
 	if view := to.view.Load(); view.Get(life("u-0001")) == nil || view.Get(life("u-0000")) != nil {
 		t.Error("after the grace the one that came back is there, and only the other is not")
 	}
-	to.Returned()
+	to.Recovered()
 	if reached != 1 {
 		t.Errorf("the end of the cut was told %d times", reached)
 	}
@@ -150,9 +150,9 @@
 	}{{time.Second, true}, {1900 * time.Millisecond, true}, {4 * time.Second, false}} {
 		to := knowing("q", fleetOf(3))
 		to.heard.Store(&sighting{at: boottime.Now().Add(-one.lost)})
-		to.Lost(context.DeadlineExceeded)
+		to.Failed(context.DeadlineExceeded)
 		to.storeAnswered()
-		to.Returned()
+		to.Recovered()
 		to.Changed(removal("u-0001", 9))
 		if gone := to.view.Load().Get(life("u-0001")) == nil; gone != one.believe {
 			t.Errorf("lost for %v: gone %t, want %t", one.lost, gone, one.believe)
--- a/node/entry/share_test.go
+++ b/node/entry/share_test.go
@@ -114,7 +114,7 @@
 	n := &Node{news: news, configs: &configs{news: news}, fleet: newFleet(settings, boottime.Now, func(int) {})}
 	got := make(chan relay.News)
 	go func() { got <- n.News(t.Context(), relay.Have{Want: relay.WantConfig, WaitMs: 60_000}) }()
-	n.configs.Lost(errAway)
+	n.configs.Failed(errAway)
 	if told := <-got; !told.Lost {
 		t.Errorf("told %+v", told)
 	}
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -138,15 +138,15 @@
 	c.revision.Store(changes.Revision)
 }
 
-// Lost implements listwatch.Sink. Peers that wait here are told at once.
-func (c *configs) Lost(error) {
+// Failed implements listwatch.Sink. Peers that wait here are told at once.
+func (c *configs) Failed(error) {
 	if !c.lost.Swap(true) {
 		c.news.give()
 	}
 }
 
-// Returned implements listwatch.Sink.
-func (c *configs) Returned() { c.lost.Store(false) }
+// Recovered implements listwatch.Sink.
+func (c *configs) Recovered() { c.lost.Store(false) }
 
 // offer puts a configuration in force if it is newer and valid.
 func (c *configs) offer(config *routing.Config, from origin) {
@@ -347,8 +347,8 @@
 	return out
 }
 
-// Lost implements listwatch.Sink. Peers that wait here are told at once.
-func (u *upstreams) Lost(error) {
+// Failed implements listwatch.Sink. Peers that wait here are told at once.
+func (u *upstreams) Failed(error) {
 	if u.lost.Load() {
 		return
 	}
@@ -359,8 +359,8 @@
 	u.news.give()
 }
 
-// Returned implements listwatch.Sink.
-func (u *upstreams) Returned() {
+// Recovered implements listwatch.Sink.
+func (u *upstreams) Recovered() {
 	u.lost.Store(false)
 	u.change(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
 		if !u.graced {
