--- a/adapter/relay/packed_test.go
+++ b/adapter/relay/packed_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(News{Packed: packed})
+	text, err := json.Marshal(Update{Packed: packed})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 		}
 	}
 	address := serve(t, &shelf{packed: packed[:len(packed)/2]})
-	if news, err := Ask(t.Context(), address, Have{}); !errors.As(err, new(*CallError)) || news.Config != nil {
+	if news, err := Fetch(t.Context(), address, UpdateRequest{}); !errors.As(err, new(*CallError)) || news.Config != nil {
 		t.Errorf("%+v, %v", news, err)
 	}
 }
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	for name, s := range map[string]*shelf{"packed": {packed: packed}, "plain": {config: *want}} {
-		news, err := Ask(t.Context(), serve(t, s), Have{})
+		news, err := Fetch(t.Context(), serve(t, s), UpdateRequest{})
 		if err != nil {
 			t.Fatal(name, err)
 		}
--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -42,8 +42,8 @@
 	dialTimeout = 150 * time.Millisecond
 )
 
-// Have tells what the asker has.
-type Have struct {
+// UpdateRequest tells what the asker has.
+type UpdateRequest struct {
 	// ConfigVersion is the version of its configuration, 0 for none.
 	ConfigVersion int64 `json:"config_version"`
 	// Revision is that of its directory.
@@ -56,13 +56,13 @@
 	// Want is what the asker waits for.
 	Want Want `json:"want,omitempty"`
 	// Members is its list of the fleet's nodes.
-	Members Edition `json:"members,omitzero"`
-	// Unpacks tells that the asker reads packed configurations.
-	Unpacks bool `json:"unpacks,omitempty"`
+	Members MemberListVersion `json:"members,omitzero"`
+	// AcceptsPacked tells that the asker reads packed configurations.
+	AcceptsPacked bool `json:"unpacks,omitempty"`
 }
 
-// Edition names a list of the fleet's nodes.
-type Edition struct {
+// MemberListVersion names a list of the fleet's nodes.
+type MemberListVersion struct {
 	// Revision is the store's as of which the list holds.
 	Revision int64 `json:"revision"`
 	// Digest is equal for equal lists.
@@ -72,8 +72,8 @@
 // Base names a state of one process's directory, so that only what changed
 // since needs to be told.
 type Base struct {
-	// Holder is the process, unique across restarts.
-	Holder string `json:"holder"`
+	// Process is the process, unique across restarts.
+	Process string `json:"holder"`
 	// Mark counts its changes.
 	Mark uint64 `json:"mark"`
 }
@@ -87,8 +87,8 @@
 	WantUpstreams Want = "upstreams"
 )
 
-// News is what a node has that is newer.
-type News struct {
+// Update is what a node has that is newer.
+type Update struct {
 	// Config is nil where the asker's is as new. It goes over the wire as Packed to those
 	// that read it so.
 	Config *routing.Config `json:"config,omitempty"`
@@ -115,25 +115,25 @@
 	// learned this from, in ms. Hops counts the nodes between it and the store.
 	AgeMs int64 `json:"age_ms"`
 	Hops  int   `json:"hops,omitempty"`
-	// Lost tells that the node's last call to the store failed, or that no peer of
+	// Disconnected tells that the node's last call to the store failed, or that no peer of
 	// its own has news of it: it knows nothing newer until that ends.
-	Lost bool `json:"lost,omitempty"`
+	Disconnected bool `json:"lost,omitempty"`
 }
 
-// Sighted notes how long ago the store last answered about a part of the news, and
+// RecordAge notes how long ago the store last answered about a part of the news, and
 // the hops over which that is known; the worst of all parts holds.
-func (n *News) Sighted(age time.Duration, hops int) {
+func (n *Update) RecordAge(age time.Duration, hops int) {
 	n.AgeMs = max(n.AgeMs, age.Milliseconds())
 	n.Hops = max(n.Hops, hops)
 }
 
 // Source answers peers. Any goroutine may call it.
 type Source interface {
-	// News gives what is newer than the asker's, and waits for it as long as
+	// UpdateSince gives what is newer than the asker's, and waits for it as long as
 	// the asker allows.
-	News(ctx context.Context, have Have) News
-	// Judged takes a peer's verdict.
-	Judged(v quarantine.Verdict)
+	UpdateSince(ctx context.Context, have UpdateRequest) Update
+	// ApplyVerdict takes a peer's verdict.
+	ApplyVerdict(v quarantine.Verdict)
 }
 
 // Serve answers peers until l is closed, whose error it gives.
@@ -162,18 +162,18 @@
 		switch {
 		case r.Params == nil:
 		case r.Method == methodNews:
-			var have Have
+			var have UpdateRequest
 			if err := json.Unmarshal(*r.Params, &have); err != nil {
 				return nil, invalid(err)
 			}
 			have.WaitMs = min(have.WaitMs, MaxWait.Milliseconds())
-			return source.News(ctx, have), nil
+			return source.UpdateSince(ctx, have), nil
 		case r.Method == methodVerdict:
 			var v quarantine.Verdict
 			if err := json.Unmarshal(*r.Params, &v); err != nil {
 				return nil, invalid(err)
 			}
-			source.Judged(v)
+			source.ApplyVerdict(v)
 			return nil, nil
 		}
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "no such method"}
@@ -197,22 +197,22 @@
 // Unwrap gives the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Ask asks the peer at an address for its news. The error is a *CallError.
-func Ask(ctx context.Context, peer string, have Have) (News, error) {
-	var news News
-	have.Unpacks = true
+// Fetch asks the peer at an address for its news. The error is a *CallError.
+func Fetch(ctx context.Context, peer string, have UpdateRequest) (Update, error) {
+	var news Update
+	have.AcceptsPacked = true
 	err := call(ctx, peer, callTimeout+time.Duration(have.WaitMs)*time.Millisecond, methodNews, have, &news)
 	if err == nil && news.Packed != nil {
 		news.Config, err = news.Packed.Unpack()
 	}
 	if err != nil {
-		return News{}, &CallError{peer, err}
+		return Update{}, &CallError{peer, err}
 	}
 	return news, nil
 }
 
-// Tell tells the peer at an address of a verdict. The error is a *CallError.
-func Tell(ctx context.Context, peer string, v quarantine.Verdict) error {
+// SendVerdict tells the peer at an address of a verdict. The error is a *CallError.
+func SendVerdict(ctx context.Context, peer string, v quarantine.Verdict) error {
 	if err := call(ctx, peer, callTimeout, methodVerdict, v, nil); err != nil {
 		return &CallError{peer, err}
 	}
@@ -256,8 +256,8 @@
 // nothing answers a peer that asks back, which none does.
 type nothing struct{}
 
-// News implements Source.
-func (nothing) News(context.Context, Have) News { return News{} }
+// UpdateSince implements Source.
+func (nothing) UpdateSince(context.Context, UpdateRequest) Update { return Update{} }
 
-// Judged implements Source.
-func (nothing) Judged(quarantine.Verdict) {}
+// ApplyVerdict implements Source.
+func (nothing) ApplyVerdict(quarantine.Verdict) {}
--- a/adapter/relay/relay_test.go
+++ b/adapter/relay/relay_test.go
@@ -27,14 +27,14 @@
 	judged chan quarantine.Verdict
 }
 
-func (s *shelf) Judged(v quarantine.Verdict) { s.judged <- v }
+func (s *shelf) ApplyVerdict(v quarantine.Verdict) { s.judged <- v }
 
-func (s *shelf) News(_ context.Context, have Have) News {
-	var n News
+func (s *shelf) UpdateSince(_ context.Context, have UpdateRequest) Update {
+	var n Update
 	if s.config.Version > have.ConfigVersion {
 		n.Config = &s.config
 	}
-	if have.Unpacks {
+	if have.AcceptsPacked {
 		n.Packed = s.packed
 	}
 	if have.Revision < 30 {
@@ -73,14 +73,14 @@
 		list: []directory.Upstream{{ID: ids.Life{Upstream: "u"}, Service: "s", Address: "1.2.3.4:5", Layers: layered.Range{From: 1, To: 3}, Revision: 7, Leaving: true}},
 	}
 	address := serve(t, s)
-	news, err := Ask(t.Context(), address, Have{ConfigVersion: 11, Revision: 29})
+	news, err := Fetch(t.Context(), address, UpdateRequest{ConfigVersion: 11, Revision: 29})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(News{Config: &s.config, Upstreams: s.list, Revision: 30}, news); diff != "" {
+	if diff := cmp.Diff(Update{Config: &s.config, Upstreams: s.list, Revision: 30}, news); diff != "" {
 		t.Error(diff)
 	}
-	news, err = Ask(t.Context(), address, Have{ConfigVersion: 12, Revision: 30})
+	news, err = Fetch(t.Context(), address, UpdateRequest{ConfigVersion: 12, Revision: 30})
 	if err != nil || news.Config != nil || news.Revision != 0 {
 		t.Errorf("to one that has all: %+v, %v", news, err)
 	}
@@ -89,7 +89,7 @@
 func TestVerdictsAreTold(t *testing.T) {
 	s := &shelf{judged: make(chan quarantine.Verdict, 1)}
 	want := quarantine.Verdict{Fingerprint: "f", For: 5 * time.Second}
-	if err := Tell(t.Context(), serve(t, s), want); err != nil {
+	if err := SendVerdict(t.Context(), serve(t, s), want); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-s.judged; got != want {
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	_, err = Ask(t.Context(), l.Addr().String(), Have{})
+	_, err = Fetch(t.Context(), l.Addr().String(), UpdateRequest{})
 	var call *CallError
 	if !errors.As(err, &call) {
 		t.Errorf("error %v", err)
@@ -150,7 +150,7 @@
 	s := &shelf{config: routing.Config{Version: 12}}
 	thin := drip(t, serve(t, s), 5, 150*time.Millisecond)
 	began := time.Now()
-	if news, err := Ask(t.Context(), thin, Have{}); err != nil || news.Config == nil {
+	if news, err := Fetch(t.Context(), thin, UpdateRequest{}); err != nil || news.Config == nil {
 		t.Errorf("%+v, %v", news, err)
 	}
 	if took := time.Since(began); took < 2*roster.PeerReadTimeout {
@@ -159,7 +159,7 @@
 	still := listen(t)
 	const wait = 100 * time.Millisecond
 	began = time.Now()
-	_, err := Ask(t.Context(), still.Addr().String(), Have{WaitMs: wait.Milliseconds()})
+	_, err := Fetch(t.Context(), still.Addr().String(), UpdateRequest{WaitMs: wait.Milliseconds()})
 	var silent *CallError
 	if !errors.As(err, &silent) {
 		t.Errorf("error %v", err)
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -218,14 +218,14 @@
 	}
 }
 
-// News implements relay.Source.
-func (n *Node) News(ctx context.Context, have relay.Have) relay.News {
+// UpdateSince implements relay.Source.
+func (n *Node) UpdateSince(ctx context.Context, have relay.UpdateRequest) relay.Update {
 	timer := time.NewTimer(time.Duration(have.WaitMs) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		changed := n.news.next()
 		news := n.newsFor(have)
-		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Lost || have.WaitMs <= 0 {
+		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Disconnected || have.WaitMs <= 0 {
 			return news
 		}
 		select {
@@ -239,22 +239,22 @@
 }
 
 // newsFor gives what is newer than a peer's now.
-func (n *Node) newsFor(have relay.Have) relay.News {
-	news := relay.News{ConfigRevision: n.configs.revision.Load()}
+func (n *Node) newsFor(have relay.UpdateRequest) relay.Update {
+	news := relay.Update{ConfigRevision: n.configs.revision.Load()}
 	n.fleet.tell(&news, have.Members)
 	now := boottime.Now()
 	if have.Want != relay.WantUpstreams {
-		news.Sighted(n.configs.age(now))
-		news.Lost = n.configs.lost.Load()
+		news.RecordAge(n.configs.age(now))
+		news.Disconnected = n.configs.lost.Load()
 		if newest := n.configs.newest.Load(); newest != nil && newest.config.Version > have.ConfigVersion {
-			newest.tell(&news, have.Unpacks)
+			newest.tell(&news, have.AcceptsPacked)
 		}
 	}
 	if have.Want == relay.WantConfig {
 		return news
 	}
-	news.Sighted(n.upstreams.age(now))
-	news.Lost = news.Lost || n.upstreams.lost.Load()
+	news.RecordAge(n.upstreams.age(now))
+	news.Disconnected = news.Disconnected || n.upstreams.lost.Load()
 	n.upstreams.tell(&news, have)
 	return news
 }
--- a/node/entry/fleet.go
+++ b/node/entry/fleet.go
@@ -23,7 +23,7 @@
 
 	mu      sync.Mutex
 	roster  *roster.Roster
-	edition relay.Edition
+	edition relay.MemberListVersion
 	members []roster.Member
 	settled bool
 	// unheard is closed while the store does not answer this node.
@@ -45,7 +45,7 @@
 	}
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b roster.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
-	edition := relay.Edition{Revision: revision, Digest: digest(members)}
+	edition := relay.MemberListVersion{Revision: revision, Digest: digest(members)}
 	if edition.Digest != f.edition.Digest {
 		f.members = members
 		f.roster.Set(members)
@@ -135,14 +135,14 @@
 }
 
 // have names the list that is here.
-func (f *fleet) have() relay.Edition {
+func (f *fleet) have() relay.MemberListVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.edition
 }
 
 // tell adds the list to the news for an asker whose own is another and older.
-func (f *fleet) tell(news *relay.News, have relay.Edition) {
+func (f *fleet) tell(news *relay.Update, have relay.MemberListVersion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.edition.Digest != have.Digest && f.edition.Revision > have.Revision {
--- a/node/entry/growth_test.go
+++ b/node/entry/growth_test.go
@@ -39,8 +39,8 @@
 }
 
 // take has one directory take over another's news, which it gives.
-func take(to, from *upstreams) relay.News {
-	var news relay.News
+func take(to, from *upstreams) relay.Update {
+	var news relay.Update
 	peer := ids.VM(from.holder)
 	from.tell(&news, to.have(peer))
 	if news.Revision > 0 {
@@ -168,7 +168,7 @@
 func TestChangeTellsWhoseNewsItIs(t *testing.T) {
 	var log bytes.Buffer
 	to := newUpstreams("to", zerolog.New(&log), newNotice())
-	news := relay.News{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Life{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
+	news := relay.Update{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Life{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
 	to.merge("vm-2", news, boottime.Now().Add(-time.Second))
 	var line struct {
 		Event, From, Peer string
--- a/node/entry/origin.go
+++ b/node/entry/origin.go
@@ -26,7 +26,7 @@
 var fromStore = origin{from: "store"}
 
 // fromPeer is the origin of a peer's news, asked for at a moment.
-func fromPeer(peer ids.VM, news *relay.News, asked time.Time) origin {
+func fromPeer(peer ids.VM, news *relay.Update, asked time.Time) origin {
 	return origin{
 		from: "peer", peer: peer, age: time.Duration(news.AgeMs) * time.Millisecond, hops: news.Hops,
 		took: boottime.Now().Sub(asked),
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -131,7 +131,7 @@
 	have.ConfigVersion, have.Want = p.node.configs.version(), ""
 	have.Members = p.node.fleet.have()
 	asked := boottime.Now()
-	news, err := relay.Ask(ctx, peer, have)
+	news, err := relay.Fetch(ctx, peer, have)
 	if err != nil {
 		p.log.Debug().Str("event", "peer_silent").Err(err).Send()
 		return
--- a/node/entry/share.go
+++ b/node/entry/share.go
@@ -45,8 +45,8 @@
 	selector *roster.Selector
 	// have tells what the node has, to a peer; take takes over a peer's news, asked
 	// for at a moment, and gives the revision up to which they go.
-	have func(peer ids.VM) relay.Have
-	take func(peer ids.VM, news relay.News, asked time.Time) int64
+	have func(peer ids.VM) relay.UpdateRequest
+	take func(peer ids.VM, news relay.Update, asked time.Time) int64
 	// contact is told when the store or a peer answered; hurry is told that a watch begins
 	// while the store was not heard of lately.
 	contact *contact
@@ -147,16 +147,16 @@
 }
 
 // question, asked at a moment, waits at a peer for its news. The error is a *relay.CallError.
-func (s *shared[T]) question(ctx context.Context, peer roster.Member, asked time.Time) (relay.News, error) {
+func (s *shared[T]) question(ctx context.Context, peer roster.Member, asked time.Time) (relay.Update, error) {
 	have := s.have(peer.Name)
 	have.WaitMs = roster.PeerPollWait.Milliseconds()
 	have.Members = s.fleet.have()
-	news, err := relay.Ask(ctx, peer.PeerAddress, have)
+	news, err := relay.Fetch(ctx, peer.PeerAddress, have)
 	if err != nil {
 		if ctx.Err() == nil {
 			s.passedOver("peer_silent", peer.Name, asked).Err(err).Send()
 		}
-		return relay.News{}, err
+		return relay.Update{}, err
 	}
 	if news.Members != nil {
 		s.fleet.set(news.Members, news.MembersRevision)
@@ -166,17 +166,17 @@
 
 // ask, at a moment, waits at a peer for news of the store. The error is a *relay.CallError or a
 // *BehindError.
-func (s *shared[T]) ask(ctx context.Context, peer roster.Member, asked time.Time) (relay.News, error) {
+func (s *shared[T]) ask(ctx context.Context, peer roster.Member, asked time.Time) (relay.Update, error) {
 	news, err := s.question(ctx, peer, asked)
 	if err != nil {
 		s.fleet.unanswered(s.selector, peer.Name, boottime.Now().Sub(asked))
-		return relay.News{}, err
+		return relay.Update{}, err
 	}
 	age := time.Duration(news.AgeMs) * time.Millisecond
-	if news.Lost || !roster.Fresh(age, news.Hops) {
-		s.passedOver("peer_behind", peer.Name, asked).Dur("age_ms", age).Int("hops", news.Hops).Bool("lost", news.Lost).Send()
+	if news.Disconnected || !roster.Fresh(age, news.Hops) {
+		s.passedOver("peer_behind", peer.Name, asked).Dur("age_ms", age).Int("hops", news.Hops).Bool("lost", news.Disconnected).Send()
 		s.fleet.behind(s.selector, peer.Name)
-		return relay.News{}, &BehindError{Peer: peer.Name, Age: age}
+		return relay.Update{}, &BehindError{Peer: peer.Name, Age: age}
 	}
 	s.fleet.answered(s.selector, peer.Name)
 	s.contact.peerAnswered(age, news.Hops+1)
@@ -199,10 +199,10 @@
 		hurry:    n.probe.hurry,
 		took:     n.metrics.Took,
 		log:      n.log,
-		have: func(ids.VM) relay.Have {
-			return relay.Have{ConfigVersion: n.configs.version(), Want: relay.WantConfig}
+		have: func(ids.VM) relay.UpdateRequest {
+			return relay.UpdateRequest{ConfigVersion: n.configs.version(), Want: relay.WantConfig}
 		},
-		take: func(peer ids.VM, news relay.News, asked time.Time) int64 {
+		take: func(peer ids.VM, news relay.Update, asked time.Time) int64 {
 			if news.Config != nil {
 				n.configs.offer(news.Config, fromPeer(peer, &news, asked))
 			}
@@ -223,7 +223,7 @@
 		took:     n.metrics.Took,
 		log:      n.log,
 		have:     n.upstreams.have,
-		take: func(peer ids.VM, news relay.News, asked time.Time) int64 {
+		take: func(peer ids.VM, news relay.Update, asked time.Time) int64 {
 			if news.Revision > 0 {
 				n.upstreams.merge(peer, news, asked)
 			}
--- a/node/entry/share_test.go
+++ b/node/entry/share_test.go
@@ -20,26 +20,26 @@
 
 // teller is a peer with fixed news.
 type teller struct {
-	news  relay.News
-	asked chan relay.Have
+	news  relay.Update
+	asked chan relay.UpdateRequest
 }
 
-func (p *teller) News(_ context.Context, have relay.Have) relay.News {
+func (p *teller) UpdateSince(_ context.Context, have relay.UpdateRequest) relay.Update {
 	p.asked <- have
 	return p.news
 }
 
-func (*teller) Judged(quarantine.Verdict) {}
+func (*teller) ApplyVerdict(quarantine.Verdict) {}
 
 // serveNews answers peers at an address, which it gives.
-func serveNews(t *testing.T, news relay.News) (*teller, string) {
+func serveNews(t *testing.T, news relay.Update) (*teller, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	p := &teller{news: news, asked: make(chan relay.Have, 100)}
+	p := &teller{news: news, asked: make(chan relay.UpdateRequest, 100)}
 	go func() { _ = relay.Serve(t.Context(), l, p) }()
 	return p, l.Addr().String()
 }
@@ -69,16 +69,16 @@
 	return &shared[routing.Config]{
 		store: store, fleet: f, selector: f.selector(), contact: &contact{}, hurry: func() {},
 		took: func(string, time.Duration) {},
-		have: func(ids.VM) relay.Have { return relay.Have{Want: relay.WantConfig} },
-		take: func(_ ids.VM, news relay.News, _ time.Time) int64 { return news.ConfigRevision },
+		have: func(ids.VM) relay.UpdateRequest { return relay.UpdateRequest{Want: relay.WantConfig} },
+		take: func(_ ids.VM, news relay.Update, _ time.Time) int64 { return news.ConfigRevision },
 	}, store
 }
 
 // What one peer does not know, as the store has stopped answering it, the other
 // tells.
 func TestOtherPeerTellsWhatOneDoesNotKnow(t *testing.T) {
-	_, behind := serveNews(t, relay.News{ConfigRevision: 5, AgeMs: 60_000})
-	_, good := serveNews(t, relay.News{ConfigRevision: 7, AgeMs: 100})
+	_, behind := serveNews(t, relay.Update{ConfigRevision: 5, AgeMs: 60_000})
+	_, good := serveNews(t, relay.Update{ConfigRevision: 7, AgeMs: 100})
 	s, store := follower(behind, good)
 	for range 4 {
 		changes, err := s.Watch(t.Context(), 5, time.Second)
@@ -96,8 +96,8 @@
 
 // A peer that the store turned away says so at once, however fresh its view is.
 func TestPeerThatLostTheStoreIsPassedOver(t *testing.T) {
-	_, lost := serveNews(t, relay.News{ConfigRevision: 5, AgeMs: 10, Lost: true})
-	_, good := serveNews(t, relay.News{ConfigRevision: 7, AgeMs: 100})
+	_, lost := serveNews(t, relay.Update{ConfigRevision: 5, AgeMs: 10, Disconnected: true})
+	_, good := serveNews(t, relay.Update{ConfigRevision: 7, AgeMs: 100})
 	s, _ := follower(lost, good)
 	for range 4 {
 		changes, err := s.Watch(t.Context(), 5, time.Second)
@@ -112,18 +112,18 @@
 	settings := Settings{VM: "a-00", Zone: "a"}
 	news := newNotice()
 	n := &Node{news: news, configs: &configs{news: news}, fleet: newFleet(settings, boottime.Now, func(int) {})}
-	got := make(chan relay.News)
-	go func() { got <- n.News(t.Context(), relay.Have{Want: relay.WantConfig, WaitMs: 60_000}) }()
+	got := make(chan relay.Update)
+	go func() { got <- n.UpdateSince(t.Context(), relay.UpdateRequest{Want: relay.WantConfig, WaitMs: 60_000}) }()
 	n.configs.Failed(errAway)
-	if told := <-got; !told.Lost {
+	if told := <-got; !told.Disconnected {
 		t.Errorf("told %+v", told)
 	}
 }
 
 func TestStoreThatNoPeerReachesIsLostWithoutACall(t *testing.T) {
-	_, one := serveNews(t, relay.News{AgeMs: 60_000})
+	_, one := serveNews(t, relay.Update{AgeMs: 60_000})
 	// News that come over too many nodes may have gone in a ring.
-	_, other := serveNews(t, relay.News{AgeMs: 100, Hops: roster.MaxHops + 1})
+	_, other := serveNews(t, relay.Update{AgeMs: 100, Hops: roster.MaxHops + 1})
 	s, store := follower(one, other)
 	_, err := s.Watch(t.Context(), 5, time.Second)
 	var behind *BehindError
@@ -159,7 +159,7 @@
 // A list of nodes that was read too early comes right by what peers tell.
 func TestListOfNodesComesFromPeers(t *testing.T) {
 	all := append(zone("a", 4), zone("b", 2)...)
-	peer, address := serveNews(t, relay.News{ConfigRevision: 7, Members: all, MembersRevision: 9})
+	peer, address := serveNews(t, relay.Update{ConfigRevision: 7, Members: all, MembersRevision: 9})
 	s, _ := follower(address, address)
 	if _, err := s.Watch(t.Context(), 5, time.Second); err != nil {
 		t.Fatal(err)
@@ -180,16 +180,16 @@
 	if told != 4 {
 		t.Errorf("%d nodes after an older list", told)
 	}
-	var news relay.News
-	f.tell(&news, relay.Edition{Revision: 3, Digest: f.have().Digest})
+	var news relay.Update
+	f.tell(&news, relay.MemberListVersion{Revision: 3, Digest: f.have().Digest})
 	if news.Members != nil {
 		t.Error("a list is told to one that has it")
 	}
-	f.tell(&news, relay.Edition{Revision: 10, Digest: 1})
+	f.tell(&news, relay.MemberListVersion{Revision: 10, Digest: 1})
 	if news.Members != nil {
 		t.Error("an older list is told")
 	}
-	f.tell(&news, relay.Edition{Revision: 3, Digest: 1})
+	f.tell(&news, relay.MemberListVersion{Revision: 3, Digest: 1})
 	if len(news.Members) != 4 || news.MembersRevision != 9 {
 		t.Errorf("told %+v", news)
 	}
@@ -236,7 +236,7 @@
 // A watch that waits ends as soon as the store is found not to answer, and none begins
 // before it answers again.
 func TestWatchEndsWhenTheStoreFallsSilent(t *testing.T) {
-	_, others := serveNews(t, relay.News{})
+	_, others := serveNews(t, relay.Update{})
 	store := &mute{called: make(chan struct{}, 10)}
 	s := watcher(store, others)
 	ended := make(chan error, 1)
@@ -261,10 +261,10 @@
 // The connection of a watch alone may be silent: what another watcher knows is taken over
 // beside it.
 func TestWatcherTakesOverWhatAnotherKnows(t *testing.T) {
-	_, others := serveNews(t, relay.News{ConfigRevision: 7, AgeMs: 5})
+	_, others := serveNews(t, relay.Update{ConfigRevision: 7, AgeMs: 5})
 	s := watcher(&mute{called: make(chan struct{}, 1)}, others)
 	took := make(chan int64, 100)
-	s.take = func(_ ids.VM, news relay.News, _ time.Time) int64 {
+	s.take = func(_ ids.VM, news relay.Update, _ time.Time) int64 {
 		took <- news.ConfigRevision
 		return news.ConfigRevision
 	}
@@ -301,7 +301,7 @@
 // A watch that begins is vouched for at once: until then its node has no news to give, and
 // others would turn to the store themselves.
 func TestWatchThatBeginsIsProbedAtOnce(t *testing.T) {
-	_, others := serveNews(t, relay.News{})
+	_, others := serveNews(t, relay.Update{})
 	s := watcher(&mute{called: make(chan struct{}, 1)}, others)
 	store := &probed{ends: make(chan error)}
 	p := newProbe(store, s.fleet, zerolog.Nop(), s.contact)
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -175,7 +175,7 @@
 }
 
 // tell adds the configuration to the news of an asker.
-func (e *edition) tell(news *relay.News, unpacks bool) {
+func (e *edition) tell(news *relay.Update, unpacks bool) {
 	if unpacks {
 		news.Packed = e.packed()
 	}
@@ -272,7 +272,7 @@
 const maxBases = 16
 
 // merge takes a peer's news, asked for at a moment.
-func (u *upstreams) merge(peer ids.VM, news relay.News, asked time.Time) {
+func (u *upstreams) merge(peer ids.VM, news relay.Update, asked time.Time) {
 	u.change(fromPeer(peer, &news, asked), func(d *directory.Directory, now time.Time) []directory.Change {
 		if news.Revision < d.Revision() {
 			return nil
@@ -296,17 +296,17 @@
 }
 
 // have tells a peer what is here.
-func (u *upstreams) have(peer ids.VM) relay.Have {
+func (u *upstreams) have(peer ids.VM) relay.UpdateRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return relay.Have{Revision: u.directory.Revision(), Base: u.bases[peer], Want: relay.WantUpstreams}
+	return relay.UpdateRequest{Revision: u.directory.Revision(), Base: u.bases[peer], Want: relay.WantUpstreams}
 }
 
 // tell adds to the news what an asker does not have.
-func (u *upstreams) tell(news *relay.News, have relay.Have) {
+func (u *upstreams) tell(news *relay.Update, have relay.UpdateRequest) {
 	view := u.view.Load()
 	var changed []*directory.Upstream
-	known := have.Base.Holder == u.holder
+	known := have.Base.Process == u.holder
 	if known {
 		changed, news.Gone, news.Delta = view.Since(have.Base.Mark)
 	}
@@ -315,7 +315,7 @@
 	if view.Revision < have.Revision || view.Revision == have.Revision && nothing {
 		return
 	}
-	news.Revision, news.Base = view.Revision, relay.Base{Holder: u.holder, Mark: view.Mark}
+	news.Revision, news.Base = view.Revision, relay.Base{Process: u.holder, Mark: view.Mark}
 	if news.Delta {
 		news.Upstreams = values(changed)
 		return
--- a/node/entry/verdicts.go
+++ b/node/entry/verdicts.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Judged implements relay.Source.
-func (n *Node) Judged(v quarantine.Verdict) {
+// ApplyVerdict implements relay.Source.
+func (n *Node) ApplyVerdict(v quarantine.Verdict) {
 	n.log.Info().Str("event", "quarantine_heard").Str("fingerprint", string(v.Fingerprint)).Dur("for_ms", v.For).Send()
 	n.server.AddVerdict(v)
 }
@@ -35,7 +35,7 @@
 			return
 		case v := <-n.verdicts:
 			for _, m := range n.fleet.others() {
-				if err := relay.Tell(ctx, m.PeerAddress, v); err != nil {
+				if err := relay.SendVerdict(ctx, m.PeerAddress, v); err != nil {
 					n.log.Debug().Str("event", "peer_silent").Err(err).Send()
 				}
 			}
--- a/node/entry/verdicts_test.go
+++ b/node/entry/verdicts_test.go
@@ -28,9 +28,9 @@
 // listener is a node that notes verdicts.
 type listener struct{ heard chan quarantine.Verdict }
 
-func (listener) News(context.Context, relay.Have) relay.News { return relay.News{} }
+func (listener) UpdateSince(context.Context, relay.UpdateRequest) relay.Update { return relay.Update{} }
 
-func (l listener) Judged(v quarantine.Verdict) { l.heard <- v }
+func (l listener) ApplyVerdict(v quarantine.Verdict) { l.heard <- v }
 
 func TestVerdictsReachAllOtherNodes(t *testing.T) {
 	settings := Settings{VM: "a-00", Zone: "a"}
