--- a/adapter/configfeed/feed.go
+++ b/adapter/configfeed/feed.go
@@ -33,9 +33,9 @@
 	LastContact time.Time
 	// Relayed counts changes that came from peers first.
 	Relayed uint64
-	// Refused counts objects refused: older ones, invalid ones and those
+	// Rejected counts objects refused: older ones, invalid ones and those
 	// without room.
-	Refused uint64
+	Rejected uint64
 }
 
 // StoppedError tells that a Feed has stopped, or that a question to it was
@@ -74,8 +74,8 @@
 		settings: settings,
 		sink:     sink,
 		lists:    ring.New[listed]("config lists", 1),
-		offers:   ring.New[[]platformapi.Object]("config offers", settings.Ring),
-		asks:     ring.New[func(*owner)]("config questions", settings.Ring),
+		offers:   ring.New[[]platformapi.Object]("config offers", settings.RingCapacity),
+		asks:     ring.New[func(*owner)]("config questions", settings.RingCapacity),
 	}
 }
 
--- a/adapter/configfeed/feed_test.go
+++ b/adapter/configfeed/feed_test.go
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		h := &harness{platform: newPlatform()}
-		settings := Settings{Ring: 2, OnProblem: func(error) {
+		settings := Settings{RingCapacity: 2, OnError: func(error) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.problems++
@@ -156,7 +156,7 @@
 }
 
 func TestFullRingRefuses(t *testing.T) {
-	h := New(newPlatform(), func(*router.Config) {}, Settings{Ring: 1})
+	h := New(newPlatform(), func(*router.Config) {}, Settings{RingCapacity: 1})
 	var full *ring.FullError
 	if err := errors.Join(h.Offer(nil), h.Offer(nil)); !errors.As(err, &full) {
 		t.Fatalf("got %v, want a *ring.FullError", err)
@@ -177,7 +177,7 @@
 func TestFollowerAsksNowAndThen(t *testing.T) {
 	run(t, func(ctx context.Context, t *testing.T, h *harness) {
 		var leads atomic.Bool
-		h.Feed.settings.Leads = leads.Load
+		h.Feed.settings.ShouldWatch = leads.Load
 		h.platform.write(profile(1))
 		go h.Run(ctx)
 		synctest.Wait()
--- a/adapter/configfeed/owner.go
+++ b/adapter/configfeed/owner.go
@@ -73,8 +73,8 @@
 // note counts and reports refused objects.
 func (o *owner) note(errs ...error) {
 	for _, err := range errs {
-		o.sums.Refused++
-		o.feed.settings.OnProblem(err)
+		o.sums.Rejected++
+		o.feed.settings.OnError(err)
 	}
 }
 
--- a/adapter/configfeed/settings.go
+++ b/adapter/configfeed/settings.go
@@ -25,25 +25,25 @@
 	// BackoffMin and BackoffMax bound the pause after a failed call; it
 	// doubles with each failure and is spread by half. Default 100ms and 5s.
 	BackoffMin, BackoffMax time.Duration
-	// Leads reports whether this node waits for changes with a watch; one that
+	// ShouldWatch reports whether this node waits for changes with a watch; one that
 	// doesn't hears of them from peers, and asks the platform each FollowEvery
 	// without waiting. Nil means that it leads. The Feed's goroutine calls it.
-	Leads func() bool
-	// FollowEvery is the pace of a node that doesn't lead. Default 4s.
-	FollowEvery time.Duration
-	// RelistEvery is how often the whole list is read again, in case the
+	ShouldWatch func() bool
+	// PollInterval is the pace of a node that doesn't lead. Default 4s.
+	PollInterval time.Duration
+	// RelistInterval is how often the whole list is read again, in case the
 	// watch missed a change. Default 10m.
-	RelistEvery time.Duration
-	// Ring is the capacity of the ring of relayed batches, and of that of
+	RelistInterval time.Duration
+	// RingCapacity is the capacity of the ring of relayed batches, and of that of
 	// questions. Default 256.
-	Ring int
+	RingCapacity int
 	// Seed starts the random source of the pauses.
 	Seed uint64
 	// Store bounds what is held.
 	Store configorder.Settings
-	// OnProblem is told of each refused object and failed call; may be nil.
+	// OnError is told of each refused object and failed call; may be nil.
 	// The Feed's goroutines call it; it must not call the Feed.
-	OnProblem func(err error)
+	OnError func(err error)
 }
 
 // withDefaults fills in unset fields.
@@ -51,14 +51,14 @@
 	s.WatchWait = defaults.Positive(s.WatchWait, defaultWatchWait)
 	s.BackoffMin = defaults.Positive(s.BackoffMin, defaultBackoffMin)
 	s.BackoffMax = defaults.Positive(s.BackoffMax, defaultBackoffMax)
-	s.FollowEvery = defaults.Positive(s.FollowEvery, defaultFollowEvery)
-	if s.Leads == nil {
-		s.Leads = func() bool { return true }
+	s.PollInterval = defaults.Positive(s.PollInterval, defaultFollowEvery)
+	if s.ShouldWatch == nil {
+		s.ShouldWatch = func() bool { return true }
 	}
-	s.RelistEvery = defaults.Positive(s.RelistEvery, defaultRelistEvery)
-	s.Ring = defaults.Positive(s.Ring, defaultRing)
-	if s.OnProblem == nil {
-		s.OnProblem = func(error) {}
+	s.RelistInterval = defaults.Positive(s.RelistInterval, defaultRelistEvery)
+	s.RingCapacity = defaults.Positive(s.RingCapacity, defaultRing)
+	if s.OnError == nil {
+		s.OnError = func(error) {}
 	}
 	return s
 }
--- a/adapter/configfeed/watcher.go
+++ b/adapter/configfeed/watcher.go
@@ -31,7 +31,7 @@
 			w.failures = 0
 			continue
 		}
-		w.feed.settings.OnProblem(err)
+		w.feed.settings.OnError(err)
 		w.failures++
 		w.pause(ctx)
 	}
@@ -39,11 +39,11 @@
 
 // step makes one call.
 func (w *watcher) step(ctx context.Context) error {
-	if w.listedAt.IsZero() || time.Since(w.listedAt) >= w.feed.settings.RelistEvery {
+	if w.listedAt.IsZero() || time.Since(w.listedAt) >= w.feed.settings.RelistInterval {
 		return w.list(ctx)
 	}
-	if !w.feed.settings.Leads() {
-		sleep(ctx, w.feed.settings.FollowEvery)
+	if !w.feed.settings.ShouldWatch() {
+		sleep(ctx, w.feed.settings.PollInterval)
 		return w.watch(ctx, 0)
 	}
 	return w.watch(ctx, w.feed.settings.WatchWait)
@@ -71,17 +71,17 @@
 		return err
 	}
 	if len(reply.Objects) == 0 && time.Since(start) < wait/2 {
-		return &EarlyError{}
+		return &EarlyWatchEndError{}
 	}
 	return w.hand(ctx, listed{reply: reply})
 }
 
-// EarlyError tells that a watch ended without changes long before its time;
+// EarlyWatchEndError tells that a watch ended without changes long before its time;
 // the next one has to wait, or the calls would never cease.
-type EarlyError struct{}
+type EarlyWatchEndError struct{}
 
 // Error implements error.
-func (e *EarlyError) Error() string { return "a watch ended early without changes" }
+func (e *EarlyWatchEndError) Error() string { return "a watch ended early without changes" }
 
 // hand passes an answer to the owner. A revision never goes back.
 func (w *watcher) hand(ctx context.Context, item listed) error {
--- a/node/config.go
+++ b/node/config.go
@@ -13,8 +13,8 @@
 func (n *Node) newFeed(client configfeed.Platform) *configfeed.Feed {
 	sink := func(config *router.Config) { n.tell(router.ConfigReceived{Config: config}) }
 	return configfeed.New(client, sink, configfeed.Settings{
-		Leads:     func() bool { return n.leads(configDuty) },
-		OnProblem: n.configProblem,
+		ShouldWatch: func() bool { return n.leads(configDuty) },
+		OnError:     n.configProblem,
 	})
 }
 
