--- a/adapter/peer/claim.go
+++ b/adapter/peer/claim.go
@@ -41,11 +41,11 @@
 	freshConn = 2
 )
 
-// Claims hands operations on idempotency keys to the VMs that are preferred
+// ClaimForwarder hands operations on idempotency keys to the VMs that are preferred
 // for their shards. It implements claims.Peers. Each VM asked has a connection
 // of its own: the calls wait for the platform, and digests must not wait with
 // them. Any goroutine may call its methods.
-type Claims struct {
+type ClaimForwarder struct {
 	service *Service
 	ctx     context.Context
 	mu      sync.Mutex
@@ -53,15 +53,15 @@
 	avoid   map[ids.VM]time.Time
 }
 
-// NewClaims makes a Claims whose connections end with ctx.
-func NewClaims(ctx context.Context, s *Service) *Claims {
-	return &Claims{service: s, ctx: ctx, conns: make(map[string]*claimConn), avoid: make(map[ids.VM]time.Time)}
+// NewClaimForwarder makes a Claims whose connections end with ctx.
+func NewClaimForwarder(ctx context.Context, s *Service) *ClaimForwarder {
+	return &ClaimForwarder{service: s, ctx: ctx, conns: make(map[string]*claimConn), avoid: make(map[ids.VM]time.Time)}
 }
 
 // Preferred implements claims.Peers: the VM of the highest rank for a shard,
 // by rendezvous hash, among this one and those that are heard from, or are
 // listed and not known to be in trouble.
-func (c *Claims) Preferred(shard int) (ids.VM, bool) {
+func (c *ClaimForwarder) Preferred(shard int) (ids.VM, bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 // Forward implements claims.Peers.
-func (c *Claims) Forward(ctx context.Context, f claim.Forward) claim.ForwardAnswer {
+func (c *ClaimForwarder) Forward(ctx context.Context, f claim.Forward) claim.ForwardAnswer {
 	answer := c.forward(ctx, f)
 	switch answer.Kind {
 	case claim.ForwardRefused:
@@ -116,7 +116,7 @@
 }
 
 // forward hands an operation to a VM.
-func (c *Claims) forward(ctx context.Context, f claim.Forward) claim.ForwardAnswer {
+func (c *ClaimForwarder) forward(ctx context.Context, f claim.Forward) claim.ForwardAnswer {
 	refused := claim.ForwardAnswer{Kind: claim.ForwardRefused}
 	conn := c.conn(f.VM)
 	if conn == nil || !conn.wait(ctx) {
@@ -131,7 +131,7 @@
 }
 
 // shun passes over a VM for a time.
-func (c *Claims) shun(vm ids.VM, d time.Duration) {
+func (c *ClaimForwarder) shun(vm ids.VM, d time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +145,7 @@
 
 // conn gives the connection to a VM, newly opened if need be; nil when no
 // address of it is known.
-func (c *Claims) conn(vm ids.VM) *claimConn {
+func (c *ClaimForwarder) conn(vm ids.VM) *claimConn {
 	c.service.mu.Lock()
 	peer, known := c.service.members.Peer(vm)
 	c.service.mu.Unlock()
--- a/adapter/peer/claim_bench_test.go
+++ b/adapter/peer/claim_bench_test.go
@@ -24,7 +24,7 @@
 				})
 			}
 			s.members.VMs(time.Now(), list)
-			c := NewClaims(b.Context(), s)
+			c := NewClaimForwarder(b.Context(), s)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				c.Preferred(i % 64)
--- a/adapter/peer/claim_test.go
+++ b/adapter/peer/claim_test.go
@@ -25,12 +25,12 @@
 }
 
 // claimPair starts a node and one that serves its claims.
-func claimPair(t *testing.T, serve func(context.Context, int, claim.Op) claim.ForwardAnswer) (*testNode, *Claims) {
+func claimPair(t *testing.T, serve func(context.Context, int, claim.Op) claim.ForwardAnswer) (*testNode, *ClaimForwarder) {
 	b := start(t, "b", "z1", func(o *Options) { o.Source = claimNode{o.Source.(*testNode), serve} })
 	a := seeded(t, "a", "z1", b, nil)
 	a.from(t, "b")
 	b.from(t, "a")
-	return a, NewClaims(t.Context(), a.Service)
+	return a, NewClaimForwarder(t.Context(), a.Service)
 }
 
 // forwardTo makes a Forward of a Claim.
@@ -46,7 +46,7 @@
 }
 
 // within bounds a call by its Forward's time.
-func within(t *testing.T, c *Claims, f claim.Forward) claim.ForwardAnswer {
+func within(t *testing.T, c *ClaimForwarder, f claim.Forward) claim.ForwardAnswer {
 	ctx, cancel := context.WithDeadline(t.Context(), f.Until)
 	defer cancel()
 	return c.Forward(ctx, f)
@@ -163,7 +163,7 @@
 	b := start(t, "b", "z1", nil)
 	a := seeded(t, "a", "z1", b, nil)
 	a.from(t, "b")
-	claims := NewClaims(t.Context(), a.Service)
+	claims := NewClaimForwarder(t.Context(), a.Service)
 	if got := within(t, claims, forwardTo("b", 5*time.Second)); got.Kind != claim.ForwardRefused {
 		t.Errorf("got %+v", got)
 	}
@@ -171,7 +171,7 @@
 
 func TestPreferredIsSharedAndSpread(t *testing.T) {
 	var list []platformapi.VM
-	var services []*Claims
+	var services []*ClaimForwarder
 	const count = 9
 	for i := range count {
 		list = append(list, platformapi.VM{
@@ -185,7 +185,7 @@
 		}
 		t.Cleanup(s.Close)
 		s.members.VMs(time.Now(), platformapi.VMList{Revision: 1, VMs: list})
-		services = append(services, NewClaims(t.Context(), s))
+		services = append(services, NewClaimForwarder(t.Context(), s))
 	}
 	shares := make(map[ids.VM]int)
 	const shards = 256
--- a/node/claims.go
+++ b/node/claims.go
@@ -38,14 +38,14 @@
 	node *Node
 	once sync.Once
 	// peers is nil until the first use, and in a node that stands alone.
-	peers *peer.Claims
+	peers *peer.ClaimForwarder
 }
 
 // joined gives the connections to the others; nil when the node stands alone.
-func (c *claimPeers) joined() *peer.Claims {
+func (c *claimPeers) joined() *peer.ClaimForwarder {
 	c.once.Do(func() {
 		if c.node.peers != nil {
-			c.peers = peer.NewClaims(c.node.ctx, c.node.peers)
+			c.peers = peer.NewClaimForwarder(c.node.ctx, c.node.peers)
 		}
 	})
 	return c.peers
