--- a/adapter/peer/claim_conn.go
+++ b/adapter/peer/claim_conn.go
@@ -71,7 +71,7 @@
 
 // ask makes one call. Only an answer of the peer proves anything.
 func (k *claimConn) ask(ctx context.Context, s *Service, f claim.Forward) (peerapi.ClaimReply, claim.ForwardAnswer) {
-	message := claimMessage(f)
+	message := encodeClaim(f)
 	k.stamp(&message, f.Until)
 	var reply peerapi.ClaimReply
 	err := s.call(ctx, k.rpc, peerapi.MethodClaim, &message, &reply)
@@ -83,7 +83,7 @@
 		return peerapi.ClaimReply{}, claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
 	k.note(reply.ClockNs)
-	return reply, claimAnswer(f.Op, reply)
+	return reply, decodeClaimReply(f.Op, reply)
 }
 
 // stamp adds the peer's clock and the time left. A clock that is too old is
--- a/adapter/peer/claim_serve.go
+++ b/adapter/peer/claim_serve.go
@@ -39,7 +39,7 @@
 	}
 	h.service.opts.Count(ClaimsReceived, 1)
 	server, ok := h.service.opts.Source.(ClaimServer)
-	op, known := claimOp(m)
+	op, known := decodeClaimOp(m)
 	switch {
 	case !known:
 		h.service.opts.Count(ClaimsNoClock, 1)
@@ -60,7 +60,7 @@
 	// The Committer answers by the Deadline; the rest is for its goroutine.
 	limit, done := context.WithDeadline(ctx, op.Deadline.Add(h.service.opts.CallTimeout))
 	defer done()
-	h.replyClaim(limit, conn, req, claimReply(server.ServeClaim(limit, shard, op)))
+	h.replyClaim(limit, conn, req, encodeClaimReply(server.ServeClaim(limit, shard, op)))
 }
 
 // replyClaim replies with the clock. A reply that can't be written ends the
@@ -70,10 +70,10 @@
 	_ = conn.Reply(ctx, req.ID, reply)
 }
 
-// claimOp converts a message. Its Deadline is no later than the end of the
+// decodeClaimOp converts a message. Its Deadline is no later than the end of the
 // sender's time, whatever the message's way took: the clock that it brings was
 // read before the sender heard of it. It is false when the clock is missing.
-func claimOp(m peerapi.Claim) (claim.Op, bool) {
+func decodeClaimOp(m peerapi.Claim) (claim.Op, bool) {
 	if m.ClockNs == 0 || m.ClockNs > clockNow() {
 		return claim.Op{}, false
 	}
@@ -81,13 +81,13 @@
 	since -= since / peerapi.ClockDrift
 	op := claim.Op{
 		Kind:      claimKinds[m.Kind],
-		Record:    claimRecord(m.Record),
+		Record:    decodeClaimRecord(m.Record),
 		Nonce:     m.Nonce,
 		Retention: time.Duration(m.RetentionNs),
 		Deadline:  clockStart.Add(time.Duration(m.ClockNs-1) + since),
 	}
 	if m.Over != nil {
-		over := claimRecord(*m.Over)
+		over := decodeClaimRecord(*m.Over)
 		op.Over = &over
 	}
 	return op, true
@@ -100,12 +100,12 @@
 	peerapi.ClaimSettle:  claim.Settle,
 }
 
-// claimMessage converts an operation to hand over.
-func claimMessage(f claim.Forward) peerapi.Claim {
+// encodeClaim converts an operation to hand over.
+func encodeClaim(f claim.Forward) peerapi.Claim {
 	m := peerapi.Claim{
 		Shard:       f.Shard,
 		Nonce:       f.Op.Nonce,
-		Record:      tellClaimRecord(f.Op.Record),
+		Record:      encodeClaimRecord(f.Op.Record),
 		RetentionNs: int64(f.Op.Retention),
 	}
 	for name, kind := range claimKinds {
@@ -114,28 +114,28 @@
 		}
 	}
 	if f.Op.Over != nil {
-		over := tellClaimRecord(*f.Op.Over)
+		over := encodeClaimRecord(*f.Op.Over)
 		m.Over = &over
 	}
 	return m
 }
 
-// claimReply converts what came of an operation.
-func claimReply(a claim.ForwardAnswer) peerapi.ClaimReply {
+// encodeClaimReply converts what came of an operation.
+func encodeClaimReply(a claim.ForwardAnswer) peerapi.ClaimReply {
 	switch {
 	case a.Kind == claim.ForwardRefused:
 		return peerapi.ClaimReply{State: peerapi.ClaimRefused}
 	case a.Kind == claim.ForwardUncertain:
 		return peerapi.ClaimReply{State: peerapi.ClaimUnsure}
 	case a.Result == router.ClaimTaken:
-		prior := tellClaimRecord(a.Prior)
+		prior := encodeClaimRecord(a.Prior)
 		return peerapi.ClaimReply{State: peerapi.ClaimDone, Prior: &prior}
 	}
 	return peerapi.ClaimReply{State: peerapi.ClaimDone}
 }
 
-// claimAnswer converts a reply.
-func claimAnswer(op claim.Op, r peerapi.ClaimReply) claim.ForwardAnswer {
+// decodeClaimReply converts a reply.
+func decodeClaimReply(op claim.Op, r peerapi.ClaimReply) claim.ForwardAnswer {
 	switch {
 	case r.State == peerapi.ClaimRefused, r.State == peerapi.ClaimNoClock:
 		return claim.ForwardAnswer{Kind: claim.ForwardRefused}
@@ -144,11 +144,11 @@
 	case r.Prior == nil:
 		return claim.ForwardAnswer{Kind: claim.ForwardDone, Result: router.ClaimWon}
 	}
-	return claim.ForwardAnswer{Kind: claim.ForwardDone, Result: router.ClaimTaken, Prior: claimRecord(*r.Prior)}
+	return claim.ForwardAnswer{Kind: claim.ForwardDone, Result: router.ClaimTaken, Prior: decodeClaimRecord(*r.Prior)}
 }
 
-// tellClaimRecord converts a record to tell a peer.
-func tellClaimRecord(r router.ClaimRecord) peerapi.ClaimRecord {
+// encodeClaimRecord converts a record to tell a peer.
+func encodeClaimRecord(r router.ClaimRecord) peerapi.ClaimRecord {
 	return peerapi.ClaimRecord{
 		Account:     r.Account,
 		Key:         r.Key,
@@ -162,8 +162,8 @@
 	}
 }
 
-// claimRecord converts a record that a peer told.
-func claimRecord(r peerapi.ClaimRecord) router.ClaimRecord {
+// decodeClaimRecord converts a record that a peer told.
+func decodeClaimRecord(r peerapi.ClaimRecord) router.ClaimRecord {
 	return router.ClaimRecord{
 		Account:     r.Account,
 		Key:         r.Key,
--- a/adapter/peer/claim_test.go
+++ b/adapter/peer/claim_test.go
@@ -115,9 +115,9 @@
 }
 
 func TestMessageThatWaitedIsLate(t *testing.T) {
-	m := claimMessage(forwardTo("b", time.Second))
+	m := encodeClaim(forwardTo("b", time.Second))
 	m.ClockNs, m.ClockAgeNs, m.RemainingNs = clockNow(), int64(time.Second), int64(100*time.Millisecond)
-	op, ok := claimOp(m)
+	op, ok := decodeClaimOp(m)
 	if !ok {
 		t.Fatal("no clock")
 	}
@@ -129,7 +129,7 @@
 	}
 	for _, clock := range []int64{0, clockNow() + int64(time.Hour)} {
 		m.ClockNs = clock
-		if _, ok := claimOp(m); ok {
+		if _, ok := decodeClaimOp(m); ok {
 			t.Errorf("clock %d was taken", clock)
 		}
 	}
--- a/adapter/peer/convert.go
+++ b/adapter/peer/convert.go
@@ -11,18 +11,18 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Usage converts demand to tell peers.
-func Usage(usage []limit.AccountUsage) []peerapi.AccountUsage {
+// EncodeUsage converts demand to tell peers.
+func EncodeUsage(usage []limit.AccountUsage) []peerapi.AccountUsage {
 	return convert(usage, func(u limit.AccountUsage) peerapi.AccountUsage { return peerapi.AccountUsage(u) })
 }
 
-// LimitUsage converts demand that a peer told.
-func LimitUsage(usage []peerapi.AccountUsage) []limit.AccountUsage {
+// DecodeUsage converts demand that a peer told.
+func DecodeUsage(usage []peerapi.AccountUsage) []limit.AccountUsage {
 	return convert(usage, func(u peerapi.AccountUsage) limit.AccountUsage { return limit.AccountUsage(u) })
 }
 
-// Quarantine converts evidence to tell peers.
-func Quarantine(events []quarantine.Event) []peerapi.QuarantineEvent {
+// EncodeQuarantineEvents converts evidence to tell peers.
+func EncodeQuarantineEvents(events []quarantine.Event) []peerapi.QuarantineEvent {
 	return convert(events, func(e quarantine.Event) peerapi.QuarantineEvent {
 		return peerapi.QuarantineEvent{
 			Kind:        string(e.Kind),
@@ -34,8 +34,8 @@
 	})
 }
 
-// QuarantineEvents converts evidence that a peer told.
-func QuarantineEvents(events []peerapi.QuarantineEvent) []quarantine.Event {
+// DecodeQuarantineEvents converts evidence that a peer told.
+func DecodeQuarantineEvents(events []peerapi.QuarantineEvent) []quarantine.Event {
 	return convert(events, func(e peerapi.QuarantineEvent) quarantine.Event {
 		return quarantine.Event{
 			Kind:        quarantine.Kind(e.Kind),
@@ -47,8 +47,8 @@
 	})
 }
 
-// Decisions converts steps that a peer told at now.
-func Decisions(steps []peerapi.Decision, now time.Time) []router.Decision {
+// DecodeDecisions converts steps that a peer told at now.
+func DecodeDecisions(steps []peerapi.Decision, now time.Time) []router.Decision {
 	return convert(steps, func(d peerapi.Decision) router.Decision {
 		return router.Decision{
 			At:      now.Add(-time.Duration(d.AgeNs)),
@@ -65,8 +65,8 @@
 	})
 }
 
-// tellDecisions converts steps to tell a peer at now.
-func tellDecisions(steps []router.Decision, now time.Time) []peerapi.Decision {
+// encodeDecisions converts steps to tell a peer at now.
+func encodeDecisions(steps []router.Decision, now time.Time) []peerapi.Decision {
 	return convert(steps, func(d router.Decision) peerapi.Decision {
 		return peerapi.Decision{
 			AgeNs:   int64(now.Sub(d.At)),
@@ -83,13 +83,13 @@
 	})
 }
 
-// tellSummary converts a summary to tell a peer.
-func tellSummary(summary []configorder.KeyVersion) []peerapi.KeyVersion {
+// encodeSummary converts a summary to tell a peer.
+func encodeSummary(summary []configorder.KeyVersion) []peerapi.KeyVersion {
 	return convert(summary, func(kv configorder.KeyVersion) peerapi.KeyVersion { return peerapi.KeyVersion(kv) })
 }
 
-// toldSummary converts a summary that a peer told.
-func toldSummary(summary []peerapi.KeyVersion) []configorder.KeyVersion {
+// decodeSummary converts a summary that a peer told.
+func decodeSummary(summary []peerapi.KeyVersion) []configorder.KeyVersion {
 	return convert(summary, func(kv peerapi.KeyVersion) configorder.KeyVersion { return configorder.KeyVersion(kv) })
 }
 
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -172,7 +172,7 @@
 	if h.service.opts.Feed == nil {
 		return peerapi.PullReply{}, nil
 	}
-	objects, err := h.service.opts.Feed.Newer(ctx, toldSummary(p.Summary), peerapi.MaxPullBytes)
+	objects, err := h.service.opts.Feed.Newer(ctx, decodeSummary(p.Summary), peerapi.MaxPullBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -200,5 +200,5 @@
 	}
 	steps := h.service.opts.Source.Explain(e.ID)
 	steps = steps[max(len(steps)-peerapi.MaxDecisions, 0):]
-	return peerapi.ExplainReply{Decisions: tellDecisions(steps, time.Now())}, nil
+	return peerapi.ExplainReply{Decisions: encodeDecisions(steps, time.Now())}, nil
 }
--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ask := peerapi.Pull{Summary: tellSummary(summary)}
+	ask := peerapi.Pull{Summary: encodeSummary(summary)}
 	if err := ask.Validate(); err != nil {
 		return 0, err
 	}
--- a/adapter/peer/service.go
+++ b/adapter/peer/service.go
@@ -144,5 +144,5 @@
 	if err := s.call(ctx, conn, peerapi.MethodExplain, peerapi.Explain{ID: id}, &out); err != nil {
 		return nil, err
 	}
-	return Decisions(out.Decisions, time.Now()), nil
+	return DecodeDecisions(out.Decisions, time.Now()), nil
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -96,8 +96,8 @@
 	out := peerapi.Digest{
 		Draining:   d.Draining,
 		InFlight:   d.InFlight,
-		Usage:      peer.Usage(d.Usage),
-		Quarantine: peer.Quarantine(d.Quarantine),
+		Usage:      peer.EncodeUsage(d.Usage),
+		Quarantine: peer.EncodeQuarantineEvents(d.Quarantine),
 		Leaving:    d.Leaving,
 	}
 	for _, o := range d.Health {
@@ -115,8 +115,8 @@
 	out := router.Digest{
 		Draining:   d.Draining,
 		InFlight:   d.InFlight,
-		Usage:      peer.LimitUsage(d.Usage),
-		Quarantine: peer.QuarantineEvents(d.Quarantine),
+		Usage:      peer.DecodeUsage(d.Usage),
+		Quarantine: peer.DecodeQuarantineEvents(d.Quarantine),
 		Leaving:    d.Leaving,
 	}
 	for _, o := range d.Health {
