--- a/adapter/peer/bases_test.go
+++ b/adapter/peer/bases_test.go
@@ -48,7 +48,7 @@
 	if d := b.from(t, "a"); d.InFlight["e1"] != 3 || len(d.Loads) != 1 {
 		t.Fatalf("got %+v", d)
 	}
-	if a.count(DigestsUnbased)+b.count(DigestsUnbased) == 0 {
+	if a.count(DigestsUnknownBase)+b.count(DigestsUnknownBase) == 0 {
 		t.Fatal("nothing was forgotten")
 	}
 	if missed := a.count(DigestsMissed) + b.count(DigestsMissed); missed > 0 {
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -119,11 +119,11 @@
 	}
 	whole, err := h.service.bases.whole(d)
 	if err != nil {
-		h.service.opts.Count(DigestsUnbased, 1)
+		h.service.opts.Count(DigestsUnknownBase, 1)
 		return nil, err
 	}
 	if err := h.service.events.Offer(received{digest: whole, conn: conn, called: true}); err != nil {
-		h.service.opts.Count(MessagesBusy, 1)
+		h.service.opts.Count(MessagesDropped, 1)
 		return nil, &busyError{Cause: err}
 	}
 	return h.service.reply(d), nil
--- a/adapter/peer/link.go
+++ b/adapter/peer/link.go
@@ -180,7 +180,7 @@
 // tell hands an event to the loop.
 func (k *link) tell(ev event) {
 	if err := k.service.events.Offer(ev); err != nil {
-		k.service.opts.Count(MessagesBusy, 1)
+		k.service.opts.Count(MessagesDropped, 1)
 	}
 }
 
--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -171,7 +171,7 @@
 // take uses a digest unless it is not new.
 func (ev received) take(l *loop, now time.Time) {
 	if now.Before(l.distrust) {
-		l.opts.Count(DigestsPaused, 1)
+		l.opts.Count(DigestsAfterPause, 1)
 		return
 	}
 	d := ev.digest
@@ -191,7 +191,7 @@
 		return
 	}
 	l.tell(commands)
-	l.opts.Count(DigestsTaken, 1)
+	l.opts.Count(DigestsAccepted, 1)
 	l.opts.Sink.PeerDigest(d, now)
 	l.compare(pull{vm: d.VM, conn: ev.conn, config: d.ConfigDigest, vms: d.VMsRevision})
 }
@@ -203,7 +203,7 @@
 	switch {
 	case errors.As(err, &self):
 		if self.Boot != l.opts.Boot {
-			l.opts.Count(NameTaken, 1)
+			l.opts.Count(VMIDConflicts, 1)
 		}
 	case errors.As(err, &stale):
 		l.opts.Count(DigestsStale, 1)
@@ -230,7 +230,7 @@
 			received{digest: whole, conn: ev.conn}.take(l, now)
 			return
 		}
-		l.opts.Count(DigestsUnbased, 1)
+		l.opts.Count(DigestsUnknownBase, 1)
 	}
 	if r.VM != l.opts.VM {
 		l.compare(pull{vm: r.VM, conn: ev.conn, config: r.ConfigDigest, vms: r.VMsRevision})
@@ -269,6 +269,6 @@
 		return
 	}
 	if err := l.pulls.Offer(p); err != nil {
-		l.opts.Count(MessagesBusy, 1)
+		l.opts.Count(MessagesDropped, 1)
 	}
 }
--- a/adapter/peer/options.go
+++ b/adapter/peer/options.go
@@ -63,16 +63,16 @@
 	BytesReceived Counter = "peer_bytes_received"
 	// DigestsSent counts digests that a peer confirmed.
 	DigestsSent Counter = "peer_digests_sent"
-	// DigestsTaken counts digests handed to the Sink.
-	DigestsTaken Counter = "peer_digests_taken"
+	// DigestsAccepted counts digests handed to the Sink.
+	DigestsAccepted Counter = "peer_digests_taken"
 	// DigestsStale counts digests refused as repeated or older.
 	DigestsStale Counter = "peer_digests_stale"
-	// DigestsUnbased counts digests that referred to one not held, so that
+	// DigestsUnknownBase counts digests that referred to one not held, so that
 	// they could not be used.
-	DigestsUnbased Counter = "peer_digests_unbased"
-	// DigestsPaused counts digests refused since this process had stood
+	DigestsUnknownBase Counter = "peer_digests_unbased"
+	// DigestsAfterPause counts digests refused since this process had stood
 	// still, so that their ages are not known.
-	DigestsPaused Counter = "peer_digests_after_pause"
+	DigestsAfterPause Counter = "peer_digests_after_pause"
 	// DigestsReplaced counts digests that a newer one replaced unsent.
 	DigestsReplaced Counter = "peer_digests_replaced"
 	// DigestsMissed counts digests without a reply in time.
@@ -81,10 +81,10 @@
 	DigestsSkipped Counter = "peer_digests_skipped"
 	// MessagesInvalid counts messages refused for their form.
 	MessagesInvalid Counter = "peer_messages_invalid"
-	// MessagesBusy counts messages refused by a full ring.
-	MessagesBusy Counter = "peer_messages_busy"
-	// NameTaken counts digests of another process under this node's name.
-	NameTaken Counter = "peer_name_taken"
+	// MessagesDropped counts messages refused by a full ring.
+	MessagesDropped Counter = "peer_messages_busy"
+	// VMIDConflicts counts digests of another process under this node's name.
+	VMIDConflicts Counter = "peer_name_taken"
 	// PeersRefused counts digests of peers beyond the bound.
 	PeersRefused Counter = "peer_peers_refused"
 	// HandshakesFailed counts connections refused for their certificate, on
@@ -146,8 +146,8 @@
 	// MaxLinks bounds the links to peers, and the connections from peers.
 	// Default 512.
 	MaxLinks int
-	// Ring is the capacity of the ring of events. Default 1024.
-	Ring int
+	// RingCapacity is the capacity of the ring of events. Default 1024.
+	RingCapacity int
 }
 
 // Defaults of Options.
@@ -158,7 +158,7 @@
 	DefaultBackoffMax   = 2 * time.Second
 	DefaultPullInterval = 250 * time.Millisecond
 	DefaultMaxLinks     = 512
-	DefaultRing         = 1024
+	DefaultRingCapacity         = 1024
 )
 
 // withDefaults fills in unset options.
@@ -170,7 +170,7 @@
 	o.BackoffMax = cmp.Or(o.BackoffMax, DefaultBackoffMax)
 	o.PullInterval = cmp.Or(o.PullInterval, DefaultPullInterval)
 	o.MaxLinks = cmp.Or(o.MaxLinks, DefaultMaxLinks)
-	o.Ring = cmp.Or(o.Ring, DefaultRing)
+	o.RingCapacity = cmp.Or(o.RingCapacity, DefaultRingCapacity)
 	if o.Boot == "" {
 		o.Boot = randomBoot()
 	}
--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -85,7 +85,7 @@
 		return
 	}
 	if err := p.events.Offer(vmsSeen{list: out.List, fromPeer: true}); err != nil {
-		p.opts.Count(MessagesBusy, 1)
+		p.opts.Count(MessagesDropped, 1)
 	}
 }
 
--- a/adapter/peer/service.go
+++ b/adapter/peer/service.go
@@ -52,7 +52,7 @@
 	s := &Service{
 		opts:     opts,
 		listener: listener,
-		events:   ring.New[event]("peer events", opts.Ring),
+		events:   ring.New[event]("peer events", opts.RingCapacity),
 		pulls:    ring.New[pull]("peer pulls", pullCapacity),
 		members:  member.New(memberOptions(opts)),
 		bases:    newBases(),
--- a/adapter/peer/service_test.go
+++ b/adapter/peer/service_test.go
@@ -268,7 +268,7 @@
 	now = l.wake()
 	ev := received{digest: peerapi.Digest{VM: "x", Zone: "z1", Boot: "b", Seq: 1}}
 	ev.take(l, now)
-	if n.count(DigestsPaused) != 1 || len(n.digests) != 0 {
+	if n.count(DigestsAfterPause) != 1 || len(n.digests) != 0 {
 		t.Fatal("a digest of unknown age was used")
 	}
 	ev.take(l, now.Add(n.opts.Interval))
--- a/adapter/peer/wire_test.go
+++ b/adapter/peer/wire_test.go
@@ -60,7 +60,7 @@
 			refusals := func() int64 { return client.count(HandshakesFailed) + client.count(DigestsMissed) }
 			client.until(t, "refused", func() bool { return refusals() > 2 })
 			server.until(t, "refused", func() bool { return server.count(HandshakesFailed) > 0 })
-			if client.count(DigestsSent) > 0 || server.count(DigestsTaken) > 0 {
+			if client.count(DigestsSent) > 0 || server.count(DigestsAccepted) > 0 {
 				t.Fatal("a digest went through")
 			}
 		})
