--- a/adapter/peer/identity/ca.go
+++ b/adapter/peer/identity/ca.go
@@ -19,17 +19,17 @@
 	key  *ecdsa.PrivateKey
 }
 
-// MakeError tells that a certificate could not be made.
-type MakeError struct {
+// IssueError tells that a certificate could not be made.
+type IssueError struct {
 	Name  string
 	Cause error
 }
 
 // Error implements error.
-func (e *MakeError) Error() string { return fmt.Sprintf("certificate of %s: %v", e.Name, e.Cause) }
+func (e *IssueError) Error() string { return fmt.Sprintf("certificate of %s: %v", e.Name, e.Cause) }
 
 // Unwrap gives the cause.
-func (e *MakeError) Unwrap() error { return e.Cause }
+func (e *IssueError) Unwrap() error { return e.Cause }
 
 // PEM is a certificate and its key as PEM texts.
 type PEM struct{ Cert, Key []byte }
@@ -45,7 +45,7 @@
 func NewCA(name string) (*CA, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, &MakeError{Name: name, Cause: err}
+		return nil, &IssueError{Name: name, Cause: err}
 	}
 	now := time.Now()
 	template, err := newTemplate(name, now.Add(-skew), now.Add(caValidity))
@@ -57,11 +57,11 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, &MakeError{Name: name, Cause: err}
+		return nil, &IssueError{Name: name, Cause: err}
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, &MakeError{Name: name, Cause: err}
+		return nil, &IssueError{Name: name, Cause: err}
 	}
 	return &CA{cert: cert, key: key}, nil
 }
@@ -70,7 +70,7 @@
 func newTemplate(name string, from, until time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, &MakeError{Name: name, Cause: err}
+		return nil, &IssueError{Name: name, Cause: err}
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -86,7 +86,7 @@
 func (ca *CA) Issue(name string, validity time.Duration) (PEM, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return PEM{}, &MakeError{Name: name, Cause: err}
+		return PEM{}, &IssueError{Name: name, Cause: err}
 	}
 	until := time.Now().Add(validity)
 	template, err := newTemplate(name, until.Add(-validity-skew), until)
@@ -97,11 +97,11 @@
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, template, ca.cert, key.Public(), ca.key)
 	if err != nil {
-		return PEM{}, &MakeError{Name: name, Cause: err}
+		return PEM{}, &IssueError{Name: name, Cause: err}
 	}
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return PEM{}, &MakeError{Name: name, Cause: err}
+		return PEM{}, &IssueError{Name: name, Cause: err}
 	}
 	return PEM{
 		Cert: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
@@ -123,7 +123,7 @@
 	}
 	cert, err := tls.X509KeyPair(text.Cert, text.Key)
 	if err != nil {
-		return nil, &MakeError{Name: name, Cause: err}
+		return nil, &IssueError{Name: name, Cause: err}
 	}
 	roots := x509.NewCertPool()
 	roots.AddCert(ca.cert)
