--- a/adapter/claims/committer.go
+++ b/adapter/claims/committer.go
@@ -73,7 +73,7 @@
 		sink:     sink,
 		settings: settings,
 		shards:   claim.New(settings.Claim).Shards(),
-		commands: ring.New[work]("claims", settings.Ring),
+		commands: ring.New[work]("claims", settings.RingCapacity),
 	}
 	c.counts.Store(&claim.Counts{})
 	return c
@@ -124,7 +124,7 @@
 
 // op turns a command into an operation.
 func (c *Committer) op(command router.Command) (claim.Op, error) {
-	deadline := time.Now().Add(c.settings.Deadline)
+	deadline := time.Now().Add(c.settings.Timeout)
 	switch cmd := command.(type) {
 	case router.Claim:
 		return claim.Op{
--- a/adapter/claims/committer_test.go
+++ b/adapter/claims/committer_test.go
@@ -42,7 +42,7 @@
 				at:       make(map[ids.Request]time.Time),
 				released: make(map[ids.Request]bool),
 			}
-			settings := Settings{Claim: claim.Settings{Shards: testShards}, Parallel: 3}
+			settings := Settings{Claim: claim.Settings{Shards: testShards}, MaxPlatformCalls: 3}
 			change(i, &settings)
 			c := New(f.platform, r, settings)
 			f.committers = append(f.committers, c)
@@ -141,7 +141,7 @@
 	run(t, 1, func(t *testing.T, f *fleet) {
 		f.platform.setMode(down)
 		f.claim(0, "k", "r1")
-		advance(defaultDeadline)
+		advance(defaultTimeout)
 		f.want(0, "r1", router.ClaimFailed)
 		f.platform.setMode(up)
 		advance(time.Second)
@@ -160,9 +160,9 @@
 		f.platform.setMode(silent)
 		start := time.Now()
 		f.claim(0, "k", "r1")
-		advance(defaultDeadline)
+		advance(defaultTimeout)
 		f.want(0, "r1", router.ClaimUncertain)
-		if took := f.results[0].at["r1"].Sub(start); took != defaultDeadline {
+		if took := f.results[0].at["r1"].Sub(start); took != defaultTimeout {
 			t.Errorf("took %v", took)
 		}
 		if !f.platform.holds("r1", router.ClaimHeld) {
@@ -182,7 +182,7 @@
 		advance(100 * time.Millisecond)
 		f.platform.setMode(down)
 		f.offer(0, router.Release{ID: "r1", Record: record("k", "r1")})
-		advance(defaultDeadline)
+		advance(defaultTimeout)
 		if confirmed, told := f.results[0].released["r1"]; !told || confirmed {
 			t.Fatalf("told %v, confirmed %v", told, confirmed)
 		}
@@ -217,7 +217,7 @@
 }
 
 func TestOfferRefuses(t *testing.T) {
-	c := New(&fakePlatform{}, &results{}, Settings{Ring: 1})
+	c := New(&fakePlatform{}, &results{}, Settings{RingCapacity: 1})
 	var command *CommandError
 	if err := c.Offer(router.Finish{}); !errors.As(err, &command) {
 		t.Errorf("got %v, want a *CommandError", err)
--- a/adapter/claims/peers_test.go
+++ b/adapter/claims/peers_test.go
@@ -76,7 +76,7 @@
 		}
 		f.offer(0, router.Release{ID: "r0", Record: record("k0", "r0")})
 		f.offer(1, router.Settle{ID: "r1", Record: record("k1", "r1")})
-		advance(defaultDeadline)
+		advance(defaultTimeout)
 		if f.platform.holds("r0", router.ClaimHeld) || !f.results[0].released["r0"] || !f.platform.holds("r1", router.ClaimDone) {
 			t.Error("a release or a settlement is missing")
 		}
@@ -103,7 +103,7 @@
 					f.claim(0, fmt.Sprint("k", i), fmt.Sprint("r", i))
 					f.claim(1, fmt.Sprint("k", i), fmt.Sprint("s", i))
 				}
-				advance(defaultDeadline)
+				advance(defaultTimeout)
 				for i := range 20 {
 					a := f.results[0].ended[ids.Request(fmt.Sprint("r", i))].Result
 					b := f.results[1].ended[ids.Request(fmt.Sprint("s", i))].Result
--- a/adapter/claims/worker.go
+++ b/adapter/claims/worker.go
@@ -45,11 +45,11 @@
 	return &worker{
 		Committer: c,
 		group:     group,
-		pool:      pond.NewPool(c.settings.Parallel),
-		forwards:  pond.NewPool(c.settings.ParallelForwards),
+		pool:      pond.NewPool(c.settings.MaxPlatformCalls),
+		forwards:  pond.NewPool(c.settings.MaxForwards),
 		calls:     calls,
 		answers:   make(chan claim.Answer, group.Shards()),
-		forwarded: make(chan forwarded, c.settings.ParallelForwards),
+		forwarded: make(chan forwarded, c.settings.MaxForwards),
 		serving:   make(map[string]chan<- claim.ForwardAnswer),
 	}
 }
