--- a/adapter/call/call.go
+++ b/adapter/call/call.go
@@ -63,9 +63,9 @@
 
 	options Options
 	tokens  *ring.Ring[engineapi.Token]
-	// life ends with Finish; reader ends with Leave or with life.
+	// life ends with Finish; reader ends with MarkCallerGone or with life.
 	life, reader context.Context
-	end, leave   context.CancelFunc
+	end, markGone   context.CancelFunc
 
 	mu        sync.Mutex
 	delivered []string
@@ -92,14 +92,14 @@
 		life:    life,
 		end:     end,
 		reader:  reader,
-		leave:   leave,
+		markGone:   leave,
 	}
 }
 
 // Push hands the next token to the caller's side and notes its text as
 // delivered. It waits for room until ctx ends, the call is finished, or the
-// caller has taken no token for StallAfter. After Leave the token is only
-// noted. Errors: *OrderError, *SlowError,
+// caller has taken no token for StallAfter. After MarkCallerGone the token is only
+// noted. Errors: *TokenOrderError, *SlowCallerError,
 // *FinishedError, *ring.WaitError when ctx ended; the token then does not
 // count as delivered.
 func (c *Call) Push(ctx context.Context, t engineapi.Token) error {
@@ -123,7 +123,7 @@
 		return &FinishedError{ID: c.ID}
 	}
 	if t.Index != len(c.delivered) {
-		return &OrderError{Want: len(c.delivered), Got: t.Index}
+		return &TokenOrderError{Want: len(c.delivered), Got: t.Index}
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 	case ctx.Err() != nil:
 		return err
 	default:
-		return &SlowError{ID: c.ID, After: c.options.StallAfter}
+		return &SlowCallerError{ID: c.ID, After: c.options.StallAfter}
 	}
 }
 
@@ -156,9 +156,9 @@
 // Done tells the end, after which the tokens still in it are to be taken.
 func (c *Call) Tokens() <-chan engineapi.Token { return c.tokens.Out() }
 
-// Leave tells that nobody takes tokens any more: the caller went away. Work
+// MarkCallerGone tells that nobody takes tokens any more: the caller went away. Work
 // that goes on all the same is then not held up.
-func (c *Call) Leave() { c.leave() }
+func (c *Call) MarkCallerGone() { c.markGone() }
 
 // Delivered gives a copy of the texts delivered so far, over all attempts.
 func (c *Call) Delivered() []string {
@@ -167,8 +167,8 @@
 	return append([]string(nil), c.delivered...)
 }
 
-// Count is the number of tokens delivered so far, over all attempts.
-func (c *Call) Count() int {
+// TokenCount is the number of tokens delivered so far, over all attempts.
+func (c *Call) TokenCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.delivered)
--- a/adapter/call/call_test.go
+++ b/adapter/call/call_test.go
@@ -24,7 +24,7 @@
 		if err := push(c, t.Context(), 0, "a"); err != nil {
 			t.Fatal(err)
 		}
-		var slow *SlowError
+		var slow *SlowCallerError
 		if err := push(c, t.Context(), 1, "b"); !errors.As(err, &slow) {
 			t.Fatalf("push to a slow caller: %v", err)
 		}
@@ -67,9 +67,9 @@
 func TestPushTakesOnlyTheNextToken(t *testing.T) {
 	c := New("r", Options{})
 	defer c.Finish(nil)
-	var order *OrderError
+	var order *TokenOrderError
 	for _, index := range []int{-1, 1} {
-		if err := push(c, t.Context(), index, "x"); !errors.As(err, &order) || c.Count() != 0 {
+		if err := push(c, t.Context(), index, "x"); !errors.As(err, &order) || c.TokenCount() != 0 {
 			t.Fatalf("token %d: %v", index, err)
 		}
 	}
@@ -94,14 +94,14 @@
 		c := New("r", Options{Capacity: 1, StallAfter: time.Hour})
 		defer c.Finish(nil)
 		before := time.Now()
-		time.AfterFunc(time.Second, c.Leave)
+		time.AfterFunc(time.Second, c.MarkCallerGone)
 		for i := range 5 {
 			if err := push(c, t.Context(), i, "x"); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if c.Count() != 5 || time.Since(before) != time.Second {
-			t.Fatalf("%d tokens noted after %v", c.Count(), time.Since(before))
+		if c.TokenCount() != 5 || time.Since(before) != time.Second {
+			t.Fatalf("%d tokens noted after %v", c.TokenCount(), time.Since(before))
 		}
 	})
 }
--- a/adapter/call/errors.go
+++ b/adapter/call/errors.go
@@ -7,22 +7,22 @@
 	"mimosaarch.example/core/ids"
 )
 
-// OrderError tells that a token other than the next one was pushed.
-type OrderError struct{ Want, Got int }
+// TokenOrderError tells that a token other than the next one was pushed.
+type TokenOrderError struct{ Want, Got int }
 
 // Error implements error.
-func (e *OrderError) Error() string {
+func (e *TokenOrderError) Error() string {
 	return fmt.Sprintf("token %d pushed, token %d is next", e.Got, e.Want)
 }
 
-// SlowError tells that the caller took no token for After.
-type SlowError struct {
+// SlowCallerError tells that the caller took no token for After.
+type SlowCallerError struct {
 	ID    ids.Request
 	After time.Duration
 }
 
 // Error implements error.
-func (e *SlowError) Error() string {
+func (e *SlowCallerError) Error() string {
 	return fmt.Sprintf("caller of %s took no token for %v", e.ID, e.After)
 }
 
--- a/adapter/caller/answer.go
+++ b/adapter/caller/answer.go
@@ -96,7 +96,7 @@
 
 // newNote makes the note of a whole answer.
 func newNote(c *call.Call) note {
-	return note{Outcome: outcome.Complete, Request: c.ID, Tokens: c.Count()}
+	return note{Outcome: outcome.Complete, Request: c.ID, Tokens: c.TokenCount()}
 }
 
 // finishReason is why the model stopped.
@@ -115,7 +115,7 @@
 		Object:  objectCompletion,
 		Model:   c.Chat.Model,
 		Choices: []choice{{Message: message, FinishReason: finishReason(c)}},
-		Usage:   usage{CompletionTokens: c.Count()},
+		Usage:   usage{CompletionTokens: c.TokenCount()},
 		Mimosa:  newNote(c),
 	})
 	setOutcome(ctx, c.ID, outcome.Complete)
--- a/adapter/caller/exchange.go
+++ b/adapter/caller/exchange.go
@@ -122,6 +122,6 @@
 // gone tells the Gate that the caller went away; each exchange ends with it.
 func (x *exchange) gone() {
 	x.server.options.Log.Debug().Str("request", string(x.id)).Str("reason", string(outcome.CallerGone)).Msg("caller gone")
-	x.call.Leave()
+	x.call.MarkCallerGone()
 	x.server.options.Gate.Gone(x.id)
 }
--- a/adapter/caller/fake_test.go
+++ b/adapter/caller/fake_test.go
@@ -141,7 +141,7 @@
 func push(t *testing.T, c *call.Call, texts ...string) {
 	t.Helper()
 	for _, text := range texts {
-		must(t, c.Push(t.Context(), engineapi.Token{Index: c.Count(), Text: text}))
+		must(t, c.Push(t.Context(), engineapi.Token{Index: c.TokenCount(), Text: text}))
 	}
 }
 
--- a/adapter/upstream/attempt.go
+++ b/adapter/upstream/attempt.go
@@ -147,7 +147,7 @@
 		Phase:   a.phase,
 	}
 	if a.call != nil {
-		e.Tokens = a.call.Count()
+		e.Tokens = a.call.TokenCount()
 	}
 	if len(a.send.Chain) > 0 {
 		e.Upstream = a.head().ID
--- a/adapter/upstream/fake_test.go
+++ b/adapter/upstream/fake_test.go
@@ -173,7 +173,7 @@
 	r.Run(ctx, send, c, s)
 	failIf(t, len(s.ended) != 1 || len(s.started) > 1, "%d starts and %d ends", len(s.started), len(s.ended))
 	e := s.ended[0]
-	failIf(t, e.ID != send.ID || e.Attempt != send.Attempt || e.Tokens != c.Count(), "end %+v, %d tokens delivered", e, c.Count())
+	failIf(t, e.ID != send.ID || e.Attempt != send.Attempt || e.Tokens != c.TokenCount(), "end %+v, %d tokens delivered", e, c.TokenCount())
 	return e
 }
 
--- a/adapter/upstream/model.go
+++ b/adapter/upstream/model.go
@@ -63,9 +63,9 @@
 func (a *attempt) ledger() *ledger.Ledger {
 	reorder := a.runner.options.Reorder
 	if a.send.Resume != nil && !a.send.Chain.Tiles(a.send.Layers) {
-		return ledger.NewRejoin(a.head().ID, a.send.Layers, a.wantAttempt(), a.call.Count(), reorder)
+		return ledger.NewRejoin(a.head().ID, a.send.Layers, a.wantAttempt(), a.call.TokenCount(), reorder)
 	}
-	return ledger.New(a.send.Chain, a.send.Layers, a.wantAttempt(), a.call.Count(), reorder)
+	return ledger.New(a.send.Chain, a.send.Layers, a.wantAttempt(), a.call.TokenCount(), reorder)
 }
 
 // modelRefusal reads an answer other than 200. Only a whole Refusal body is a
@@ -185,7 +185,7 @@
 // pushFailure tells why the caller's side took no token.
 func pushFailure(err error) *failure {
 	reason := outcome.Cancelled
-	var slow *call.SlowError
+	var slow *call.SlowCallerError
 	if errors.As(err, &slow) {
 		reason = outcome.CallerGone
 	}
--- a/adapter/upstream/request.go
+++ b/adapter/upstream/request.go
@@ -96,7 +96,7 @@
 func (a *attempt) resumeRequest() *fasthttp.Request {
 	req := newRequest(fasthttp.MethodGet, a.head().Address, streamPath(a.send.Resume.Request))
 	req.Header.Set(fasthttp.HeaderAccept, eventType)
-	req.Header.Set(engineapi.LastEventID, strconv.Itoa(a.call.Count()-1))
+	req.Header.Set(engineapi.LastEventID, strconv.Itoa(a.call.TokenCount()-1))
 	return req
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -260,7 +260,7 @@
 // Gone implements caller.Gate: the caller of a request went away.
 func (n *Node) Gone(id ids.Request) {
 	if work := n.calls.get(id); work != nil {
-		work.Leave()
+		work.MarkCallerGone()
 	}
 	n.tell(router.CallerGone{ID: id})
 }
