--- a/adapter/call/call.go
+++ b/adapter/call/call.go
@@ -64,8 +64,8 @@
 	options Options
 	tokens  *ring.Ring[engineapi.Token]
 	// life ends with Finish; reader ends with MarkCallerGone or with life.
-	life, reader context.Context
-	end, markGone   context.CancelFunc
+	life, reader  context.Context
+	end, markGone context.CancelFunc
 
 	mu        sync.Mutex
 	delivered []string
@@ -86,13 +86,13 @@
 	life, end := context.WithCancel(context.Background())
 	reader, leave := context.WithCancel(life)
 	return &Call{
-		ID:      id,
-		options: o,
-		tokens:  ring.New[engineapi.Token]("call", o.Capacity),
-		life:    life,
-		end:     end,
-		reader:  reader,
-		markGone:   leave,
+		ID:       id,
+		options:  o,
+		tokens:   ring.New[engineapi.Token]("call", o.Capacity),
+		life:     life,
+		end:      end,
+		reader:   reader,
+		markGone: leave,
 	}
 }
 
--- a/adapter/caller/exchange.go
+++ b/adapter/caller/exchange.go
@@ -34,7 +34,7 @@
 
 // answer waits for the admitted call and writes its answer.
 func (x *exchange) answer(ctx *fasthttp.RequestCtx) {
-	x.probe = time.NewTicker(x.server.options.ProbeEvery)
+	x.probe = time.NewTicker(x.server.options.ProbeInterval)
 	if x.call.Chat != nil && x.call.Stream {
 		x.answerStream(ctx)
 		return
@@ -92,7 +92,7 @@
 }
 
 // wait gives the next token, or tells that the call ended, all its tokens
-// taken, or that the caller went away, of which the Gate is then told.
+// taken, or that the caller went away, of which the Admitter is then told.
 func (x *exchange) wait() (engineapi.Token, next) {
 	for {
 		select {
@@ -119,9 +119,9 @@
 	}
 }
 
-// gone tells the Gate that the caller went away; each exchange ends with it.
+// gone tells the Admitter that the caller went away; each exchange ends with it.
 func (x *exchange) gone() {
 	x.server.options.Log.Debug().Str("request", string(x.id)).Str("reason", string(outcome.CallerGone)).Msg("caller gone")
 	x.call.MarkCallerGone()
-	x.server.options.Gate.Gone(x.id)
+	x.server.options.Admitter.CallerGone(x.id)
 }
--- a/adapter/caller/fake_test.go
+++ b/adapter/caller/fake_test.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (g *gate) Gone(id ids.Request) { g.gone <- id }
+func (g *gate) CallerGone(id ids.Request) { g.gone <- id }
 
 // bench is a server with its gate.
 type bench struct {
@@ -65,8 +65,8 @@
 		counted: make(chan outcome.Reason, 8),
 	}
 	o := Options{
-		Gate: b.gate, NewID: func() ids.Request { return "r1" }, Now: func() time.Time { return testNow },
-		MaxBody: 1000, ProbeEvery: time.Millisecond, Count: func(r outcome.Reason) { b.counted <- r },
+		Admitter: b.gate, NewID: func() ids.Request { return "r1" }, Now: func() time.Time { return testNow },
+		MaxBodyBytes: 1000, ProbeInterval: time.Millisecond, Count: func(r outcome.Reason) { b.counted <- r },
 	}
 	if edit != nil {
 		edit(&o)
--- a/adapter/caller/options.go
+++ b/adapter/caller/options.go
@@ -16,22 +16,22 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Gate is where checked requests are handed over. Its methods are called from
+// Admitter is where checked requests are handed over. Its methods are called from
 // many goroutines and must not block.
-type Gate interface {
+type Admitter interface {
 	// Admit takes the request over, or refuses it at once. After nil the
 	// gate ends the call by Call.Finish.
 	Admit(router.RequestArrived, *call.Call) *outcome.Error
-	// Gone tells, at most once a request, that the caller of an admitted
+	// CallerGone tells, at most once a request, that the caller of an admitted
 	// request went away before its answer was whole. It may cross with the
 	// call's Finish.
-	Gone(ids.Request)
+	CallerGone(ids.Request)
 }
 
 // Defaults of Options.
 const (
-	DefaultMaxBody        = 256 << 10
-	DefaultMaxHead        = 16 << 10
+	DefaultMaxBodyBytes   = 256 << 10
+	DefaultMaxHeaderBytes = 16 << 10
 	DefaultMaxTokens      = 4096
 	DefaultTokens         = 256
 	DefaultMaxPriority    = 4
@@ -40,13 +40,13 @@
 	DefaultWriteTimeout   = 5 * time.Second
 	DefaultIdleTimeout    = time.Minute
 	DefaultMaxTimeout     = 24 * time.Hour
-	DefaultProbeEvery     = 100 * time.Millisecond
+	DefaultProbeInterval  = 100 * time.Millisecond
 )
 
-// Options sets up a Server. Gate and NewID are required; other zero fields
+// Options sets up a Server. Admitter and NewID are required; other zero fields
 // take the defaults.
 type Options struct {
-	Gate Gate
+	Admitter Admitter
 	// Ready tells the balancer whether to send callers here; nil means always.
 	// Any goroutine calls it.
 	Ready func() bool
@@ -54,8 +54,8 @@
 	NewID func() ids.Request
 	// Now is the node's clock; nil means time.Now.
 	Now func() time.Time
-	// MaxBody is the most bytes of a request's body, MaxHead of its head.
-	MaxBody, MaxHead int
+	// MaxBodyBytes is the most bytes of a request's body, MaxHeaderBytes of its head.
+	MaxBodyBytes, MaxHeaderBytes int
 	// MaxTokens bounds max_tokens; DefaultTokens stands in for a missing one.
 	MaxTokens, DefaultTokens int
 	// MaxPriority bounds priority, which starts from 0.
@@ -73,10 +73,10 @@
 	IdleTimeout time.Duration
 	// MaxTimeout is the longest time remaining a caller may give.
 	MaxTimeout time.Duration
-	// ProbeEvery is the pace of the check that a waiting caller is there.
-	ProbeEvery time.Duration
+	// ProbeInterval is the pace of the check that a waiting caller is there.
+	ProbeInterval time.Duration
 	// Count is told the reason of each request refused here that never
-	// reached the Gate; nil means not counted. Any goroutine calls it.
+	// reached the Admitter; nil means not counted. Any goroutine calls it.
 	Count func(outcome.Reason)
 	// Log takes debug lines; the zero Logger writes nothing. Keys and
 	// bodies are never logged.
@@ -85,8 +85,8 @@
 
 // withDefaults fills the zero fields.
 func (o Options) withDefaults() Options {
-	o.MaxBody = defaults.Positive(o.MaxBody, DefaultMaxBody)
-	o.MaxHead = defaults.Positive(o.MaxHead, DefaultMaxHead)
+	o.MaxBodyBytes = defaults.Positive(o.MaxBodyBytes, DefaultMaxBodyBytes)
+	o.MaxHeaderBytes = defaults.Positive(o.MaxHeaderBytes, DefaultMaxHeaderBytes)
 	o.MaxTokens = defaults.Positive(o.MaxTokens, DefaultMaxTokens)
 	o.DefaultTokens = min(defaults.Positive(o.DefaultTokens, DefaultTokens), o.MaxTokens)
 	if o.Ready == nil {
@@ -98,7 +98,7 @@
 	o.WriteTimeout = defaults.Positive(o.WriteTimeout, DefaultWriteTimeout)
 	o.IdleTimeout = defaults.Positive(o.IdleTimeout, DefaultIdleTimeout)
 	o.MaxTimeout = defaults.Positive(o.MaxTimeout, DefaultMaxTimeout)
-	o.ProbeEvery = defaults.Positive(o.ProbeEvery, DefaultProbeEvery)
+	o.ProbeInterval = defaults.Positive(o.ProbeInterval, DefaultProbeInterval)
 	if o.Now == nil {
 		o.Now = time.Now
 	}
--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -35,8 +35,8 @@
 		Handler:                      s.handle,
 		ErrorHandler:                 s.refuseUnread,
 		Concurrency:                  o.MaxConnections,
-		ReadBufferSize:               o.MaxHead,
-		MaxRequestBodySize:           o.MaxBody,
+		ReadBufferSize:               o.MaxHeaderBytes,
+		MaxRequestBodySize:           o.MaxBodyBytes,
 		ReadTimeout:                  o.ReadTimeout,
 		IdleTimeout:                  o.IdleTimeout,
 		CloseOnShutdown:              true,
@@ -73,7 +73,7 @@
 		s.refuse(ctx, x, refusal)
 		return
 	}
-	if err := s.options.Gate.Admit(arrive, x.call); err != nil {
+	if err := s.options.Admitter.Admit(arrive, x.call); err != nil {
 		writeError(ctx, x.id, err)
 		return
 	}
@@ -97,7 +97,7 @@
 	return false
 }
 
-// refuse answers a request that never reached the Gate.
+// refuse answers a request that never reached the Admitter.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, x *exchange, err *outcome.Error) {
 	s.options.Count(err.Reason)
 	writeError(ctx, x.id, err)
--- a/adapter/claims/settings.go
+++ b/adapter/claims/settings.go
@@ -9,12 +9,12 @@
 
 // Defaults of Settings.
 const (
-	defaultTimeout    = 300 * time.Millisecond
-	defaultCallTimeout = 150 * time.Millisecond
-	defaultStopTimeout = 2 * time.Second
-	defaultRingCapacity        = 4096
-	defaultMaxPlatformCalls    = 16
-	defaultMaxForwards    = 1024
+	defaultTimeout          = 300 * time.Millisecond
+	defaultCallTimeout      = 150 * time.Millisecond
+	defaultStopTimeout      = 2 * time.Second
+	defaultRingCapacity     = 4096
+	defaultMaxPlatformCalls = 16
+	defaultMaxForwards      = 1024
 )
 
 // Settings of a Committer. Zero values stand for the defaults.
--- a/adapter/peer/options.go
+++ b/adapter/peer/options.go
@@ -158,7 +158,7 @@
 	DefaultBackoffMax   = 2 * time.Second
 	DefaultPullInterval = 250 * time.Millisecond
 	DefaultMaxLinks     = 512
-	DefaultRingCapacity         = 1024
+	DefaultRingCapacity = 1024
 )
 
 // withDefaults fills in unset options.
--- a/node/node.go
+++ b/node/node.go
@@ -169,12 +169,12 @@
 	}
 	n.callerListener = listener
 	n.callers = caller.New(caller.Options{
-		Gate:    n,
-		Ready:   n.Ready,
-		NewID:   n.newID,
-		MaxBody: n.settings.MaxBody,
-		Count:   n.telemetry.Refused,
-		Log:     n.log,
+		Admitter:     n,
+		Ready:        n.Ready,
+		NewID:        n.newID,
+		MaxBodyBytes: n.settings.MaxBody,
+		Count:        n.telemetry.Refused,
+		Log:          n.log,
 	})
 	n.operator, err = newOperator(n)
 	if err != nil {
@@ -242,7 +242,7 @@
 	return n.peers.Addr()
 }
 
-// Admit implements caller.Gate: it hands a request to the decision loop, or
+// Admit implements caller.Admitter: it hands a request to the decision loop, or
 // refuses it at once when the loop's ring is full.
 func (n *Node) Admit(ev router.RequestArrived, work *call.Call) *outcome.Error {
 	n.calls.add(work)
@@ -257,8 +257,8 @@
 // ringFullRetry is when to come back after a full ring.
 const ringFullRetry = time.Second
 
-// Gone implements caller.Gate: the caller of a request went away.
-func (n *Node) Gone(id ids.Request) {
+// CallerGone implements caller.Admitter: the caller of a request went away.
+func (n *Node) CallerGone(id ids.Request) {
 	if work := n.calls.get(id); work != nil {
 		work.MarkCallerGone()
 	}
