--- a/adapter/forward/attempt.go
+++ b/adapter/forward/attempt.go
@@ -25,7 +25,7 @@
 	u      *directory.Upstream
 	conn   *upconn.Conn
 	unbind func() bool
-	resp   *upconn.Answer
+	resp   *upconn.Response
 	// bodyErr receives the result of writing a long body. It is nil if the body was
 	// written together with the head.
 	bodyErr chan error
@@ -61,7 +61,7 @@
 
 // begin connects to an upstream and sends the request. head is the complete request
 // head.
-func (x *exchange) begin(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.Watch) (*attempt, *failure) {
+func (x *exchange) begin(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.WaitFunc) (*attempt, *failure) {
 	a := &attempt{x: x, u: u}
 	conn, err := x.server.pool.Get(ctx, target(u))
 	if err != nil {
@@ -103,7 +103,7 @@
 // earlier requests on the same connection.
 func (a *attempt) readHead() *failure {
 	for range maxForeignResponses {
-		resp, err := a.conn.ReadAnswer(string(a.x.req.Header.Method()))
+		resp, err := a.conn.ReadResponse(string(a.x.req.Header.Method()))
 		if err != nil {
 			return a.readFailed(err)
 		}
@@ -165,7 +165,7 @@
 func (a *attempt) readFailed(err error) *failure {
 	a.discard()
 	f := &failure{phase: outcome.MaybeSent, reason: outcome.UpstreamLost, cause: err}
-	var silent *upconn.SilentError
+	var silent *upconn.ReadTimeoutError
 	var framing *upconn.FramingError
 	switch {
 	case errors.As(err, &silent):
--- a/adapter/forward/crashes.go
+++ b/adapter/forward/crashes.go
@@ -31,7 +31,7 @@
 type run struct {
 	fingerprint quarantine.Fingerprint
 	service     ids.Service
-	upstreams   []ids.Life
+	upstreams   []ids.Instance
 	// lostAt is when the connection was lost, zero while it stands.
 	lostAt time.Time
 	// blamed is true once a death was attributed to the run. A run is blamed for one
@@ -49,8 +49,8 @@
 	mu             sync.Mutex
 	detectors      map[ids.Service]*quarantine.Detector
 	lostRuns       []*run
-	lostByUpstream map[ids.Life][]*run
-	diedAt         map[ids.Life]time.Time
+	lostByUpstream map[ids.Instance][]*run
+	diedAt         map[ids.Instance]time.Time
 	verdicts       map[quarantine.Fingerprint]heldVerdict
 }
 
@@ -66,8 +66,8 @@
 	return &crashTracker{
 		opts:           o,
 		detectors:      make(map[ids.Service]*quarantine.Detector),
-		lostByUpstream: make(map[ids.Life][]*run),
-		diedAt:         make(map[ids.Life]time.Time),
+		lostByUpstream: make(map[ids.Instance][]*run),
+		diedAt:         make(map[ids.Instance]time.Time),
 		verdicts:       make(map[quarantine.Fingerprint]heldVerdict),
 	}
 }
@@ -137,7 +137,7 @@
 
 // blameLostRuns reports a death to the detector, with the fingerprints of the runs lost
 // on that upstream.
-func (c *crashTracker) blameLostRuns(now time.Time, id ids.Life, service ids.Service) {
+func (c *crashTracker) blameLostRuns(now time.Time, id ids.Instance, service ids.Service) {
 	var fingerprints []quarantine.Fingerprint
 	for _, r := range c.lostByUpstream[id] {
 		if !r.blamed && r.service == service {
@@ -147,7 +147,7 @@
 	}
 	// A death without lost runs is reported too: it is evidence for a cause other than a
 	// request.
-	c.detector(service).RecordDeath(now, id.Upstream, strconv.FormatInt(id.Born, 10), fingerprints)
+	c.detector(service).RecordDeath(now, id.Upstream, strconv.FormatInt(id.StartedMs, 10), fingerprints)
 }
 
 // requestServed records that a request was answered completely, which clears it.
--- a/adapter/forward/crashes_test.go
+++ b/adapter/forward/crashes_test.go
@@ -153,7 +153,7 @@
 func (e *testTracker) lose(fingerprint string, upstreams ...string) {
 	r := &run{fingerprint: quarantine.Fingerprint(fingerprint), service: "s"}
 	for _, u := range upstreams {
-		r.upstreams = append(r.upstreams, ids.Life{Upstream: ids.Upstream(u)})
+		r.upstreams = append(r.upstreams, ids.Instance{Upstream: ids.Upstream(u)})
 	}
 	e.runLost(r)
 }
@@ -161,7 +161,7 @@
 // die records that upstreams died.
 func (e *testTracker) die(upstreams ...string) {
 	for _, u := range upstreams {
-		e.upstreamDied(&directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(u)}, Service: "s"})
+		e.upstreamDied(&directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(u)}, Service: "s"})
 	}
 }
 
@@ -194,7 +194,7 @@
 	r := newTestServer(t)
 	e := &testTracker{crashTracker: r.crashes}
 	gone := func(id string, leaving bool) {
-		r.UpstreamRemoved(&directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Leaving: leaving})
+		r.UpstreamRemoved(&directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: "s", Leaving: leaving})
 	}
 	e.lose("a", "u1")
 	e.lose("a", "u2")
@@ -319,15 +319,15 @@
 func TestEnginesThatStayInARerouteAreNotLost(t *testing.T) {
 	r := newTestServer(t)
 	engine := func(id string, revision int64) chain.Stage {
-		return chain.Stage{Engine: &directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Revision: revision}}
+		return chain.Stage{Engine: &directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Revision: revision}}
 	}
 	w := &stallWatch{s: &stream{x: &exchange{server: r.Server}}}
 	// The entry of the first engine changes between the two chains.
 	w.recordBypassed(chain.Chain{engine("a", 1), engine("b", 1)}, chain.Chain{engine("a", 2), engine("c", 1)})
-	if diff := cmp.Diff([]ids.Life{life("b")}, r.crashes.lostRuns[0].upstreams); diff != "" {
+	if diff := cmp.Diff([]ids.Instance{life("b")}, r.crashes.lostRuns[0].upstreams); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // life returns the life of an upstream without a known start time.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -55,7 +55,7 @@
 	// sends counts the sends for which a connection was made. ranOn holds the upstreams
 	// on which the request ran or may have run.
 	sends int
-	ranOn map[ids.Life]bool
+	ranOn map[ids.Instance]bool
 	// responseStarted is true once part of the response was written to the caller.
 	responseStarted bool
 	// lateCause is why the response is late, empty while it is not.
@@ -200,7 +200,7 @@
 
 // recordLostRun records that a connection broke while the request was running on these
 // upstreams.
-func (x *exchange) recordLostRun(upstreams ...ids.Life) {
+func (x *exchange) recordLostRun(upstreams ...ids.Instance) {
 	x.server.crashes.runLost(&run{fingerprint: x.fingerprint, service: x.service, upstreams: upstreams})
 }
 
@@ -358,9 +358,9 @@
 // recordRun adds an upstream on which the request may have run. It is never removed
 // because the upstream does not answer: the upstream may be cut off from this node
 // only, or refuse connections because it has too many.
-func (x *exchange) recordRun(id ids.Life) {
+func (x *exchange) recordRun(id ids.Instance) {
 	if x.ranOn == nil {
-		x.ranOn = make(map[ids.Life]bool)
+		x.ranOn = make(map[ids.Instance]bool)
 	}
 	x.ranOn[id] = true
 }
@@ -368,8 +368,8 @@
 // allowedUpstreams returns the upstreams to which further sends are restricted: those
 // on which the request ran, and also, the upstreams on which it may run next. It
 // returns nil, for no restriction, while they are fewer than the attempts of the route.
-func (x *exchange) allowedUpstreams(also ...ids.Life) map[ids.Life]bool {
-	upstreams := make(map[ids.Life]bool, len(x.ranOn)+len(also))
+func (x *exchange) allowedUpstreams(also ...ids.Instance) map[ids.Instance]bool {
+	upstreams := make(map[ids.Instance]bool, len(x.ranOn)+len(also))
 	maps.Copy(upstreams, x.ranOn)
 	for _, id := range also {
 		upstreams[id] = true
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	f := &fakeUpstream{listener: l, gone: make(chan struct{}, 16)}
-	f.Upstream = directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: ids.Service(service), Address: l.Addr().String(), Zone: "z", Slots: 4, Revision: 1}
+	f.Upstream = directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: ids.Service(service), Address: l.Addr().String(), Zone: "z", Slots: 4, Revision: 1}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -142,12 +142,12 @@
 // fakeEngines implements Engines.
 type fakeEngines struct {
 	mu   sync.Mutex
-	dead map[ids.Life]bool
+	dead map[ids.Instance]bool
 	// born are the start times that upstreams report.
 	born map[ids.Upstream]int64
 	// stalled are the stages that first stages report as stalled, by request.
-	stalled    map[ids.Life]map[ids.Request]string
-	refused    map[ids.Life]bool
+	stalled    map[ids.Instance]map[ids.Request]string
+	refused    map[ids.Instance]bool
 	rerouted   []string
 	rerouteErr error
 	onReroute  func()
@@ -267,7 +267,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testServer{metrics: &fakeMetrics{n: make(map[string]int64)}, engines: &fakeEngines{dead: make(map[ids.Life]bool), refused: make(map[ids.Life]bool)}, dir: directory.New(), ready: make(chan struct{})}
+	r := &testServer{metrics: &fakeMetrics{n: make(map[string]int64)}, engines: &fakeEngines{dead: make(map[ids.Instance]bool), refused: make(map[ids.Instance]bool)}, dir: directory.New(), ready: make(chan struct{})}
 	r.table.Store(table)
 	for _, f := range fakes {
 		r.dir.Put(f.Upstream)
@@ -281,7 +281,7 @@
 			defer r.mu.Unlock()
 			return r.dir.View()
 		},
-		OnRestart: func(life ids.Life) {
+		OnRestart: func(life ids.Instance) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.dir.Restarted(life)
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -107,7 +107,7 @@
 	OnVerdict func(quarantine.Verdict)
 	// OnRestart is called with the new life of an upstream whose report shows a later
 	// start than the directory knows. It must be safe for concurrent use.
-	OnRestart func(ids.Life)
+	OnRestart func(ids.Instance)
 	// Seed seeds the random choices among equally good upstreams, and the jitter.
 	Seed uint64
 }
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -131,7 +131,7 @@
 }
 
 // probesDue returns the slow or silent upstreams that are due for another probe.
-func (p *picker) probesDue() []ids.Life {
+func (p *picker) probesDue() []ids.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions.ProbesDue(p.opts.Now())
@@ -212,7 +212,7 @@
 
 // chooseReplica chooses the upstream of a plain request and counts the request on it.
 // It returns nil if no upstream may take it.
-func (p *picker) chooseReplica(list []*directory.Upstream, avoid map[ids.Life]bool, draw float64) *directory.Upstream {
+func (p *picker) chooseReplica(list []*directory.Upstream, avoid map[ids.Instance]bool, draw float64) *directory.Upstream {
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +226,7 @@
 
 // replicaEnded removes a request from the count of its upstream, and records how long
 // it took.
-func (p *picker) replicaEnded(id ids.Life, took time.Duration, failed bool) {
+func (p *picker) replicaEnded(id ids.Instance, took time.Duration, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replicas.RequestEnded(p.opts.Now(), id, took, failed)
@@ -317,7 +317,7 @@
 }
 
 // forget drops the state of an upstream that has left the directory.
-func (p *picker) forget(id ids.Life) {
+func (p *picker) forget(id ids.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conditions.Forget(id)
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -32,7 +32,7 @@
 
 // servePlain serves a request whose response is passed on in one piece.
 func (x *exchange) servePlain(ctx context.Context) {
-	avoid := make(map[ids.Life]bool)
+	avoid := make(map[ids.Instance]bool)
 	for refusals := 0; ; {
 		u := x.server.picker.chooseReplica(x.server.opts.View().Of(x.service), avoid, x.draw())
 		if u == nil {
@@ -123,7 +123,7 @@
 }
 
 // sendPlain sends the request to one upstream and reads the complete response.
-func (x *exchange) sendPlain(ctx context.Context, u *directory.Upstream, first bool) (*upconn.Answer, []byte, *failure) {
+func (x *exchange) sendPlain(ctx context.Context, u *directory.Upstream, first bool) (*upconn.Response, []byte, *failure) {
 	start := x.server.opts.Now()
 	x.log("sent").Str("upstream", u.ID.String()).Str("address", u.Address).Str("route", x.route.Name).
 		Int64("directory", x.server.opts.View().Revision).Send()
@@ -150,7 +150,7 @@
 
 // plainWatch returns the timeout of one plain attempt. The first attempt of an
 // idempotent request that has another one left is hedged: it ends early.
-func (x *exchange) plainWatch(first bool) upconn.Watch {
+func (x *exchange) plainWatch(first bool) upconn.WaitFunc {
 	// The request's own deadline has to end first, as it determines the response.
 	wait := x.deadline.Sub(x.server.opts.Now()) + time.Second
 	if first && x.route.Kind == routing.Idempotent && x.route.Attempts() > 1 {
@@ -159,7 +159,7 @@
 	}
 	return func(waited time.Duration) (time.Duration, error) {
 		if waited >= wait {
-			return 0, &upconn.SilentError{For: waited}
+			return 0, &upconn.ReadTimeoutError{Waited: waited}
 		}
 		return wait - waited, nil
 	}
@@ -167,7 +167,7 @@
 
 // roundTripPlain makes one attempt and reads the complete response. A server error
 // counts as a failure if the request may be sent again.
-func (x *exchange) roundTripPlain(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.Watch) (*upconn.Answer, []byte, *failure) {
+func (x *exchange) roundTripPlain(ctx context.Context, u *directory.Upstream, head []byte, watch upconn.WaitFunc) (*upconn.Response, []byte, *failure) {
 	a, failed := x.begin(ctx, u, head, watch)
 	if failed != nil {
 		return nil, nil, failed
@@ -188,7 +188,7 @@
 }
 
 // writePlainResponse writes an upstream's response to the caller.
-func (x *exchange) writePlainResponse(u *directory.Upstream, resp *upconn.Answer, body []byte) {
+func (x *exchange) writePlainResponse(u *directory.Upstream, resp *upconn.Response, body []byte) {
 	c := x.caller
 	c.copyHead(&resp.Head)
 	c.addHeader("Content-Length", strconv.Itoa(len(body)))
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -36,7 +36,7 @@
 	picker *picker
 
 	mu     sync.Mutex
-	latest map[ids.Life]*probe
+	latest map[ids.Instance]*probe
 }
 
 // probe is one request for an engine's report.
@@ -52,7 +52,7 @@
 
 // newProber returns a prober without results.
 func newProber(o Options, picker *picker) *prober {
-	return &prober{opts: o, picker: picker, latest: make(map[ids.Life]*probe)}
+	return &prober{opts: o, picker: picker, latest: make(map[ids.Instance]*probe)}
 }
 
 // refresh probes slow and silent engines that are due, so that no request has to be
--- a/adapter/forward/restart_test.go
+++ b/adapter/forward/restart_test.go
@@ -20,7 +20,7 @@
 		return eventsFrom(conn, req, nextEventID(req), 3, true)
 	})
 	second := fakeEngine(t, "b", 5, 10, wholeStream(2))
-	second.ID.Born = 100
+	second.ID.StartedMs = 100
 	twin := fakeEngine(t, "c", 5, 10, wholeStream(2))
 	twin.Zone = "far"
 	r := newTestServer(t, first, second, twin)
@@ -37,7 +37,7 @@
 	if r.engines.rerouted[0] != want {
 		t.Errorf("rerouted %q, want %q", r.engines.rerouted[0], want)
 	}
-	if u := r.opts.View().Of("model")[1]; u.ID.Born != 200 || !u.Layers.Empty() {
+	if u := r.opts.View().Of("model")[1]; u.ID.StartedMs != 200 || !u.Layers.Empty() {
 		t.Errorf("the directory still holds %+v", u)
 	}
 }
@@ -45,14 +45,14 @@
 // The failures of a process do not count against the process that replaces it.
 func TestFailuresOfAProcessDoNotCountForItsSuccessor(t *testing.T) {
 	u := fakeEngine(t, "a", 0, 10, wholeStream(1))
-	u.ID.Born = 100
+	u.ID.StartedMs = 100
 	r := newTestServer(t, u)
 	p := r.picker
 	old := u.ID
 	p.recordFailure(&u.Upstream, "unreachable")
 	p.refusedFull(&u.Upstream)
 	now := p.opts.Now()
-	next := ids.Life{Upstream: old.Upstream, Born: 200}
+	next := ids.Instance{Upstream: old.Upstream, StartedMs: 200}
 	if !p.conditions.Suspected(now, old, "z") || !p.conditions.IsFull(now, old) {
 		t.Fatal("the process that failed is not suspected")
 	}
--- a/adapter/forward/server.go
+++ b/adapter/forward/server.go
@@ -135,7 +135,7 @@
 // UpstreamRemoved drops the state of an upstream that has left the directory. Unless it
 // was leaving, it counts as crashed.
 func (s *Server) UpstreamRemoved(u *directory.Upstream) {
-	s.pool.Forget(u.ID)
+	s.pool.CloseIdle(u.ID)
 	s.picker.forget(u.ID)
 	if !u.Leaving {
 		s.crashes.upstreamDied(u)
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -119,7 +119,7 @@
 	return max(timeout, time.Duration(float64(w.s.meanGap)*minMeanGapFactor))
 }
 
-// wait is the upconn.Watch of a stream. When the stall timeout has passed, it probes
+// wait is the upconn.WaitFunc of a stream. When the stall timeout has passed, it probes
 // the engines of the chain. If one of them is dead or slow, it tries to reroute the
 // request. If that fails and the request may be sent again, it ends the attempt with an
 // *upconn.SilentError.
@@ -136,7 +136,7 @@
 		return timeout, nil
 	}
 	if len(dead) > 0 && x.quarantined() {
-		return 0, &upconn.SilentError{For: waited}
+		return 0, &upconn.ReadTimeoutError{Waited: waited}
 	}
 	faulty := slices.Concat(dead, slow)
 	if w.reroute(faulty, len(dead) > 0) {
@@ -148,7 +148,7 @@
 	for _, u := range faulty {
 		w.s.req.Avoid[u.ID] = true
 	}
-	return 0, &upconn.SilentError{For: waited}
+	return 0, &upconn.ReadTimeoutError{Waited: waited}
 }
 
 // classifyProbes returns the cause of a delay, given the engines that did not answer
@@ -222,14 +222,14 @@
 		return
 	}
 	kept := present.Engines()
-	gone := slices.DeleteFunc(old.Engines(), func(id ids.Life) bool { return slices.Contains(kept, id) })
+	gone := slices.DeleteFunc(old.Engines(), func(id ids.Instance) bool { return slices.Contains(kept, id) })
 	if len(gone) > 0 {
 		w.s.x.recordLostRun(gone...)
 	}
 }
 
 // avoidAddress adds the engine of a chain that has the given address to avoid.
-func (w *stallWatch) avoidAddress(avoid map[ids.Life]bool, c chain.Chain, address string) {
+func (w *stallWatch) avoidAddress(avoid map[ids.Instance]bool, c chain.Chain, address string) {
 	for _, stage := range c {
 		if stage.Engine.Address == address {
 			avoid[stage.Engine.ID] = true
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -24,10 +24,10 @@
 	seq   sequence
 	// lastResort holds engines that broke off the connection although they are alive.
 	// They are used only if no chain is possible without them.
-	lastResort map[ids.Life]bool
+	lastResort map[ids.Instance]bool
 	// fullUntil holds engines that had no room for the rest of the stream, with the time
 	// after which they are tried again.
-	fullUntil map[ids.Life]time.Time
+	fullUntil map[ids.Instance]time.Time
 	// lastEvent is when the latest event arrived.
 	lastEvent time.Time
 	// meanGap is the moving average of the pauses between events.
@@ -39,9 +39,9 @@
 
 // serveStream serves a request whose response is a stream of events.
 func (x *exchange) serveStream(ctx context.Context, table *routing.Table) {
-	s := &stream{x: x, meanGap: x.route.PauseObjective / initialGapDivisor, lastResort: make(map[ids.Life]bool), fullUntil: make(map[ids.Life]time.Time)}
+	s := &stream{x: x, meanGap: x.route.PauseObjective / initialGapDivisor, lastResort: make(map[ids.Instance]bool), fullUntil: make(map[ids.Instance]time.Time)}
 	_, draw := x.server.draw()
-	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Life]bool), JitterSeed: draw}
+	s.req = chain.Request{Service: x.service, Zone: x.server.opts.Zone, Avoid: make(map[ids.Instance]bool), JitterSeed: draw}
 	if service := table.Service(x.service); service != nil {
 		s.model = service.Model
 	}
@@ -213,7 +213,7 @@
 const fullEngineCooldown = 400 * time.Millisecond
 
 // avoidedEngines returns the engines that the request must not use now.
-func (s *stream) avoidedEngines() map[ids.Life]bool {
+func (s *stream) avoidedEngines() map[ids.Instance]bool {
 	avoid := maps.Clone(s.req.Avoid)
 	now := s.x.server.opts.Now()
 	for id, until := range s.fullUntil {
@@ -227,7 +227,7 @@
 // avoidRefusing excludes an engine that refused. If the engine was full and the
 // response has started, the exclusion is temporary, since giving up would lose what the
 // caller has.
-func (s *stream) avoidRefusing(id ids.Life, reason outcome.Reason) {
+func (s *stream) avoidRefusing(id ids.Instance, reason outcome.Reason) {
 	if s.x.responseStarted && reason == outcome.UpstreamBusy {
 		s.fullUntil[id] = s.x.server.opts.Now().Add(fullEngineCooldown)
 		return
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -376,7 +376,7 @@
 
 func TestSlowEnginesAreProbedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
-	engines := &fakeEngines{dead: make(map[ids.Life]bool), refused: make(map[ids.Life]bool)}
+	engines := &fakeEngines{dead: make(map[ids.Instance]bool), refused: make(map[ids.Instance]bool)}
 	o := Options{
 		Engines: engines, Log: zerolog.Nop(), Metrics: &fakeMetrics{n: make(map[string]int64)},
 		Now: func() time.Time { return now },
@@ -384,7 +384,7 @@
 	p := newPicker(o, newCrashTracker(o))
 	prober := newProber(o, p)
 	d := directory.New()
-	for _, id := range []ids.Life{life("slow"), life("usual")} {
+	for _, id := range []ids.Instance{life("slow"), life("usual")} {
 		d.Put(directory.Upstream{ID: id, Service: "model", Address: string(id.Upstream), Revision: 1})
 	}
 	view := d.View()
@@ -417,7 +417,7 @@
 	twin := fakeEngine(t, "c", 5, 10, wholeStream(2))
 	twin.Zone = "far"
 	r := newTestServer(t, first, second, twin)
-	r.engines.stalled = map[ids.Life]map[ids.Request]string{life("a"): {"r1": second.Address}}
+	r.engines.stalled = map[ids.Instance]map[ids.Request]string{life("a"): {"r1": second.Address}}
 	r.engines.onReroute = func() { close(released) }
 	c := r.dial(t)
 	c.send("POST", "/stream/x", "r1", "p")
@@ -487,7 +487,7 @@
 	m, view := table.Service("model").Model, r.dir.View()
 	p.setSlowdown(&slow.Upstream, 50)
 	now := chain.Chain{{Engine: view.Get(life("a")), Layers: slow.Layers}}
-	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Life]bool{life("a"): true}}
+	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Instance]bool{life("a"): true}}
 	if p.worthSwitching(m, view, req, now, false) {
 		t.Error("a slow stream takes one of the last retries")
 	}
--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -19,7 +19,7 @@
 // Upstream is the entry of one process of a service, from its start to its end. A
 // process that restarts is another upstream.
 type Upstream struct {
-	ID      ids.Life
+	ID      ids.Instance
 	Service ids.Service
 	// Address is the IP address and port, never empty. It may pass to another upstream
 	// once this one has ended.
@@ -41,7 +41,7 @@
 
 // RestartedError reports that the process under a name is not the expected one, because
 // it has restarted.
-type RestartedError struct{ Known, Now ids.Life }
+type RestartedError struct{ Known, Now ids.Instance }
 
 // Error implements error.
 func (e *RestartedError) Error() string {
@@ -233,9 +233,9 @@
 
 // Restarted applies a process's own report that it started later than the life in the
 // directory. The new life holds no layers.
-func (d *Directory) Restarted(life ids.Life) []Change {
+func (d *Directory) Restarted(life ids.Instance) []Change {
 	old := d.byID[life.Upstream]
-	if old == nil || old.ID.Born == 0 || !life.Later(old.ID) {
+	if old == nil || old.ID.StartedMs == 0 || !life.NewerThan(old.ID) {
 		return nil
 	}
 	now := *old
@@ -266,17 +266,17 @@
 	}
 	d.removeUnconfigured(d.unconfigured[id])
 	old := d.byID[id]
-	if old != nil && old.Revision >= u.Revision && !u.ID.Later(old.ID) {
+	if old != nil && old.Revision >= u.Revision && !u.ID.NewerThan(old.ID) {
 		return changes
 	}
-	if old != nil && u.ID.Born == 0 {
-		u.ID.Born = old.ID.Born
+	if old != nil && u.ID.StartedMs == 0 {
+		u.ID.StartedMs = old.ID.StartedMs
 	}
-	if old != nil && old.ID.Later(u.ID) {
+	if old != nil && old.ID.NewerThan(u.ID) {
 		return changes
 	}
 	delete(d.missingUntil, id)
-	restarted := old != nil && u.ID.Later(old.ID) && old.ID.Born != 0
+	restarted := old != nil && u.ID.NewerThan(old.ID) && old.ID.StartedMs != 0
 	if old != nil && (restarted || old.Address != u.Address) {
 		changes = d.drop(changes, old)
 		old = nil
@@ -362,12 +362,12 @@
 // changeRecord is a change of an entry. active is false if the entry's service was not
 // configured.
 type changeRecord struct {
-	life   ids.Life
+	life   ids.Instance
 	active bool
 }
 
 // recordChange adds a change to recentChanges.
-func (d *Directory) recordChange(id ids.Life, active bool) {
+func (d *Directory) recordChange(id ids.Instance, active bool) {
 	if len(d.recentChanges) == maxRecentChanges {
 		d.recentChanges = slices.Clone(d.recentChanges[maxRecentChanges/2:])
 	}
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -16,7 +16,7 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func upstream(id string, revision int64) Upstream {
-	return Upstream{ID: ids.Life{Upstream: ids.Upstream(id)}, Service: "s", Address: id + ":1", Revision: revision}
+	return Upstream{ID: ids.Instance{Upstream: ids.Upstream(id)}, Service: "s", Address: id + ":1", Revision: revision}
 }
 
 // viewNames returns the names of the upstreams in the view, with "!" after those that are
@@ -308,7 +308,7 @@
 }
 
 // life returns the life of an upstream without a known start time.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // An outage too short for live entries to expire starts no grace period.
 func TestRemovalAfterAShortOutageTakesEffectAtOnce(t *testing.T) {
@@ -317,7 +317,7 @@
 		left   int
 	}{{minExpiryOutage - time.Millisecond, 0}, {minExpiryOutage, 1}} {
 		d := New()
-		d.Put(Upstream{ID: ids.Life{Upstream: "u"}, Address: "a", Revision: 1})
+		d.Put(Upstream{ID: ids.Instance{Upstream: "u"}, Address: "a", Revision: 1})
 		d.RegistryRecovered(at(1000), one.outage)
 		d.Remove(at(1100), "u", 2)
 		if left := len(d.View().All()); left != one.left {
--- a/decide/directory/view.go
+++ b/decide/directory/view.go
@@ -31,7 +31,7 @@
 }
 
 // Get returns an upstream, or nil if it is not in the view with this life.
-func (v *View) Get(id ids.Life) *Upstream {
+func (v *View) Get(id ids.Instance) *Upstream {
 	if v == nil {
 		return nil
 	}
--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -40,7 +40,7 @@
 // times of this node. Make it with New.
 type Picker struct {
 	conditions *condition.Table
-	upstreams  map[ids.Life]*upstreamState
+	upstreams  map[ids.Instance]*upstreamState
 	// nodeCount is the number of nodes. This node's own load, multiplied by it,
 	// is the estimate of the load from all nodes.
 	nodeCount float64
@@ -58,14 +58,14 @@
 // New returns a Picker that takes the health of upstreams from conditions, which
 // may be shared with other pickers.
 func New(conditions *condition.Table) *Picker {
-	return &Picker{conditions: conditions, upstreams: make(map[ids.Life]*upstreamState), nodeCount: 1}
+	return &Picker{conditions: conditions, upstreams: make(map[ids.Instance]*upstreamState), nodeCount: 1}
 }
 
 // SetNodeCount sets the number of nodes that share the upstreams, at least 1.
 func (p *Picker) SetNodeCount(nodes int) { p.nodeCount = float64(max(nodes, 1)) }
 
 // upstreamState returns the state of an upstream, created if missing.
-func (p *Picker) upstreamState(id ids.Life) *upstreamState {
+func (p *Picker) upstreamState(id ids.Instance) *upstreamState {
 	s := p.upstreams[id]
 	if s == nil {
 		s = &upstreamState{meanMs: defaultResponseMs}
@@ -75,13 +75,13 @@
 }
 
 // RequestStarted counts a request of this node at an upstream.
-func (p *Picker) RequestStarted(id ids.Life) { p.upstreamState(id).inFlight++ }
+func (p *Picker) RequestStarted(id ids.Instance) { p.upstreamState(id).inFlight++ }
 
 // RequestEnded removes a request from the count of an upstream and adds its
 // response time to the moving average. responseTime is 0 for a request that ended
 // without a failure but says nothing about the upstream, for instance because the
 // caller has gone; it then leaves the average as it is.
-func (p *Picker) RequestEnded(now time.Time, id ids.Life, responseTime time.Duration, failed bool) {
+func (p *Picker) RequestEnded(now time.Time, id ids.Instance, responseTime time.Duration, failed bool) {
 	s := p.upstreamState(id)
 	s.inFlight--
 	if responseTime <= 0 && !failed {
@@ -100,7 +100,7 @@
 
 // Forget drops the state of an upstream that is gone, unless requests of this node
 // still run there.
-func (p *Picker) Forget(id ids.Life) {
+func (p *Picker) Forget(id ids.Instance) {
 	if s := p.upstreams[id]; s != nil && s.inFlight <= 0 {
 		delete(p.upstreams, id)
 	}
@@ -110,7 +110,7 @@
 // zone, nil if none may be used. Upstreams that are leaving or in avoid are left
 // out. Suspected ones are picked only if no other is left. random, uniform over
 // [0, 1), decides between upstreams of equal cost.
-func (p *Picker) Pick(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Life]bool, random float64) *directory.Upstream {
+func (p *Picker) Pick(now time.Time, list []*directory.Upstream, zone ids.Zone, avoid map[ids.Instance]bool, random float64) *directory.Upstream {
 	var best *directory.Upstream
 	bestCost := math.Inf(1)
 	for i, u := range list {
--- a/decide/replica/replica_test.go
+++ b/decide/replica/replica_test.go
@@ -15,9 +15,9 @@
 // threeZones returns three equal upstreams, each in another zone.
 func threeZones() []*directory.Upstream {
 	return []*directory.Upstream{
-		{ID: ids.Life{Upstream: "a"}, Zone: "1", Slots: 6},
-		{ID: ids.Life{Upstream: "b"}, Zone: "2", Slots: 6},
-		{ID: ids.Life{Upstream: "c"}, Zone: "3", Slots: 6},
+		{ID: ids.Instance{Upstream: "a"}, Zone: "1", Slots: 6},
+		{ID: ids.Instance{Upstream: "b"}, Zone: "2", Slots: 6},
+		{ID: ids.Instance{Upstream: "c"}, Zone: "3", Slots: 6},
 	}
 }
 
@@ -38,10 +38,10 @@
 	p := New(condition.New())
 	list := threeZones()
 	list[1].Leaving = true
-	if u := p.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
+	if u := p.Pick(start, list, "2", map[ids.Instance]bool{{Upstream: "a"}: true}, 0); u.ID != life("c") {
 		t.Errorf("picked %s, want c", u.ID)
 	}
-	if u := p.Pick(start, list, "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
+	if u := p.Pick(start, list, "2", map[ids.Instance]bool{{Upstream: "a"}: true, life("c"): true}, 0); u != nil {
 		t.Errorf("picked %s, want none", u.ID)
 	}
 }
@@ -53,7 +53,7 @@
 	if u := p.Pick(start, threeZones(), "2", nil, 0); u.ID == life("b") {
 		t.Error("picked a suspected upstream before others")
 	}
-	if u := p.Pick(start, threeZones(), "2", map[ids.Life]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
+	if u := p.Pick(start, threeZones(), "2", map[ids.Instance]bool{{Upstream: "a"}: true, life("c"): true}, 0); u.ID != life("b") {
 		t.Error("did not pick a suspected upstream although no other is left")
 	}
 }
@@ -73,4 +73,4 @@
 }
 
 // life returns the ID of an upstream that does not report its start time.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -45,7 +45,7 @@
 
 // run works until ctx ends.
 func (p *probe) run(ctx context.Context) {
-	every.DoOrSooner(ctx, roster.ProbeInterval, p.soon, func() {
+	every.DoOrOnSignal(ctx, roster.ProbeInterval, p.soon, func() {
 		if p.due() {
 			p.send(ctx)
 		}
