--- a/mimosad/app/app.go
+++ b/mimosad/app/app.go
@@ -24,7 +24,7 @@
 	ExitFailed   = 1
 	ExitUsage    = 2
 	ExitSettings = 3
-	ExitCutOff   = 4
+	ExitDrainIncomplete   = 4
 )
 
 // options of the command line.
@@ -93,7 +93,7 @@
 	}()
 	if err := n.Shutdown(ctx); err != nil {
 		log.Error().Err(err).Msg("planned stop cut requests off")
-		return ExitCutOff
+		return ExitDrainIncomplete
 	}
 	return ExitOK
 }
--- a/node/errors.go
+++ b/node/errors.go
@@ -17,14 +17,14 @@
 // Unwrap gives the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// CutOffError tells that a planned stop ran out of time.
-type CutOffError struct {
+// DrainIncompleteError tells that a planned stop ran out of time.
+type DrainIncompleteError struct {
 	// Requests were still in flight.
 	Requests int
 }
 
 // Error implements error.
-func (e *CutOffError) Error() string {
+func (e *DrainIncompleteError) Error() string {
 	return fmt.Sprintf("stopped with %d requests in flight", e.Requests)
 }
 
--- a/node/stop.go
+++ b/node/stop.go
@@ -15,7 +15,7 @@
 	n.tell(router.Drain{})
 	err := n.waitIdle(ctx)
 	if shutdownErr := n.callers.Shutdown(ctx); err == nil && shutdownErr != nil {
-		err = &CutOffError{Requests: n.view.Load().requests}
+		err = &DrainIncompleteError{Requests: n.view.Load().requests}
 	}
 	n.Close()
 	return err
@@ -30,7 +30,7 @@
 	if n.poll(ctx, idle) {
 		return nil
 	}
-	return &CutOffError{Requests: n.view.Load().requests}
+	return &DrainIncompleteError{Requests: n.view.Load().requests}
 }
 
 // Close stops the node at once. Requests in flight are cut off: what becomes of
