--- a/node/operator.go
+++ b/node/operator.go
@@ -106,7 +106,7 @@
 
 // explain gives the decisions kept of one request.
 func (o *operator) explain(ctx *fasthttp.RequestCtx, id ids.Request) {
-	steps := o.node.ExplainAnywhere(o.node.ctx, id)
+	steps := o.node.ExplainFleetWide(o.node.ctx, id)
 	if steps == nil {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		writeJSON(ctx, problem{Message: "no decision of this request is kept"})
--- a/node/peers.go
+++ b/node/peers.go
@@ -132,9 +132,9 @@
 	return out
 }
 
-// ExplainAnywhere gives the decisions kept of a request on this node, or else
+// ExplainFleetWide gives the decisions kept of a request on this node, or else
 // on the node that its name tells; nil when none is found.
-func (n *Node) ExplainAnywhere(ctx context.Context, id ids.Request) []router.Decision {
+func (n *Node) ExplainFleetWide(ctx context.Context, id ids.Request) []router.Decision {
 	if steps := n.records.Of(id); steps != nil || n.peers == nil {
 		return steps
 	}
