--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	settings  settings.Settings
 	log       zerolog.Logger
 	telemetry *telemetry.Telemetry
-	records   *record.Book
+	records   *record.History
 
 	events   *ring.Ring[router.Event]
 	router   *router.Router
--- a/node/peers.go
+++ b/node/peers.go
@@ -135,7 +135,7 @@
 // ExplainFleetWide gives the decisions kept of a request on this node, or else
 // on the node that its name tells; nil when none is found.
 func (n *Node) ExplainFleetWide(ctx context.Context, id ids.Request) []router.Decision {
-	if steps := n.records.Of(id); steps != nil || n.peers == nil {
+	if steps := n.records.Decisions(id); steps != nil || n.peers == nil {
 		return steps
 	}
 	vm, ok := vmOf(id)
--- a/node/record/record.go
+++ b/node/record/record.go
@@ -9,8 +9,8 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Book holds the newest decisions. Any goroutine may call any method.
-type Book struct {
+// History holds the newest decisions. Any goroutine may call any method.
+type History struct {
 	mu    sync.Mutex
 	steps []router.Decision
 	// next is the place of the next decision in steps.
@@ -20,15 +20,15 @@
 }
 
 // New makes a Book that holds the given count of decisions, at least 1.
-func New(capacity int) *Book {
-	return &Book{
+func New(capacity int) *History {
+	return &History{
 		steps:  make([]router.Decision, max(1, capacity)),
 		places: make(map[ids.Request][]int),
 	}
 }
 
 // Add keeps a decision in place of the oldest one.
-func (b *Book) Add(d router.Decision) {
+func (b *History) Add(d router.Decision) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.evict(b.steps[b.next].ID)
@@ -39,7 +39,7 @@
 
 // evict forgets the oldest decision of the request, which is about to be
 // overwritten; an empty name means that the place is free.
-func (b *Book) evict(id ids.Request) {
+func (b *History) evict(id ids.Request) {
 	places := b.places[id]
 	if len(places) <= 1 {
 		delete(b.places, id)
@@ -48,8 +48,8 @@
 	b.places[id] = places[1:]
 }
 
-// Of gives the decisions of a request, oldest first; nil when none is kept.
-func (b *Book) Of(id ids.Request) []router.Decision {
+// Decisions gives the decisions of a request, oldest first; nil when none is kept.
+func (b *History) Decisions(id ids.Request) []router.Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var found []router.Decision
--- a/node/record/record_test.go
+++ b/node/record/record_test.go
@@ -20,7 +20,7 @@
 	add("a", router.StepFinished)
 	steps := func(id ids.Request) []router.DecisionStep {
 		var found []router.DecisionStep
-		for _, d := range b.Of(id) {
+		for _, d := range b.Decisions(id) {
 			found = append(found, d.Step)
 		}
 		return found
@@ -29,7 +29,7 @@
 		t.Error(diff)
 	}
 	add("c", router.StepAdmitted)
-	if got := b.Of("b"); got != nil {
+	if got := b.Decisions("b"); got != nil {
 		t.Errorf("overwritten decisions are still given: %v", got)
 	}
 }
--- a/node/show.go
+++ b/node/show.go
@@ -38,4 +38,4 @@
 }
 
 // Explain gives the decisions kept of a request; nil when none is kept.
-func (n *Node) Explain(id ids.Request) []router.Decision { return n.records.Of(id) }
+func (n *Node) Explain(id ids.Request) []router.Decision { return n.records.Decisions(id) }
