--- a/adapter/forward/attempt.go
+++ b/adapter/forward/attempt.go
@@ -68,7 +68,7 @@
 		return nil, &failure{phase: outcome.NotSent, reason: outcome.ConnectFailed, cause: err}
 	}
 	if x.sends++; x.sends == 1 {
-		x.server.opts.Metrics.Took("request.until_sent", x.server.opts.Now().Sub(x.arrived))
+		x.server.opts.Metrics.ObserveDuration("request.until_sent", x.server.opts.Now().Sub(x.arrived))
 	}
 	a.conn = conn
 	a.stop = conn.Bind(ctx, watch)
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -315,7 +315,7 @@
 	if status < serverError {
 		x.server.culprits.served(x.service, x.print)
 	}
-	x.server.opts.Metrics.Took("request."+kindNames[x.route.Kind], took)
+	x.server.opts.Metrics.ObserveDuration("request."+kindNames[x.route.Kind], took)
 	x.log("answered").Int("status", status).Str("route", x.route.Name).Str("service", string(x.service)).
 		Str("upstream", u.ID.String()).Int64("config", x.version).Int("sends", x.sends).Int("events", x.events).
 		Str("late", string(x.late)).Dur("first_ms", x.first).Dur("took_ms", took).Send()
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -187,7 +187,7 @@
 	c.n[name] += n
 }
 
-func (c *counts) Took(string, time.Duration) {}
+func (c *counts) ObserveDuration(string, time.Duration) {}
 
 func (c *counts) Timer(string) func(time.Duration) { return func(time.Duration) {} }
 
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -153,7 +153,7 @@
 // Metrics counts events and durations by name.
 type Metrics interface {
 	Add(name string, n int64)
-	Took(name string, d time.Duration)
+	ObserveDuration(name string, d time.Duration)
 	// Timer gives Took for one name, for what is counted often.
 	Timer(name string) func(d time.Duration)
 }
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -105,7 +105,7 @@
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer func() { p.opts.Metrics.Took("decision.chain", p.opts.Now().Sub(began)) }()
+	defer func() { p.opts.Metrics.ObserveDuration("decision.chain", p.opts.Now().Sub(began)) }()
 	c, err := p.chains.Pick(p.opts.Now(), m, view, r)
 	if err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer func() { p.opts.Metrics.Took("decision.replica", p.opts.Now().Sub(began)) }()
+	defer func() { p.opts.Metrics.ObserveDuration("decision.replica", p.opts.Now().Sub(began)) }()
 	u := p.replicas.Pick(p.opts.Now(), list, p.opts.Zone, avoid, draw)
 	if u != nil {
 		p.replicas.RequestStarted(u.ID)
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -136,7 +136,7 @@
 	default:
 		x.server.picks.replicaEnded(u.ID, took, answer.Head.StatusCode() >= serverError)
 		x.server.picks.answered(u)
-		x.server.opts.Metrics.Took("upstream.plain", took)
+		x.server.opts.Metrics.ObserveDuration("upstream.plain", took)
 	}
 	return answer, body, failed
 }
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -335,7 +335,7 @@
 		c.endHead()
 		s.x.written = true
 		s.x.first = s.last.Sub(s.x.arrived)
-		s.x.server.opts.Metrics.Took("stream.first_event", s.x.first)
+		s.x.server.opts.Metrics.ObserveDuration("stream.first_event", s.x.first)
 		s.x.server.picks.answered(a.u)
 	}
 	c.out = strconv.AppendInt(c.out, int64(len(ev.bytes)), 16)
--- a/node/claims.go
+++ b/node/claims.go
@@ -78,7 +78,7 @@
 
 // claimProblem counts and logs a claim object that cannot be used.
 func (n *Node) claimProblem(err error) {
-	n.telemetry.Failure("claim_object")
+	n.telemetry.CountError("claim_object")
 	n.log.Warn().Err(err).Msg("claims")
 }
 
@@ -89,7 +89,7 @@
 	if err == nil {
 		return
 	}
-	n.telemetry.Failure("claim_ring_full")
+	n.telemetry.CountError("claim_ring_full")
 	switch c := command.(type) {
 	case router.Claim:
 		n.later(router.ClaimEnded{ID: c.ID, Result: router.ClaimFailed})
--- a/node/config.go
+++ b/node/config.go
@@ -24,11 +24,11 @@
 	var backwards *configorder.StaleVersionError
 	switch {
 	case errors.As(err, &invalid):
-		n.telemetry.Failure("config_object")
+		n.telemetry.CountError("config_object")
 	case errors.As(err, &backwards):
-		n.telemetry.Failure("config_backwards")
+		n.telemetry.CountError("config_backwards")
 	default:
-		n.telemetry.Failure("config_call")
+		n.telemetry.CountError("config_call")
 	}
 	n.log.Warn().Err(err).Msg("configuration")
 }
--- a/node/effects.go
+++ b/node/effects.go
@@ -88,7 +88,7 @@
 // note keeps, counts and logs a decision.
 func (n *Node) note(d router.Decision) {
 	n.records.Add(d)
-	n.telemetry.Decision(d)
+	n.telemetry.CountDecision(d)
 	n.log.Debug().
 		Str("request", string(d.ID)).
 		Str("account", string(d.Account)).
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -124,7 +124,7 @@
 	})
 	n.configs = &configs{log: log, news: n.news}
 	n.upstreams = newUpstreams(holder(settings), log, n.news)
-	n.peers = newPeers(settings, &timedMembers{ports.Members, n.metrics.Took}, n, log)
+	n.peers = newPeers(settings, &timedMembers{ports.Members, n.metrics.ObserveDuration}, n, log)
 	n.probe = newProbe(ports.Prober, n.fleet, log, &n.configs.contact, &n.upstreams.contact)
 	n.server = forward.New(forward.Options{
 		Headers:   ports.Headers,
@@ -153,7 +153,7 @@
 			StaleReads:   true,
 			Seed:         settings.Seed,
 		},
-		Store:     &timedLease{ports.Lease, n.metrics.Took},
+		Store:     &timedLease{ports.Lease, n.metrics.ObserveDuration},
 		Now:       boottime.Now,
 		Candidate: n.fleet.head,
 		KeepHeld:  true,
--- a/node/entry/share.go
+++ b/node/entry/share.go
@@ -197,7 +197,7 @@
 		selector: n.fleet.selector(),
 		contact:  &n.configs.contact,
 		hurry:    n.probe.hurry,
-		took:     n.metrics.Took,
+		took:     n.metrics.ObserveDuration,
 		log:      n.log,
 		have: func(ids.VM) relay.Have {
 			return relay.Have{ConfigVersion: n.configs.version(), Want: relay.WantConfig}
@@ -220,7 +220,7 @@
 		selector: n.fleet.selector(),
 		contact:  &n.upstreams.contact,
 		hurry:    n.probe.hurry,
-		took:     n.metrics.Took,
+		took:     n.metrics.ObserveDuration,
 		log:      n.log,
 		have:     n.upstreams.have,
 		take: func(peer ids.VM, news relay.News, asked time.Time) int64 {
--- a/node/node.go
+++ b/node/node.go
@@ -173,7 +173,7 @@
 		Ready:   n.Ready,
 		NewID:   n.newID,
 		MaxBody: n.settings.MaxBody,
-		Count:   n.telemetry.Refused,
+		Count:   n.telemetry.CountRefusal,
 		Log:     n.log,
 	})
 	n.operator, err = newOperator(n)
@@ -248,7 +248,7 @@
 	n.calls.add(work)
 	if err := n.events.Offer(ev); err != nil {
 		n.calls.remove(ev.ID)
-		n.telemetry.Refused(outcome.RingFull)
+		n.telemetry.CountRefusal(outcome.RingFull)
 		return outcome.Refuse(outcome.RingFull, err.Error(), ringFullRetry)
 	}
 	return nil
@@ -269,6 +269,6 @@
 // runs. The loop itself must use later.
 func (n *Node) tell(ev router.Event) {
 	if err := n.events.Put(n.ctx, ev); err != nil {
-		n.telemetry.Failure("event_after_stop")
+		n.telemetry.CountError("event_after_stop")
 	}
 }
--- a/node/orders.go
+++ b/node/orders.go
@@ -27,7 +27,7 @@
 // good by the next.
 func (n *Node) orderReported(report engineapi.LoadReport) {
 	if err := n.orders.Reported(report); err != nil {
-		n.telemetry.Failure("order_report_not_taken")
+		n.telemetry.CountError("order_report_not_taken")
 	}
 }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -69,7 +69,7 @@
 // share hands the newest digest to the duty that asked.
 func (n *Node) share(c router.SendDigest) {
 	if err := n.shared.Offer(c.Digest); err != nil {
-		n.telemetry.Failure("digest_not_taken")
+		n.telemetry.CountError("digest_not_taken")
 	}
 }
 
@@ -146,7 +146,7 @@
 	defer done()
 	steps, err := n.peers.Explain(ctx, vm, id)
 	if err != nil {
-		n.telemetry.Failure("explain")
+		n.telemetry.CountError("explain")
 		return nil
 	}
 	return steps
--- a/node/polls.go
+++ b/node/polls.go
@@ -80,7 +80,7 @@
 	defer done()
 	list, err := p.node.platform.VMs(ctx, after)
 	if err != nil {
-		p.node.telemetry.Failure("vm_list")
+		p.node.telemetry.CountError("vm_list")
 		return
 	}
 	if list.Revision <= after {
@@ -88,7 +88,7 @@
 	}
 	if p.node.peers != nil {
 		if err := p.node.peers.SetVMs(list); err != nil {
-			p.node.telemetry.Failure("vm_list_ring_full")
+			p.node.telemetry.CountError("vm_list_ring_full")
 		}
 	}
 	p.take(list)
@@ -159,7 +159,7 @@
 	delete(p.asking, id)
 	p.mu.Unlock()
 	if err != nil || report.Engine != string(id) {
-		p.node.telemetry.Failure("load_poll")
+		p.node.telemetry.CountError("load_poll")
 		p.node.tell(router.LoadPollFailed{Upstream: id})
 		return
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -104,6 +104,6 @@
 // showStatus hands the newest status to whoever asked.
 func (n *Node) showStatus(c router.ReportStatus) {
 	if err := n.shown.Offer(c.Status); err != nil {
-		n.telemetry.Failure("status_not_taken")
+		n.telemetry.CountError("status_not_taken")
 	}
 }
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -15,15 +15,15 @@
 const (
 	RefusalPrefix = "refusal."
 	RetryPrefix   = "retry."
-	FailedPrefix  = "attempt_failed."
+	AttemptFailedPrefix  = "attempt_failed."
 	OutcomePrefix = "outcome."
 	ErrorPrefix   = "error."
 )
 
 // Names of histograms, in microseconds.
 const (
-	WaitName  = "wait_us"
-	TotalName = "total_us"
+	QueueWaitHistogram  = "wait_us"
+	TotalTimeHistogram = "total_us"
 )
 
 // Sample sizes of histograms.
@@ -42,8 +42,8 @@
 // New makes a Telemetry without counts.
 func New() *Telemetry {
 	t := &Telemetry{registry: metrics.NewRegistry()}
-	t.wait = t.histogram(WaitName)
-	t.total = t.histogram(TotalName)
+	t.wait = t.histogram(QueueWaitHistogram)
+	t.total = t.histogram(TotalTimeHistogram)
 	return t
 }
 
@@ -55,15 +55,15 @@
 	return h
 }
 
-// Decision counts one decision.
-func (t *Telemetry) Decision(d router.Decision) {
+// CountDecision counts one decision.
+func (t *Telemetry) CountDecision(d router.Decision) {
 	switch d.Step {
 	case router.StepRefused:
-		t.Refused(d.Reason)
+		t.CountRefusal(d.Reason)
 	case router.StepRetried, router.StepJoined:
 		t.count(RetryPrefix + string(d.Reason))
 	case router.StepFailed:
-		t.count(FailedPrefix + string(d.Reason))
+		t.count(AttemptFailedPrefix + string(d.Reason))
 	case router.StepSent:
 		t.wait.Update(d.Wait.Microseconds())
 	case router.StepFinished:
@@ -80,14 +80,14 @@
 	}
 }
 
-// Refused counts a refusal made before a request was held.
-func (t *Telemetry) Refused(reason outcome.Reason) {
+// CountRefusal counts a refusal made before a request was held.
+func (t *Telemetry) CountRefusal(reason outcome.Reason) {
 	t.count(OutcomePrefix + string(outcome.NotRun))
 	t.count(RefusalPrefix + string(reason))
 }
 
-// Failure counts an error that is not about one request, by its kind.
-func (t *Telemetry) Failure(kind string) { t.count(ErrorPrefix + kind) }
+// CountError counts an error that is not about one request, by its kind.
+func (t *Telemetry) CountError(kind string) { t.count(ErrorPrefix + kind) }
 
 // Took notes how long a duty's step took.
 func (t *Telemetry) Took(name string, d time.Duration) { t.Timer(name)(d) }
