--- a/node/entry/share.go
+++ b/node/entry/share.go
@@ -17,23 +17,23 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// BehindError tells that no peer has news of the store. Age is that of the last news
+// StalePeerError tells that no peer has news of the store. Age is that of the last news
 // of the one asked last.
-type BehindError struct {
+type StalePeerError struct {
 	Peer ids.VM
 	Age  time.Duration
 }
 
 // Error implements error.
-func (e *BehindError) Error() string {
+func (e *StalePeerError) Error() string {
 	return "peer " + string(e.Peer) + " had no answer of the store for " + e.Age.String()
 }
 
-// SilentError tells that the store has stopped answering this node.
-type SilentError struct{}
+// StoreSilentError tells that the store has stopped answering this node.
+type StoreSilentError struct{}
 
 // Error implements error.
-func (*SilentError) Error() string { return "the store does not answer" }
+func (*StoreSilentError) Error() string { return "the store does not answer" }
 
 // shared is a listwatch.Source that waits at a peer where one watches the
 // store, and else at the store, as decide/roster says.
@@ -93,7 +93,7 @@
 func (s *shared[T]) watch(ctx context.Context, since int64, wait time.Duration) (listwatch.Changes[T], error) {
 	silence := s.fleet.silence()
 	if s.fleet.isSilent() {
-		return listwatch.Changes[T]{}, &SilentError{}
+		return listwatch.Changes[T]{}, &StoreSilentError{}
 	}
 	s.contact.waits.Store(true)
 	defer s.contact.waits.Store(false)
@@ -121,7 +121,7 @@
 		}
 		return changes, err
 	case <-silence:
-		return listwatch.Changes[T]{}, &SilentError{}
+		return listwatch.Changes[T]{}, &StoreSilentError{}
 	}
 }
 
@@ -176,7 +176,7 @@
 	if news.Lost || !roster.Fresh(age, news.Hops) {
 		s.passedOver("peer_behind", peer.Name, asked).Dur("age_ms", age).Int("hops", news.Hops).Bool("lost", news.Lost).Send()
 		s.fleet.behind(s.selector, peer.Name)
-		return relay.News{}, &BehindError{Peer: peer.Name, Age: age}
+		return relay.News{}, &StalePeerError{Peer: peer.Name, Age: age}
 	}
 	s.fleet.answered(s.selector, peer.Name)
 	s.contact.peerAnswered(age, news.Hops+1)
--- a/node/entry/share_test.go
+++ b/node/entry/share_test.go
@@ -126,7 +126,7 @@
 	_, other := serveNews(t, relay.News{AgeMs: 100, Hops: roster.MaxHops + 1})
 	s, store := follower(one, other)
 	_, err := s.Watch(t.Context(), 5, time.Second)
-	var behind *BehindError
+	var behind *StalePeerError
 	if !errors.As(err, &behind) {
 		t.Errorf("error %v", err)
 	}
@@ -246,7 +246,7 @@
 	}()
 	<-store.called
 	s.fleet.setSilent(true)
-	var silent *SilentError
+	var silent *StoreSilentError
 	if err := <-ended; !errors.As(err, &silent) {
 		t.Errorf("error %v", err)
 	}
