--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -154,6 +154,6 @@
 type Metrics interface {
 	Add(name string, n int64)
 	ObserveDuration(name string, d time.Duration)
-	// Timer gives Took for one name, for what is counted often.
+	// Timer gives ObserveDuration for one name, for what is counted often.
 	Timer(name string) func(d time.Duration)
 }
--- a/node/loop.go
+++ b/node/loop.go
@@ -30,7 +30,7 @@
 func (n *Node) step(ev router.Event) {
 	began := time.Now()
 	commands := n.router.Step(began, ev)
-	n.telemetry.Took("decision", time.Since(began))
+	n.telemetry.ObserveDuration("decision", time.Since(began))
 	for _, command := range commands {
 		n.do(command)
 	}
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -89,10 +89,10 @@
 // CountError counts an error that is not about one request, by its kind.
 func (t *Telemetry) CountError(kind string) { t.count(ErrorPrefix + kind) }
 
-// Took notes how long a duty's step took.
-func (t *Telemetry) Took(name string, d time.Duration) { t.Timer(name)(d) }
+// ObserveDuration notes how long a duty's step took.
+func (t *Telemetry) ObserveDuration(name string, d time.Duration) { t.Timer(name)(d) }
 
-// Timer gives Took for one name, which is looked up once.
+// Timer gives ObserveDuration for one name, which is looked up once.
 func (t *Telemetry) Timer(name string) func(d time.Duration) {
 	return metrics.GetOrRegisterTimer(name, t.registry).Update
 }
