--- a/node/entry/measure.go
+++ b/node/entry/measure.go
@@ -38,8 +38,8 @@
 	n.metrics.Gauge("requests.open", n.server.Active)
 }
 
-// Count adds one to a counter of calls to the store.
-func (n *Node) Count(name string) {
+// CountStoreCall adds one to a counter of calls to the store.
+func (n *Node) CountStoreCall(name string) {
 	n.metrics.Add(name, 1)
 	n.calls.add(name)
 }
