--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -61,23 +61,23 @@
 type Settings struct {
 	VM   ids.VM
 	Zone ids.Zone
-	// Callers, Ready, Peers and Metrics are addresses to listen on. Metrics
+	// CallerAddr, ReadyAddr, PeerAddr and MetricsAddr are addresses to listen on. MetricsAddr
 	// may be empty.
-	Callers, Ready, Peers, Metrics string
+	CallerAddr, ReadyAddr, PeerAddr, MetricsAddr string
 	// ReadyPath and MetricsPath are the paths that answer there.
 	ReadyPath, MetricsPath string
-	// Seeds are peers' addresses to begin with; may be empty.
-	Seeds []string
-	// Budget bounds the fleet's retries.
-	Budget forward.Budget
-	// Grace is the time between the signal to stop and the kill.
-	Grace time.Duration
-	// Lease is the duration of the lease for orders to engines.
-	Lease time.Duration
-	// Fenced tells that engines check the term of orders.
-	Fenced bool
-	// Plan sets up the placement of layers.
-	Plan placement.Options
+	// SeedPeers are peers' addresses to begin with; may be empty.
+	SeedPeers []string
+	// RetryBudget bounds the fleet's retries.
+	RetryBudget forward.Budget
+	// StopGrace is the time between the signal to stop and the kill.
+	StopGrace time.Duration
+	// LeaseDuration is the duration of the lease for orders to engines.
+	LeaseDuration time.Duration
+	// EnginesCheckFence tells that engines check the term of orders.
+	EnginesCheckFence bool
+	// Placement sets up the placement of layers.
+	Placement placement.Options
 	// Seed starts the random sources.
 	Seed uint64
 }
@@ -133,7 +133,7 @@
 		Table:     n.configs.table.Load,
 		View:      n.upstreams.view.Load,
 		Engines:   ports.Engines,
-		Budget:    settings.Budget,
+		Budget:    settings.RetryBudget,
 		Now:       boottime.Now,
 		Log:       log,
 		Metrics:   n.metrics,
@@ -148,8 +148,8 @@
 	n.keeper = leader.New(leader.Options{
 		Lease: lease.Options{
 			Holder:       holder(settings),
-			Duration:     settings.Lease,
-			ReadInterval: settings.Lease / leaseReadPart,
+			Duration:     settings.LeaseDuration,
+			ReadInterval: settings.LeaseDuration / leaseReadPart,
 			StaleReads:   true,
 			Seed:         settings.Seed,
 		},
@@ -164,8 +164,8 @@
 		View:        n.upstreams.view.Load,
 		Engines:     ports.Engines,
 		Lease:       n.keeper,
-		Plan:        settings.Plan,
-		ChecksFence: settings.Fenced,
+		Plan:        settings.Placement,
+		ChecksFence: settings.EnginesCheckFence,
 		Now:         boottime.Now,
 		Log:         log,
 		Count:       n.metrics.Add,
@@ -272,10 +272,10 @@
 		to      *net.Listener
 		address string
 	}{
-		{&l.callers, n.settings.Callers},
-		{&l.ready, n.settings.Ready},
-		{&l.peers, n.settings.Peers},
-		{&l.metrics, n.settings.Metrics},
+		{&l.callers, n.settings.CallerAddr},
+		{&l.ready, n.settings.ReadyAddr},
+		{&l.peers, n.settings.PeerAddr},
+		{&l.metrics, n.settings.MetricsAddr},
 	} {
 		if one.address == "" {
 			continue
@@ -309,7 +309,7 @@
 		return err
 	}
 	n.log.Info().Str("event", "started").Str("vm", string(n.settings.VM)).Str("zone", string(n.settings.Zone)).
-		Str("callers", n.settings.Callers).Send()
+		Str("callers", n.settings.CallerAddr).Send()
 	work, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	n.start(work, l)
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -88,7 +88,7 @@
 
 // join enters the own node in the list.
 func (p *peers) join(ctx context.Context) {
-	err := p.members.Join(ctx, roster.Member{Name: p.settings.VM, Zone: p.settings.Zone, Peer: p.settings.Peers})
+	err := p.members.Join(ctx, roster.Member{Name: p.settings.VM, Zone: p.settings.Zone, Peer: p.settings.PeerAddr})
 	if err != nil {
 		p.log.Info().Str("event", "join_failed").Err(err).Send()
 		p.joinAt = time.Now().Add(backoff.Doubled(joinRetry, joinRetryMost, p.joinFails))
@@ -151,8 +151,8 @@
 // name.
 func (p *peers) pick() (ids.VM, string) {
 	all := p.node.fleet.others()
-	for _, seed := range p.settings.Seeds {
-		if seed != p.settings.Peers {
+	for _, seed := range p.settings.SeedPeers {
+		if seed != p.settings.PeerAddr {
 			all = append(all, roster.Member{Peer: seed})
 		}
 	}
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -29,7 +29,7 @@
 	n.server.DisableKeepAlives()
 	n.keeper.Resign()
 	n.log.Info().Str("event", "stopping").Int64("active", n.server.Active()).Send()
-	limit, done := context.WithDeadline(ctx, began.Add(n.settings.Grace-killSlack))
+	limit, done := context.WithDeadline(ctx, began.Add(n.settings.StopGrace-killSlack))
 	defer done()
 	every.Pause(limit, readinessLag)
 	// What comes later could no longer be finished within the grace.
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -13,16 +13,16 @@
 
 // Prefixes of counter names; a reason or outcome follows.
 const (
-	RefusalPrefix = "refusal."
-	RetryPrefix   = "retry."
-	AttemptFailedPrefix  = "attempt_failed."
-	OutcomePrefix = "outcome."
-	ErrorPrefix   = "error."
+	RefusalPrefix       = "refusal."
+	RetryPrefix         = "retry."
+	AttemptFailedPrefix = "attempt_failed."
+	OutcomePrefix       = "outcome."
+	ErrorPrefix         = "error."
 )
 
 // Names of histograms, in microseconds.
 const (
-	QueueWaitHistogram  = "wait_us"
+	QueueWaitHistogram = "wait_us"
 	TotalTimeHistogram = "total_us"
 )
 
