--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -317,7 +317,7 @@
 	if status < statusServerError {
 		x.server.crashes.requestServed(x.service, x.fingerprint)
 	}
-	x.server.opts.Metrics.Took("request."+kindNames[x.route.Kind], took)
+	x.server.opts.Metrics.ObserveDuration("request."+kindNames[x.route.Kind], took)
 	x.log("answered").Int("status", status).Str("route", x.route.Name).Str("service", string(x.service)).
 		Str("upstream", u.ID.String()).Int64("config", x.configVersion).Int("sends", x.sends).Int("events", x.events).
 		Str("late", string(x.lateCause)).Dur("first_ms", x.firstEvent).Dur("took_ms", took).Send()
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -189,7 +189,7 @@
 	c.n[name] += n
 }
 
-func (c *fakeMetrics) Took(string, time.Duration) {}
+func (c *fakeMetrics) ObserveDuration(string, time.Duration) {}
 
 func (c *fakeMetrics) Timer(string) func(time.Duration) { return func(time.Duration) {} }
 
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -159,8 +159,8 @@
 type Metrics interface {
 	// Add adds n to a counter.
 	Add(name string, n int64)
-	// Took records a duration.
-	Took(name string, d time.Duration)
-	// Timer returns Took bound to one name, for durations that are recorded often.
+	// ObserveDuration records a duration.
+	ObserveDuration(name string, d time.Duration)
+	// Timer returns ObserveDuration bound to one name, for durations that are recorded often.
 	Timer(name string) func(d time.Duration)
 }
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -106,7 +106,7 @@
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer func() { p.opts.Metrics.Took("decision.chain", p.opts.Now().Sub(began)) }()
+	defer func() { p.opts.Metrics.ObserveDuration("decision.chain", p.opts.Now().Sub(began)) }()
 	c, err := p.chains.Pick(p.opts.Now(), m, view, r)
 	if err != nil {
 		return nil, err
@@ -216,7 +216,7 @@
 	began := p.opts.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer func() { p.opts.Metrics.Took("decision.replica", p.opts.Now().Sub(began)) }()
+	defer func() { p.opts.Metrics.ObserveDuration("decision.replica", p.opts.Now().Sub(began)) }()
 	u := p.replicas.Pick(p.opts.Now(), list, p.opts.Zone, avoid, draw)
 	if u != nil {
 		p.replicas.RequestStarted(u.ID)
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -140,7 +140,7 @@
 	default:
 		x.server.picker.replicaEnded(u.ID, took, resp.Head.StatusCode() >= statusServerError)
 		x.server.picker.recordAnswer(u)
-		x.server.opts.Metrics.Took("upstream.plain", took)
+		x.server.opts.Metrics.ObserveDuration("upstream.plain", took)
 	}
 	return resp, body, failed
 }
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -340,7 +340,7 @@
 		c.endHead()
 		s.x.responseStarted = true
 		s.x.firstEvent = s.lastEvent.Sub(s.x.arrived)
-		s.x.server.opts.Metrics.Took("stream.first_event", s.x.firstEvent)
+		s.x.server.opts.Metrics.ObserveDuration("stream.first_event", s.x.firstEvent)
 		s.x.server.picker.recordAnswer(a.u)
 	}
 	c.out = strconv.AppendInt(c.out, int64(len(ev.bytes)), 16)
--- a/node/peers.go
+++ b/node/peers.go
@@ -69,7 +69,7 @@
 // share hands the newest digest to the duty that asked.
 func (n *Node) share(c router.SendDigest) {
 	if err := n.shared.Offer(c.Digest); err != nil {
-		n.telemetry.Failure("digest_not_taken")
+		n.telemetry.CountError("digest_not_taken")
 	}
 }
 
@@ -132,10 +132,10 @@
 	return out
 }
 
-// ExplainAnywhere gives the decisions kept of a request on this node, or else
+// ExplainFleetWide gives the decisions kept of a request on this node, or else
 // on the node that its name tells; nil when none is found.
-func (n *Node) ExplainAnywhere(ctx context.Context, id ids.Request) []router.Decision {
-	if steps := n.records.Of(id); steps != nil || n.peers == nil {
+func (n *Node) ExplainFleetWide(ctx context.Context, id ids.Request) []router.Decision {
+	if steps := n.records.Decisions(id); steps != nil || n.peers == nil {
 		return steps
 	}
 	vm, ok := vmOf(id)
@@ -146,7 +146,7 @@
 	defer done()
 	steps, err := n.peers.Explain(ctx, vm, id)
 	if err != nil {
-		n.telemetry.Failure("explain")
+		n.telemetry.CountError("explain")
 		return nil
 	}
 	return steps
