--- a/adapter/forward/crashes.go
+++ b/adapter/forward/crashes.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// expireLostRuns drops lost runs that are older than lostRunTTL or exceed maxLostRuns.
+// expireLostRuns drops the lost runs that are older than lostRunTTL, and the oldest one
+// if maxLostRuns are kept.
 func (c *crashTracker) expireLostRuns(now time.Time) {
 	for len(c.lostRuns) > 0 && (len(c.lostRuns) >= maxLostRuns || now.Sub(c.lostRuns[0].lostAt) > lostRunTTL) {
 		old := c.lostRuns[0]
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -323,7 +323,7 @@
 		Str("late", string(x.lateCause)).Dur("first_ms", x.firstEvent).Dur("took_ms", took).Send()
 }
 
-// kindNames holds metric names, indexed by routing.Kind.
+// kindNames holds the names of request kinds in metrics, indexed by routing.Kind.
 var kindNames = [...]string{"non_idempotent", "idempotent", "streaming"}
 
 // remainingMs returns the time until the deadline in milliseconds.
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -41,8 +41,7 @@
 	// NotRun marks an upstream's response as the refusal of a request that did not run
 	// and never will.
 	NotRun string
-	// FaultyStage carries the address of the engine because of which a chain refused a
-	// request.
+	// FaultyStage carries the address of the engine that made a chain refuse a request.
 	FaultyStage string
 	// Stages carries the chain of a request.
 	Stages string
--- a/adapter/forward/plain.go
+++ b/adapter/forward/plain.go
@@ -21,9 +21,9 @@
 	// resuming on the same upstream adds none, so that limit alone would allow a stream
 	// that breaks off at once to be sent without end.
 	maxSends = 5
-	// hedgeDelayObjectives is the wait for the response to an idempotent request, in
-	// multiples of its route's objective, after which the request goes to another
-	// upstream.
+	// hedgeDelayObjectives is how long the first attempt of an idempotent request waits
+	// for its response before another upstream is tried, in multiples of the route's
+	// objective.
 	hedgeDelayObjectives = 1.0
 	// minHedgeDelay prevents a second send for usual delays on routes with a short
 	// objective.
--- a/adapter/forward/plain_test.go
+++ b/adapter/forward/plain_test.go
@@ -209,7 +209,7 @@
 	ended := make(chan struct{}, 1)
 	f := newFakeUpstream(t, "u1", "plain", func(conn net.Conn, _ *fasthttp.Request) bool {
 		var one [1]byte
-		_, _ = conn.Read(one[:]) // ends with the connection
+		_, _ = conn.Read(one[:]) // returns when the connection closes
 		ended <- struct{}{}
 		return false
 	})
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -125,8 +125,9 @@
 	}
 }
 
-// fullKVFraction is the fraction of its KV cache above which an engine counts as full.
-// Reports are some hundred milliseconds old, and a new request needs room as well.
+// fullKVFraction is the fraction of used KV cache from which on an engine counts as
+// full. Reports are some hundred milliseconds old, and a new request needs room as
+// well.
 const fullKVFraction = 0.8
 
 // isFull reports whether an engine has no room for another request.
--- a/adapter/forward/server.go
+++ b/adapter/forward/server.go
@@ -166,8 +166,8 @@
 	s.pool.Put(conn, 0)
 }
 
-// confirmTimeout bounds the connection attempt of confirmAlive. A refusal arrives within one round
-// trip.
+// confirmTimeout bounds the connection attempt of confirmAlive. A refusal arrives
+// within one round trip.
 const confirmTimeout = 300 * time.Millisecond
 
 // draw returns a random number in [0, 1), and the 64 random bits it is made of.
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// avoidAddress adds the engine of a chain that has the given address to avoid.
+// avoidAddress adds the engine of chain c with the given address to the set avoid.
 func (w *stallWatch) avoidAddress(avoid map[ids.Life]bool, c chain.Chain, address string) {
 	for _, stage := range c {
 		if stage.Engine.Address == address {
