--- a/adapter/forward/restart_test.go
+++ b/adapter/forward/restart_test.go
@@ -37,7 +37,7 @@
 	if r.engines.rerouted[0] != want {
 		t.Errorf("rerouted %q, want %q", r.engines.rerouted[0], want)
 	}
-	if u := r.opts.View().Of("model")[1]; u.ID.Born != 200 || !u.Layers.Empty() {
+	if u := r.opts.View().ByService("model")[1]; u.ID.Born != 200 || !u.Layers.Empty() {
 		t.Errorf("the directory still holds %+v", u)
 	}
 }
--- a/adapter/forward/stream.go
+++ b/adapter/forward/stream.go
@@ -182,7 +182,7 @@
 func (s *stream) chooseChain(ctx context.Context) (chain.Chain, *failure) {
 	x := s.x
 	if s.model == nil {
-		u := x.server.picker.chooseReplica(x.server.opts.View().Of(x.service), s.req.Avoid, x.draw())
+		u := x.server.picker.chooseReplica(x.server.opts.View().ByService(x.service), s.req.Avoid, x.draw())
 		if u == nil {
 			return nil, &failure{phase: outcome.NotSent, reason: outcome.NoUpstream, cause: &chain.NoChainError{Service: x.service}}
 		}
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -185,7 +185,7 @@
 	for i := range table.Services() {
 		service := &table.Services()[i]
 		if service.Model != nil {
-			p.planService(ctx, service, view.Of(service.Name))
+			p.planService(ctx, service, view.ByService(service.Name))
 		}
 	}
 }
--- a/adapter/placer/simulation_test.go
+++ b/adapter/placer/simulation_test.go
@@ -313,7 +313,7 @@
 	defer s.mu.Unlock()
 	var staying []placement.Engine
 	memory := make(map[ids.Zone]int)
-	for _, u := range s.dir.View().Of("s") {
+	for _, u := range s.dir.View().ByService("s") {
 		if u.Leaving {
 			continue
 		}
@@ -345,7 +345,7 @@
 	for i := range n {
 		s.mu.Lock()
 		var staying []*directory.Upstream
-		for _, u := range s.dir.View().Of("s") {
+		for _, u := range s.dir.View().ByService("s") {
 			if !u.Leaving {
 				staying = append(staying, u)
 			}
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -110,7 +110,7 @@
 // Pick returns the cheapest chain for a request among the usable engines in view.
 // m is the performance model of the engines. The error is a *NoChainError.
 func (p *Picker) Pick(now time.Time, m *layered.Model, view *directory.View, r Request) (Chain, error) {
-	all := view.Of(r.Service)
+	all := view.ByService(r.Service)
 	usable := make([]*directory.Upstream, 0, len(all))
 	for _, e := range all {
 		if !e.Leaving && !e.Layers.Empty() && !r.Avoid[e.ID] && !p.isUnhealthy(now, e) {
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -23,7 +23,7 @@
 // leaving.
 func viewNames(d *Directory) []string {
 	var out []string
-	for _, u := range d.View().Of("s") {
+	for _, u := range d.View().ByService("s") {
 		name := string(u.ID.Upstream)
 		if u.Leaving {
 			name += "!"
@@ -124,7 +124,7 @@
 		t.Error("a view changed after it was taken")
 	}
 	var none *View
-	if none.Get(life("a")) != nil || none.Of("s") != nil || none.All() != nil {
+	if none.Get(life("a")) != nil || none.ByService("s") != nil || none.All() != nil {
 		t.Error("a nil view contains upstreams")
 	}
 }
--- a/decide/directory/restart_test.go
+++ b/decide/directory/restart_test.go
@@ -28,12 +28,12 @@
 	leaving := holding(born("a", 100, 1), 9)
 	leaving.Leaving = true
 	d.Put(leaving)
-	before := d.View().Of("s")[0]
+	before := d.View().ByService("s")[0]
 	changes := d.Put(born("a", 200, 2))
 	if diff := cmp.Diff([]string{"gone a", "seen a"}, changeTexts(changes)); diff != "" {
 		t.Error(diff)
 	}
-	now := d.View().Of("s")[0]
+	now := d.View().ByService("s")[0]
 	if now.Leaving || !now.Layers.Empty() || now.ID == before.ID || changes[0].Upstream.ID != before.ID {
 		t.Errorf("%+v was added, %+v removed", now, changes[0].Upstream)
 	}
@@ -45,7 +45,7 @@
 func TestEntryOfAnEarlierLifeIsIgnored(t *testing.T) {
 	d := New()
 	d.Put(born("a", 200, 2))
-	if changes := d.Put(holding(born("a", 100, 3), 9)); len(changes) > 0 || !d.View().Of("s")[0].Layers.Empty() {
+	if changes := d.Put(holding(born("a", 100, 3), 9)); len(changes) > 0 || !d.View().ByService("s")[0].Layers.Empty() {
 		t.Errorf("an entry of an earlier life took effect: %v", changeTexts(changes))
 	}
 }
@@ -85,7 +85,7 @@
 	if diff := cmp.Diff([]string{"gone a", "seen a"}, changeTexts(changes)); diff != "" {
 		t.Error(diff)
 	}
-	if u := d.View().Of("s")[0]; !u.Layers.Empty() || u.ID.Born != 300 {
+	if u := d.View().ByService("s")[0]; !u.Layers.Empty() || u.ID.Born != 300 {
 		t.Errorf("upstream %+v, want the later life without layers", u)
 	}
 	if changed, _, ok := d.View().Since(mark); !ok || len(changed) != 1 || changed[0].ID.Born != 300 {
@@ -93,7 +93,7 @@
 	}
 	// This is an entry of the earlier life that arrives late.
 	d.Put(holding(born("a", 100, 2), 9))
-	if u := d.View().Of("s")[0]; u.ID.Born != 300 {
+	if u := d.View().ByService("s")[0]; u.ID.Born != 300 {
 		t.Errorf("upstream %+v, want the later life without layers", u)
 	}
 }
@@ -159,7 +159,7 @@
 	if diff := cmp.Diff([]string(nil), viewNames(d)); diff != "" {
 		t.Error(diff)
 	}
-	if list := d.View().Of("elsewhere"); len(list) != 1 {
+	if list := d.View().ByService("elsewhere"); len(list) != 1 {
 		t.Errorf("%d upstreams of the service that is now configured, want 1", len(list))
 	}
 }
--- a/decide/directory/view.go
+++ b/decide/directory/view.go
@@ -21,9 +21,9 @@
 	recentChanges []changeRecord
 }
 
-// Of returns the upstreams of a service, including those that are leaving, sorted by
+// ByService returns the upstreams of a service, including those that are leaving, sorted by
 // ID. The slice must not be modified.
-func (v *View) Of(service ids.Service) []*Upstream {
+func (v *View) ByService(service ids.Service) []*Upstream {
 	if v == nil {
 		return nil
 	}
