--- a/adapter/peer/claim_bench_test.go
+++ b/adapter/peer/claim_bench_test.go
@@ -23,8 +23,8 @@
 					ID: fmt.Sprint("vm-", i), Zone: "z", Role: platformapi.RoleEntry, PeerAddress: fmt.Sprint("127.0.0.1:", 1000+i),
 				})
 			}
-			s.members.VMs(time.Now(), list)
-			c := NewClaims(b.Context(), s)
+			s.members.ApplyVMList(time.Now(), list)
+			c := NewClaimForwarder(b.Context(), s)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				c.Preferred(i % 64)
--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -85,7 +85,7 @@
 		return
 	}
 	if err := p.events.Offer(vmsSeen{list: out.List, fromPeer: true}); err != nil {
-		p.opts.Count(MessagesBusy, 1)
+		p.opts.Count(MessagesDropped, 1)
 	}
 }
 
@@ -121,7 +121,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ask := peerapi.Pull{Summary: tellSummary(summary)}
+	ask := peerapi.Pull{Summary: encodeSummary(summary)}
 	if err := ask.Validate(); err != nil {
 		return 0, err
 	}
--- a/adapter/peer/service.go
+++ b/adapter/peer/service.go
@@ -52,12 +52,12 @@
 	s := &Service{
 		opts:     opts,
 		listener: listener,
-		events:   ring.New[event]("peer events", opts.Ring),
+		events:   ring.New[event]("peer events", opts.RingCapacity),
 		pulls:    ring.New[pull]("peer pulls", pullCapacity),
 		members:  member.New(memberOptions(opts)),
 		bases:    newBases(),
 	}
-	s.members.Seeds(opts.Seeds)
+	s.members.SetSeeds(opts.Seeds)
 	s.vms.Store(&platformapi.VMList{})
 	s.own.Store(&ownState{})
 	return s, nil
@@ -144,5 +144,5 @@
 	if err := s.call(ctx, conn, peerapi.MethodExplain, peerapi.Explain{ID: id}, &out); err != nil {
 		return nil, err
 	}
-	return Decisions(out.Decisions, time.Now()), nil
+	return DecodeDecisions(out.Decisions, time.Now()), nil
 }
