--- a/node/config.go
+++ b/node/config.go
@@ -14,7 +14,7 @@
 	sink := func(config *router.Config) { n.postEvent(router.ConfigReceived{Config: config}) }
 	return configfeed.New(client, sink, configfeed.Settings{
 		ShouldWatch: func() bool { return n.ownsTask(configTask) },
-		OnError: n.handleConfigError,
+		OnError:     n.handleConfigError,
 	})
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -58,8 +58,8 @@
 	// identity and peers are nil in a node that has none.
 	identity *identity.Identity
 	peers    *peer.Service
-	digests   *ring.Ring[router.Digest]
-	statuses    *ring.Ring[router.Status]
+	digests  *ring.Ring[router.Digest]
+	statuses *ring.Ring[router.Status]
 	// statusMu lets one question for the status wait at a time.
 	statusMu sync.Mutex
 	polls    *fleetPoller
@@ -67,8 +67,8 @@
 
 	callerListener net.Listener
 
-	ctx    context.Context
-	stop   context.CancelFunc
+	ctx   context.Context
+	stop  context.CancelFunc
 	tasks sync.WaitGroup
 	// loopState is what the loop last showed of itself to other goroutines.
 	loopState atomic.Pointer[loopState]
@@ -108,8 +108,8 @@
 		telemetry: telemetry.New(),
 		records:   record.New(s.Records),
 		events:    ring.New[router.Event]("events", eventCapacity),
-		digests:    ring.New[router.Digest]("shared", 1),
-		statuses:     ring.New[router.Status]("shown", 1),
+		digests:   ring.New[router.Digest]("shared", 1),
+		statuses:  ring.New[router.Status]("shown", 1),
 		calls:     newCalls(),
 		attempts:  newAttempts(),
 		pool:      pond.NewPool(s.MaxRequests + extraWorkers),
--- a/node/polls.go
+++ b/node/polls.go
@@ -20,7 +20,7 @@
 	poller *upstream.Poller
 	// vmListTicks counts the intervals of the list of VMs; one goroutine uses it.
 	vmListTicks int
-	mu     sync.Mutex
+	mu          sync.Mutex
 	// engines are those of the newest list, which has the given revision.
 	engines  map[ids.Upstream]platformapi.VM
 	revision int64
@@ -34,7 +34,7 @@
 		node:    n,
 		poller:  upstream.NewPoller(pollTimeout),
 		engines: make(map[ids.Upstream]platformapi.VM),
-		pending:  make(map[ids.Upstream]bool),
+		pending: make(map[ids.Upstream]bool),
 	}
 }
 
