--- a/adapter/upstream/model.go
+++ b/adapter/upstream/model.go
@@ -66,9 +66,9 @@
 func (a *attempt) newLedger() *ledger.Ledger {
 	reorder := a.runner.options.ReorderWindow
 	if a.send.Resume != nil && !a.send.Chain.Tiles(a.send.Layers) {
-		return ledger.NewRejoin(a.target().ID, a.send.Layers, a.expectedAttempt(), a.call.Count(), reorder)
+		return ledger.NewRejoin(a.target().ID, a.send.Layers, a.expectedAttempt(), a.call.TokenCount(), reorder)
 	}
-	return ledger.New(a.send.Chain, a.send.Layers, a.expectedAttempt(), a.call.Count(), reorder)
+	return ledger.New(a.send.Chain, a.send.Layers, a.expectedAttempt(), a.call.TokenCount(), reorder)
 }
 
 // readModelRefusal reads a response with a status other than 200. Only a complete
@@ -192,7 +192,7 @@
 // caller was too slow or is gone, or ctx ended.
 func pushFailure(err error) *failure {
 	reason := outcome.Cancelled
-	var slow *call.SlowError
+	var slow *call.SlowCallerError
 	if errors.As(err, &slow) {
 		reason = outcome.CallerGone
 	}
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -110,7 +110,7 @@
 // Pick returns the cheapest chain for a request among the usable engines in view.
 // m is the performance model of the engines. The error is a *NoChainError.
 func (p *Picker) Pick(now time.Time, m *layered.Model, view *directory.View, r Request) (Chain, error) {
-	all := view.Of(r.Service)
+	all := view.ByService(r.Service)
 	usable := make([]*directory.Upstream, 0, len(all))
 	for _, e := range all {
 		if !e.Leaving && !e.Layers.Empty() && !r.Avoid[e.ID] && !p.isUnhealthy(now, e) {
@@ -159,7 +159,7 @@
 
 // FullEngine returns the first engine of a chain that has recently refused a
 // request for lack of capacity, nil if there is none. Pick returns a chain with
-// such an engine only if it finds none without one, or only much dearer ones.
+// such an engine only if every chain without one is missing or costs more.
 func (p *Picker) FullEngine(now time.Time, c Chain) *directory.Upstream {
 	for _, stage := range c {
 		if p.conditions.IsFull(now, stage.Engine.ID) {
@@ -334,22 +334,22 @@
 	if p.conditions.IsFull(now, e.ID) {
 		capacityCost += recentRefusalCostMs
 	}
-	return r.decodePasses(m)*(stageTransferCostMs+wait*p.slowdownCost(now, e.ID)) + capacityCost
+	return r.decodePasses(m)*(stageTransferCostMs+wait*p.paceFactor(now, e.ID)) + capacityCost
 }
 
 // slowEngineFactor multiplies the cost of an engine that is slow enough to delay
 // answers: callers lose more by a late answer than the time that it takes.
 const slowEngineFactor = 4.0
 
-// slowdownCost returns the factor by which the slowdown of an engine multiplies
-// its cost: the slowdown itself, 1 at the usual speed, and slowEngineFactor times
-// that from condition.SlowPace on.
-func (p *Picker) slowdownCost(now time.Time, id ids.Instance) float64 {
-	slowdown := p.conditions.Slowdown(now, id)
-	if slowdown < condition.StalledSlowdown {
-		return slowdown
+// paceFactor returns the factor that the pace of an engine puts on its costs: the
+// pace itself, which is 1 at normal speed and higher for a slower engine, and
+// slowEngineFactor times that from condition.SlowPace on.
+func (p *Picker) paceFactor(now time.Time, id ids.Instance) float64 {
+	pace := p.conditions.Slowdown(now, id)
+	if pace < condition.StalledSlowdown {
+		return pace
 	}
-	return slowdown * slowEngineFactor
+	return pace * slowEngineFactor
 }
 
 // layerCost returns the expected time in ms that a request takes in one layer of
@@ -364,7 +364,7 @@
 		streams += s.loadPerNode(now).streams * p.nodeCount
 	}
 	cost := m.PrefillMs(card, 1, r.PromptTokens) + r.decodePasses(m)*m.PassMs(card, 1, streams, r.kvTokens())
-	return cost * p.slowdownCost(now, e.ID)
+	return cost * p.paceFactor(now, e.ID)
 }
 
 // chainOf returns the chain of the path that ends at boundary last.
