--- a/adapter/upconn/conn.go
+++ b/adapter/upconn/conn.go
@@ -1,10 +1,10 @@
-// Package upconn keeps connections to upstreams and does one HTTP exchange at a
-// time on each. Nothing is sent twice by itself: what became of a request that
-// met a broken connection is the caller's to judge.
+// Package upconn keeps connections to upstreams and runs one HTTP exchange at a
+// time on each. It never sends a request twice: after a failed exchange the caller
+// decides whether the request may have run.
 //
-// A connection is reused only after a whole answer, framed by its length or by
-// chunks, and only while nothing came on it since. Reads are bounded by a watch
-// that the user sets, so that a connection which went silent is noticed.
+// A connection is reused only if its last response was complete, had a length or
+// chunked encoding, and no bytes have arrived since. A WaitFunc set by the user
+// bounds each read, so that a connection on which nothing arrives is detected.
 package upconn
 
 import (
@@ -20,16 +20,17 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Target names the upstream that a connection leads to.
+// Target identifies an upstream instance and the address to connect to.
 type Target struct {
 	ID      ids.Instance
 	Address string
 }
 
-// DialError tells that no connection could be made; nothing was sent.
+// DialError is returned if no connection could be opened. Nothing was sent.
 type DialError struct {
 	Target Target
-	// Refused: the VM answered that nothing listens there.
+	// Refused reports that the VM rejected the connection: nothing listens on the
+	// port.
 	Refused bool
 	Cause   error
 }
@@ -39,125 +40,129 @@
 	return fmt.Sprintf("connect to %s: %v", e.Target.Address, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// ReadTimeoutError tells that nothing came for longer than the watch allows.
+// ReadTimeoutError is returned by a WaitFunc to end a read on which no bytes
+// arrived for the time Waited.
 type ReadTimeoutError struct{ Waited time.Duration }
 
 // Error implements error.
 func (e *ReadTimeoutError) Error() string { return fmt.Sprintf("nothing came for %v", e.Waited) }
 
-// WaitFunc bounds a wait for bytes. It is asked each time that nothing came for
-// the duration it gave before; waited is the whole time so far. It gives how
-// long to wait on, or an error that ends the wait.
+// WaitFunc bounds a read. It is called before the first wait and each time a wait
+// ends without bytes; waited is the total time waited so far. It returns how long
+// to wait next, or an error that ends the read.
 type WaitFunc func(waited time.Duration) (time.Duration, error)
 
-// Conn is one connection. One goroutine uses it at a time; Abort may be called
-// by any.
+// Conn is one connection to an upstream. It is used by one goroutine at a time, but
+// Abort may be called from any.
 type Conn struct {
-	net    net.Conn
+	conn   net.Conn
 	raw    syscall.RawConn
 	r      *bufio.Reader
 	target Target
-	// usedAt is when its last exchange ended; idleFor how long it may be kept.
-	usedAt  time.Time
-	idleFor time.Duration
-	reused  bool
-	watch   WaitFunc
-	// failed is why the last read failed.
-	failed error
+	// lastUsedAt is when the last exchange ended, and idleTimeout how long the
+	// connection may then be kept for reuse.
+	lastUsedAt  time.Time
+	idleTimeout time.Duration
+	reused      bool
+	waitFunc    WaitFunc
+	// readErr is the error of the last failed read.
+	readErr error
 }
 
-// Target tells where the connection leads.
+// Target returns the upstream that the connection leads to.
 func (c *Conn) Target() Target { return c.target }
 
-// Reused reports whether an exchange was done on it before.
+// Reused reports whether the connection carried an exchange before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Reader gives what comes from the upstream.
+// Reader returns the reader for bytes from the upstream.
 func (c *Conn) Reader() *bufio.Reader { return c.r }
 
-// SetWaitFunc sets the watch for the reads that follow.
-func (c *Conn) SetWaitFunc(w WaitFunc) { c.watch = w }
+// SetWaitFunc sets the function that bounds the reads that follow.
+func (c *Conn) SetWaitFunc(f WaitFunc) { c.waitFunc = f }
 
-// Bind guards the reads that follow, and ends them and any write with ctx, whose
-// cause is their error. The returned function ends the tie to ctx; it reports
-// whether ctx had not ended the connection before.
-func (c *Conn) Bind(ctx context.Context, w WaitFunc) (stop func() bool) {
+// Bind sets the WaitFunc for the reads that follow and aborts reads and writes when
+// ctx ends. A read aborted this way returns the cause of ctx. The returned function
+// releases the connection from ctx and returns true if ctx had not aborted it
+// before.
+func (c *Conn) Bind(ctx context.Context, f WaitFunc) (stop func() bool) {
 	c.SetWaitFunc(func(waited time.Duration) (time.Duration, error) {
 		if ctx.Err() != nil {
 			return 0, context.Cause(ctx)
 		}
-		return w(waited)
+		return f(waited)
 	})
 	return context.AfterFunc(ctx, c.Abort)
 }
 
-// Read implements io.Reader for the connection's own buffer.
+// Read implements io.Reader for the buffered reader of the connection.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.read(p)
 	if err != nil {
-		c.failed = err
+		c.readErr = err
 	}
 	return n, err
 }
 
-// ownStall is by how much a wait may end late before it counts for nothing: the
-// process itself stood still, and what came meanwhile is not read yet.
-const ownStall = 25 * time.Millisecond
+// maxTimerDelay is how late a read deadline may fire for its wait to count. After a
+// longer delay the process itself was paused, and bytes that arrived meanwhile may
+// still be unread.
+const maxTimerDelay = 25 * time.Millisecond
 
-// read reads as long as the watch allows.
+// read reads some bytes, or waits for them as long as the WaitFunc allows.
 func (c *Conn) read(p []byte) (int, error) {
 	var waited time.Duration
 	for {
-		wait, err := c.watch(waited)
+		wait, err := c.waitFunc(waited)
 		if err != nil {
 			return 0, err
 		}
 		began := time.Now()
-		if err := c.net.SetReadDeadline(began.Add(wait)); err != nil {
+		if err := c.conn.SetReadDeadline(began.Add(wait)); err != nil {
 			return 0, err
 		}
-		n, err := c.net.Read(p)
+		n, err := c.conn.Read(p)
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if time.Since(began) < wait+ownStall {
+		if time.Since(began) < wait+maxTimerDelay {
 			waited += wait
 		}
 	}
 }
 
-// Write sends bytes, within the given time.
+// Write sends p within the given time.
 func (c *Conn) Write(p []byte, within time.Duration) error {
-	if err := c.net.SetWriteDeadline(time.Now().Add(within)); err != nil {
+	if err := c.conn.SetWriteDeadline(time.Now().Add(within)); err != nil {
 		return err
 	}
-	_, err := c.net.Write(p)
+	_, err := c.conn.Write(p)
 	return err
 }
 
-// Abort makes a read or write under way end, and asks its watch again.
+// Abort ends a read or write in progress. A read then calls its WaitFunc again.
 func (c *Conn) Abort() {
-	// A connection that is closed already needs no deadline.
-	_ = c.net.SetDeadline(time.Unix(1, 0))
+	// Setting the deadline fails only if the connection is already closed.
+	_ = c.conn.SetDeadline(time.Unix(1, 0))
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() {
-	// The peer learns of it either way; there is nobody to tell a failure.
-	_ = c.net.Close()
+	// The connection is gone either way, so the error does not matter.
+	_ = c.conn.Close()
 }
 
-// clean reports whether nothing came since the last exchange: no bytes that
-// belong to no request, and no end.
-func (c *Conn) clean() bool {
+// isQuiet reports whether the connection is still open and no bytes have arrived
+// since the last exchange.
+func (c *Conn) isQuiet() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
 	quiet := false
-	// Control, unlike Read, does not mind the deadline of the last read.
+	// Unlike Read, Control ignores the deadline of the last read.
 	err := c.raw.Control(func(fd uintptr) {
 		var next [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/adapter/upconn/pool.go
+++ b/adapter/upconn/pool.go
@@ -14,41 +14,46 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Bounds of connections.
+// Limits and timeouts of connections.
 const (
-	// connectTimeout is the longest wait for a new connection. Zones are a few
-	// ms apart; a lost packet is sent again after a second, which is too late.
+	// connectTimeout bounds a dial. Zones are a few ms apart; TCP resends a lost
+	// packet only after a second, which is too late.
 	connectTimeout = 150 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged (TCP).
-	userTimeout = 2 * time.Second
-	// readBuffer holds the head of an answer, in bytes.
-	readBuffer = 4 << 10
-	// maxIdle is the most idle connections kept for one upstream.
-	maxIdle = 64
-	// defaultIdle is how long a connection is kept where the upstream does not
-	// say; idlePart is the part of the time it says, as both clocks run on.
-	defaultIdle = 4 * time.Second
-	idlePart    = 0.7
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged
+	// (TCP_USER_TIMEOUT).
+	tcpUserTimeout = 2 * time.Second
+	// readBufferBytes holds the headers of a response.
+	readBufferBytes = 4 << 10
+	// maxIdlePerTarget limits the idle connections kept for one target.
+	maxIdlePerTarget = 64
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream
+	// announces no timeout. Of an announced timeout only idleTimeoutFraction is
+	// used, so that the upstream does not close the connection just as it is
+	// reused.
+	defaultIdleTimeout  = 4 * time.Second
+	idleTimeoutFraction = 0.7
 )
 
-// Pool keeps idle connections by upstream. Any goroutine may call its methods.
+// Pool keeps idle connections by target. Its methods may be called from any
+// goroutine.
 type Pool struct {
 	now func() time.Time
-	// Opened is told of each new connection; may be nil.
+	// opened is called for each new connection; may be nil.
 	opened func(Target)
 
-	mu      sync.Mutex
-	idle    map[Target][]*Conn
-	sweptAt time.Time
+	mu          sync.Mutex
+	idle        map[Target][]*Conn
+	lastSweepAt time.Time
 }
 
-// NewPool makes an empty pool with a clock. opened may be nil.
+// NewPool returns an empty pool. now is its clock; opened is called for each new
+// connection and may be nil.
 func NewPool(now func() time.Time, opened func(Target)) *Pool {
 	return &Pool{now: now, opened: opened, idle: make(map[Target][]*Conn)}
 }
 
-// Get gives a connection for one exchange: an idle one that is still sound, or
-// a new one. The error is a *DialError.
+// Get returns a connection for one exchange: a usable idle one or a new one. The
+// error is a *DialError.
 func (p *Pool) Get(ctx context.Context, t Target) (*Conn, error) {
 	if c := p.GetIdle(t); c != nil {
 		return c, nil
@@ -56,14 +61,15 @@
 	return p.Dial(ctx, t)
 }
 
-// GetIdle gives an idle connection that is still sound, nil if there is none.
+// GetIdle returns the most recently used idle connection that is still usable, or
+// nil if there is none. It closes those that are not.
 func (p *Pool) GetIdle(t Target) *Conn {
 	for {
 		c := p.take(t)
 		if c == nil {
 			return nil
 		}
-		if p.now().Sub(c.usedAt) < c.idleFor && c.clean() {
+		if p.now().Sub(c.lastUsedAt) < c.idleTimeout && c.isQuiet() {
 			c.reused = true
 			return c
 		}
@@ -71,7 +77,7 @@
 	}
 }
 
-// take removes the idle connection that was used last.
+// take removes and returns the idle connection that was used last.
 func (p *Pool) take(t Target) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +90,7 @@
 	return c
 }
 
-// Dial makes a new connection. The error is a *DialError.
+// Dial opens a new connection. The error is a *DialError.
 func (p *Pool) Dial(ctx context.Context, t Target) (*Conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout, Control: SetUserTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", t.Address)
@@ -93,58 +99,59 @@
 	}
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		_ = conn.Close() // it never carried anything
+		_ = conn.Close() // nothing was sent on it
 		return nil, &DialError{Target: t, Cause: err}
 	}
 	if p.opened != nil {
 		p.opened(t)
 	}
-	c := &Conn{net: conn, raw: raw, target: t, idleFor: defaultIdle}
-	c.r = bufio.NewReaderSize(c, readBuffer)
+	c := &Conn{conn: conn, raw: raw, target: t, idleTimeout: defaultIdleTimeout}
+	c.r = bufio.NewReaderSize(c, readBufferBytes)
 	return c, nil
 }
 
-// SetUserTimeout is for net.ListenConfig and net.Dialer: the kernel ends a
-// connection whose sent bytes stay unacknowledged for two seconds.
+// SetUserTimeout is a Control function for net.ListenConfig and net.Dialer. It
+// makes the kernel close a connection whose sent bytes stay unacknowledged for
+// tcpUserTimeout.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	controlErr := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	return errors.Join(controlErr, err)
 }
 
-// Put keeps a connection after a whole answer. idle is the time after which the
-// upstream has announced to close it; 0 where it announced nothing.
+// Put returns a connection to the pool after a complete response. idle is how long
+// the upstream announced to keep it open; 0 if it announced nothing.
 func (p *Pool) Put(c *Conn, idle time.Duration) {
-	c.usedAt = p.now()
+	c.lastUsedAt = p.now()
 	if idle > 0 {
-		c.idleFor = time.Duration(float64(idle) * idlePart)
+		c.idleTimeout = time.Duration(float64(idle) * idleTimeoutFraction)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.target]
-	if len(list) >= maxIdle {
+	if len(list) >= maxIdlePerTarget {
 		c.Close()
 		return
 	}
 	p.idle[c.target] = append(list, c)
-	p.sweep(c.usedAt)
+	p.sweep(c.lastUsedAt)
 }
 
-// sweepEvery is the time between two looks for connections kept too long.
-const sweepEvery = time.Second
+// sweepInterval is the minimum time between two sweeps.
+const sweepInterval = time.Second
 
-// sweep closes the connections that were idle for too long, so that those of
-// upstreams which are gone do not pile up.
+// sweep closes connections that have been idle for too long, so that those of
+// removed upstreams do not accumulate.
 func (p *Pool) sweep(now time.Time) {
-	if now.Sub(p.sweptAt) < sweepEvery {
+	if now.Sub(p.lastSweepAt) < sweepInterval {
 		return
 	}
-	p.sweptAt = now
+	p.lastSweepAt = now
 	for t, list := range p.idle {
-		// The oldest come first.
-		for len(list) > 0 && now.Sub(list[0].usedAt) >= list[0].idleFor {
+		// The least recently used come first.
+		for len(list) > 0 && now.Sub(list[0].lastUsedAt) >= list[0].idleTimeout {
 			list[0].Close()
 			list = list[1:]
 		}
@@ -155,7 +162,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections of an upstream.
+// CloseIdle closes the idle connections of an upstream instance.
 func (p *Pool) CloseIdle(id ids.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/adapter/upconn/response.go
+++ b/adapter/upconn/response.go
@@ -14,11 +14,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxBody is the most bytes of a plain answer that are held, so that one
-// upstream cannot fill the node's memory.
-const maxBody = 16 << 20
+// maxBodyBytes limits the body that Response.Body holds, so that one upstream
+// cannot exhaust the memory of the node.
+const maxBodyBytes = 16 << 20
 
-// FramingError tells that an upstream's bytes are no whole answer.
+// FramingError is returned when the bytes from an upstream are not a complete and
+// well-formed response.
 type FramingError struct{ Cause error }
 
 // Error implements error.
@@ -26,10 +27,10 @@
 	return fmt.Sprintf("answer broken off or malformed: %v", e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FramingError) Unwrap() error { return e.Cause }
 
-// BodyTooLargeError tells that an answer is larger than what is held.
+// BodyTooLargeError is returned for a body of more than Limit bytes.
 type BodyTooLargeError struct{ Limit int }
 
 // Error implements error.
@@ -37,81 +38,84 @@
 	return fmt.Sprintf("answer of more than %d bytes", e.Limit)
 }
 
-// Response is an answer whose head was read.
+// Response is a response whose headers have been read. Read and Body read its body.
 type Response struct {
 	Head fasthttp.ResponseHeader
 	conn *Conn
 	body io.Reader
-	// unframed answers end with their connection, so that only an orderly end
-	// tells that they are whole.
-	unframed bool
-	// bodiless answers end with their head.
+	// closeDelimited reports that the body ends only when the connection closes, so
+	// that only an orderly close shows that it is complete.
+	closeDelimited bool
+	// bodiless reports that the response has no body.
 	bodiless bool
-	ended    bool
+	// ended reports that the whole body has been read.
+	ended bool
 }
 
-// noBody reports whether answers of a status never have a body.
-func noBody(status int) bool {
+// statusHasNoBody reports whether responses with a status never have a body.
+func statusHasNoBody(status int) bool {
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// ReadResponse reads the head of the next answer. Those to the method HEAD have
-// no body.
+// ReadResponse reads the headers of the next final response. method is that of the
+// request, because responses to HEAD have no body. Errors: those of the connection
+// or its WaitFunc, or that of the header parser.
 func (c *Conn) ReadResponse(method string) (*Response, error) {
-	a := &Response{conn: c}
-	a.Head.SetNoDefaultContentType(true)
+	r := &Response{conn: c}
+	r.Head.SetNoDefaultContentType(true)
 	for {
-		if err := a.Head.Read(c.r); err != nil {
-			// The codec reports most failures of a first read as io.EOF.
-			return nil, cmp.Or(c.failed, err)
+		if err := r.Head.Read(c.r); err != nil {
+			// The parser reports most errors of the first read as io.EOF.
+			return nil, cmp.Or(c.readErr, err)
 		}
-		if status := a.Head.StatusCode(); status >= 200 || status == fasthttp.StatusSwitchingProtocols {
+		if status := r.Head.StatusCode(); status >= 200 || status == fasthttp.StatusSwitchingProtocols {
 			break
 		}
 	}
-	switch n := a.Head.ContentLength(); {
-	case method == fasthttp.MethodHead, noBody(a.Head.StatusCode()):
-		a.body, a.bodiless = bytes.NewReader(nil), true
+	switch n := r.Head.ContentLength(); {
+	case method == fasthttp.MethodHead, statusHasNoBody(r.Head.StatusCode()):
+		r.body, r.bodiless = bytes.NewReader(nil), true
 	case n >= 0:
-		a.body = io.LimitReader(c.r, int64(n))
+		r.body = io.LimitReader(c.r, int64(n))
 	case n == -1:
-		a.body = httputil.NewChunkedReader(c.r)
+		r.body = httputil.NewChunkedReader(c.r)
 	default:
-		a.body, a.unframed = c.r, true
+		r.body, r.closeDelimited = c.r, true
 	}
-	return a, nil
+	return r, nil
 }
 
-// Read gives the body, ended by io.EOF only if it is whole.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.body.Read(p)
+// Read implements io.Reader for the body. It returns io.EOF only after a complete
+// body, and a *FramingError after a truncated one.
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		if short := a.finish(); short != nil {
+		if short := r.checkEnd(); short != nil {
 			return n, short
 		}
-		a.ended = true
+		r.ended = true
 	}
 	return n, err
 }
 
-// finish checks that a body which ended is whole.
-func (a *Response) finish() error {
-	if a.ended || a.unframed || a.bodiless {
+// checkEnd returns a *FramingError if a body that ended is not complete.
+func (r *Response) checkEnd() error {
+	if r.ended || r.closeDelimited || r.bodiless {
 		return nil
 	}
-	if limited, ok := a.body.(*io.LimitedReader); ok && limited.N > 0 {
+	if limited, ok := r.body.(*io.LimitedReader); ok && limited.N > 0 {
 		return &FramingError{io.ErrUnexpectedEOF}
 	}
-	if a.Head.ContentLength() == -1 {
-		return a.trailers()
+	if r.Head.ContentLength() == -1 {
+		return r.skipTrailers()
 	}
 	return nil
 }
 
-// trailers takes the lines after the last chunk.
-func (a *Response) trailers() error {
+// skipTrailers reads the trailers after the last chunk.
+func (r *Response) skipTrailers() error {
 	for {
-		line, err := a.conn.r.ReadString('\n')
+		line, err := r.conn.r.ReadString('\n')
 		if err != nil {
 			return &FramingError{err}
 		}
@@ -121,29 +125,31 @@
 	}
 }
 
-// Body reads the whole body.
-func (a *Response) Body() ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a, maxBody+1))
+// Body reads the whole body. It returns a *BodyTooLargeError if the body exceeds
+// maxBodyBytes.
+func (r *Response) Body() ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, maxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxBody {
-		return nil, &BodyTooLargeError{Limit: maxBody}
+	if len(body) > maxBodyBytes {
+		return nil, &BodyTooLargeError{Limit: maxBodyBytes}
 	}
 	return body, nil
 }
 
-// Reusable reports whether the connection may carry another exchange, and for
-// how long the upstream said to keep it, 0 where it said nothing.
-func (a *Response) Reusable() (bool, time.Duration) {
-	if !a.ended || a.unframed || a.Head.ConnectionClose() || a.conn.r.Buffered() > 0 {
+// Reusable reports whether the connection may carry another exchange, and for how
+// long the upstream announced to keep it open; 0 if it announced nothing.
+func (r *Response) Reusable() (bool, time.Duration) {
+	if !r.ended || r.closeDelimited || r.Head.ConnectionClose() || r.conn.r.Buffered() > 0 {
 		return false, 0
 	}
-	return true, keepAlive(string(a.Head.Peek("Keep-Alive")))
+	return true, keepAliveTimeout(string(r.Head.Peek("Keep-Alive")))
 }
 
-// keepAlive reads the time-out of a Keep-Alive header, 0 where there is none.
-func keepAlive(value string) time.Duration {
+// keepAliveTimeout returns the timeout in the value of a Keep-Alive header, or 0 if
+// there is none.
+func keepAliveTimeout(value string) time.Duration {
 	for part := range strings.SplitSeq(value, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/adapter/upconn/upconn_test.go
+++ b/adapter/upconn/upconn_test.go
@@ -11,8 +11,9 @@
 	"mimosaarch.example/core/ids"
 )
 
-// serve answers the connections of a listener, one after the other, with bytes.
-func serve(t *testing.T, answers ...func(net.Conn)) Target {
+// serve listens on a free port, passes the n-th connection to the n-th handler and
+// returns the target.
+func serve(t *testing.T, handlers ...func(net.Conn)) Target {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -20,18 +21,18 @@
 	}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
-		for _, answer := range answers {
+		for _, handle := range handlers {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			answer(conn)
+			handle(conn)
 		}
 	}()
 	return Target{ID: ids.Instance{Upstream: "u"}, Address: l.Addr().String()}
 }
 
-// text writes bytes and closes the connection.
+// text returns a handler that writes s and closes the connection.
 func text(s string) func(net.Conn) {
 	return func(c net.Conn) {
 		_, _ = io.WriteString(c, s)
@@ -39,22 +40,22 @@
 	}
 }
 
-// forever waits without end.
-func forever(time.Duration) (time.Duration, error) { return 10 * time.Second, nil }
+// waitLong is a WaitFunc that never ends a read.
+func waitLong(time.Duration) (time.Duration, error) { return 10 * time.Second, nil }
 
-// connect opens a connection with a watch.
-func connect(t *testing.T, p *Pool, target Target, w WaitFunc) *Conn {
+// connect returns a connection of the pool with the given WaitFunc.
+func connect(t *testing.T, p *Pool, target Target, f WaitFunc) *Conn {
 	t.Helper()
 	c, err := p.Get(t.Context(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	c.SetWaitFunc(w)
+	c.SetWaitFunc(f)
 	return c
 }
 
-func TestBodiesAreWholeOrAnError(t *testing.T) {
+func TestBodiesAreCompleteOrAnError(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes    string
 		body     string
@@ -74,7 +75,7 @@
 		"continue is first": {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nz", "z", true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn := connect(t, NewPool(time.Now, nil), serve(t, text(c.bytes)), forever)
+			conn := connect(t, NewPool(time.Now, nil), serve(t, text(c.bytes)), waitLong)
 			a, err := conn.ReadResponse("GET")
 			if err != nil {
 				t.Fatal(err)
@@ -90,7 +91,7 @@
 	}
 }
 
-func TestSilenceIsNoticedAndNamed(t *testing.T) {
+func TestReadWithoutBytesEndsInTimeout(t *testing.T) {
 	hold := make(chan struct{})
 	target := serve(t, func(net.Conn) { <-hold })
 	defer close(hold)
@@ -105,7 +106,7 @@
 	_, err := conn.ReadResponse("GET")
 	var silent *ReadTimeoutError
 	if !errors.As(err, &silent) || asked < 3 {
-		t.Errorf("error %v after %d questions, want a *ReadTimeoutError", err, asked)
+		t.Errorf("error %v after %d calls of the WaitFunc, want a *ReadTimeoutError", err, asked)
 	}
 }
 
@@ -125,7 +126,7 @@
 	}
 }
 
-func TestRefusedConnectionsAreToldFromSilentOnes(t *testing.T) {
+func TestRefusedDialIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -139,56 +140,57 @@
 	}
 }
 
-func TestOnlySoundConnectionsAreKept(t *testing.T) {
+func TestOnlyUsableConnectionsAreReused(t *testing.T) {
 	now := time.Unix(0, 0)
 	opened := 0
 	p := NewPool(func() time.Time { return now }, func(Target) { opened++ })
 	open := make(chan net.Conn, 8)
 	target := serve(t, func(c net.Conn) { open <- c }, func(c net.Conn) { open <- c }, func(c net.Conn) { open <- c })
-	first := connect(t, p, target, forever)
+	first := connect(t, p, target, waitLong)
 	<-open
 	p.Put(first, 10*time.Second)
 	if c := p.GetIdle(target); c != first || !c.Reused() {
-		t.Fatal("a sound connection is not given again")
+		t.Fatal("a usable idle connection was not returned")
 	}
 	p.Put(first, 10*time.Second)
 	now = now.Add(8 * time.Second)
 	if c := p.GetIdle(target); c != nil {
-		t.Error("one that its upstream will close soon is given")
+		t.Error("returned a connection that its upstream will close soon")
 	}
-	second := connect(t, p, target, forever)
+	second := connect(t, p, target, waitLong)
 	server := <-open
 	p.Put(second, 0)
 	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for c := second; c != nil; c = p.GetIdle(target) {
-		// The byte may need a moment to arrive; then the connection is closed.
+		// The byte may take a moment to arrive; until then the connection counts as
+		// usable.
 		p.Put(c, 0)
 		time.Sleep(time.Millisecond)
 	}
-	third := connect(t, p, target, forever)
+	third := connect(t, p, target, waitLong)
 	p.Put(third, 0)
-	p.CloseIdle(life("u"))
+	p.CloseIdle(instance("u"))
 	if c := p.GetIdle(target); c != nil {
-		t.Error("a forgotten upstream's connection is given")
+		t.Error("returned a connection after CloseIdle")
 	}
 	if opened != 3 {
-		t.Errorf("%d connections opened", opened)
+		t.Errorf("%d connections opened, want 3", opened)
 	}
 }
 
-func TestIdleConnectionsOfOthersAreSwept(t *testing.T) {
+func TestPutSweepsIdleConnectionsOfOtherTargets(t *testing.T) {
 	now := time.Unix(0, 0)
 	p := NewPool(func() time.Time { return now }, nil)
 	hold := func(net.Conn) {}
 	a, b := serve(t, hold), serve(t, hold)
-	a.ID, b.ID = life("a"), life("b")
-	p.Put(connect(t, p, a, forever), 0)
-	now = now.Add(defaultIdle + time.Second)
-	p.Put(connect(t, p, b, forever), 0)
+	a.ID, b.ID = instance("a"), instance("b")
+	p.Put(connect(t, p, a, waitLong), 0)
+	now = now.Add(defaultIdleTimeout + time.Second)
+	p.Put(connect(t, p, b, waitLong), 0)
 	if len(p.idle[a]) != 0 || len(p.idle[b]) != 1 {
-		t.Errorf("kept %d and %d", len(p.idle[a]), len(p.idle[b]))
+		t.Errorf("pool holds %d connections for a and %d for b, want 0 and 1", len(p.idle[a]), len(p.idle[b]))
 	}
 }
 
@@ -196,11 +198,12 @@
 	for value, want := range map[string]time.Duration{
 		"timeout=5": 5 * time.Second, "max=3, timeout=7": 7 * time.Second, "timeout=x": 0, "": 0, "timeout=-1": 0,
 	} {
-		if got := keepAlive(value); got != want {
+		if got := keepAliveTimeout(value); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
 	}
 }
 
-// life is the one life of an upstream whose start is not told.
-func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
+// instance returns the only known instance of an upstream that reports no start
+// time.
+func instance(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
