--- a/adapter/platform/call.go
+++ b/adapter/platform/call.go
@@ -15,23 +15,23 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// call is one exchange with the platform.
+// call describes one HTTP exchange with the platform.
 type call struct {
 	kind   Kind
 	method string
-	// key names the object, for calls on one.
+	// key is the key of the object for calls on a single object; empty otherwise.
 	key string
-	// path and query are those of calls on no single object.
+	// path and query are the URI of other calls.
 	path  string
 	query url.Values
-	// ifMatch is the condition of a write.
+	// ifMatch is the expected version for a write.
 	ifMatch int64
 	body    []byte
-	// wait is the time a watch may take on top of the call's own.
+	// wait is the time a watch may take in addition to Settings.CallTimeout.
 	wait time.Duration
 }
 
-// uri is the path and query to call.
+// uri returns the path and query of the call.
 func (c call) uri() string {
 	if c.key == "" {
 		return c.path + "?" + c.query.Encode()
@@ -48,8 +48,9 @@
 	return strings.Join(parts, "/")
 }
 
-// check tells whether an object can be the answer to the call.
-func (c call) check(object platformapi.Object) error {
+// checkObject returns an *InvalidError if an object cannot be the response to the
+// call: it has another key, or a version that the call cannot have produced.
+func (c call) checkObject(object platformapi.Object) error {
 	if object.Key != c.key {
 		return &InvalidError{Kind: c.kind, Detail: "object " + object.Key + " instead of " + c.key}
 	}
@@ -59,25 +60,26 @@
 	return nil
 }
 
-// do makes the call and decodes the body of its answer.
+// do makes the call, decodes the body of its response and reports the result to
+// Settings.OnCall.
 func (c *Client) do(ctx context.Context, call call, decode func(body []byte) error) error {
 	err := c.exchange(ctx, call, decode)
 	c.settings.OnCall(call.kind, err)
 	return err
 }
 
-// exchange sends the request and settles its answer.
+// exchange sends the request and interprets the response.
 func (c *Client) exchange(ctx context.Context, call call, decode func(body []byte) error) error {
-	ctx, cancel := c.bound(ctx, call)
+	ctx, cancel := c.withDeadline(ctx, call)
 	defer cancel()
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, call)
+	c.fillRequest(req, call)
 	sent, err := roundTrip(ctx, c.host, req, resp)
 	if sent && errors.Is(err, context.DeadlineExceeded) {
-		// Other kept connections may be as silent as this one.
+		// Other idle connections may be dead too.
 		c.host.CloseIdleConnections()
 	}
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) && !call.kind.writes() {
@@ -86,19 +88,19 @@
 	if err != nil {
 		return &UnavailableError{Kind: call.kind, MayHaveTakenEffect: sent && call.kind.writes(), Cause: err}
 	}
-	return settle(call, resp, decode)
+	return interpret(call, resp, decode)
 }
 
-// bound gives the context its deadline, if it has none.
-func (c *Client) bound(ctx context.Context, call call) (context.Context, context.CancelFunc) {
+// withDeadline adds the call timeout to a context without a deadline.
+func (c *Client) withDeadline(ctx context.Context, call call) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, c.settings.CallTimeout+call.wait)
 }
 
-// fill writes the request.
-func (c *Client) fill(req *fasthttp.Request, call call) {
+// fillRequest sets the method, URI, headers and body of the request.
+func (c *Client) fillRequest(req *fasthttp.Request, call call) {
 	req.Header.SetMethod(call.method)
 	req.SetRequestURI("http://" + c.settings.Addresses[0] + call.uri())
 	if call.kind.writes() {
@@ -110,16 +112,16 @@
 	}
 }
 
-// settle turns an answer into a result or a typed error.
-func settle(call call, resp *fasthttp.Response, decode func(body []byte) error) error {
+// interpret decodes a successful response and returns a typed error for any other.
+func interpret(call call, resp *fasthttp.Response, decode func(body []byte) error) error {
 	status := resp.StatusCode()
 	switch {
 	case status == fasthttp.StatusOK || status == fasthttp.StatusCreated:
-		return decoded(call, decode(resp.Body()))
+		return decodeError(call, decode(resp.Body()))
 	case status == fasthttp.StatusNotFound && call.kind == KindGet:
 		return &NotFoundError{Key: call.key}
 	case status == fasthttp.StatusPreconditionFailed && call.kind.writes():
-		return conflict(call, resp.Body())
+		return conflictError(call, resp.Body())
 	case status == fasthttp.StatusRequestEntityTooLarge:
 		return &TooLargeError{Kind: call.kind, Size: len(call.body)}
 	case status == fasthttp.StatusTooManyRequests:
@@ -127,12 +129,12 @@
 	case status >= fasthttp.StatusBadRequest && status < fasthttp.StatusInternalServerError:
 		return &RefusedError{Kind: call.kind, Status: status}
 	}
-	// An intermediary may answer for a store that took the write.
+	// A proxy may have sent this status although the platform accepted the write.
 	return &UnavailableError{Kind: call.kind, MayHaveTakenEffect: call.kind.writes(), Status: status}
 }
 
-// decoded wraps a decoder's failure.
-func decoded(call call, err error) error {
+// decodeError converts an error of a decoder to an *InvalidError; nil stays nil.
+func decodeError(call call, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -143,10 +145,11 @@
 	return &InvalidError{Kind: call.kind, Detail: err.Error(), Cause: err}
 }
 
-// conflict reads the object that stood in the way of a write. The refusal
-// itself is certain also when the body doesn't tell the object: then Current
-// has a version of -1 and must be read.
-func conflict(call call, body []byte) error {
+// conflictError returns the error for a write that the platform refused with status
+// 412. The write certainly had no effect, even if the body does not contain the
+// current object; Current.Version is then UnknownVersion and the caller must read
+// the object.
+func conflictError(call call, body []byte) error {
 	var current platformapi.Object
 	err := json.Unmarshal(body, &current)
 	if err != nil || (current.Key != call.key && current.Version != 0) {
@@ -156,6 +159,6 @@
 	return &ConflictError{Current: current}
 }
 
-// UnknownVersion is the version of ConflictError.Current when the answer did
-// not tell the object.
+// UnknownVersion is the version of ConflictError.Current if the response did not
+// contain the object.
 const UnknownVersion = -1
--- a/adapter/platform/client_test.go
+++ b/adapter/platform/client_test.go
@@ -17,15 +17,15 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// answerer is a platform that answers each request by a function; a false
-// result closes the connection without an answer.
-type answerer struct {
+// fakePlatform is a platform that responds to each request with a function. If the
+// function returns false, it closes the connection without a response.
+type fakePlatform struct {
 	requests, connections atomic.Int64
-	answer                func(n int64, req *fasthttp.Request, resp *fasthttp.Response) bool
+	respond               func(n int64, req *fasthttp.Request, resp *fasthttp.Response) bool
 }
 
-// serve starts the platform and gives a client for it.
-func (a *answerer) serve(t *testing.T) *Client {
+// serve starts the platform and returns a client for it.
+func (p *fakePlatform) serve(t *testing.T) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,21 +38,21 @@
 			if err != nil {
 				return
 			}
-			a.connections.Add(1)
-			go a.handle(conn)
+			p.connections.Add(1)
+			go p.handle(conn)
 		}
 	}()
-	return client(t, listener.Addr().String())
+	return newClient(t, listener.Addr().String())
 }
 
-// handle answers the requests of one connection.
-func (a *answerer) handle(conn net.Conn) {
+// handle responds to the requests on one connection.
+func (p *fakePlatform) handle(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	r := bufio.NewReader(conn)
 	for {
 		var req fasthttp.Request
 		var resp fasthttp.Response
-		if req.Read(r) != nil || !a.answer(a.requests.Add(1), &req, &resp) {
+		if req.Read(r) != nil || !p.respond(p.requests.Add(1), &req, &resp) {
 			return
 		}
 		w := bufio.NewWriter(conn)
@@ -62,7 +62,7 @@
 	}
 }
 
-func client(t *testing.T, address string) *Client {
+func newClient(t *testing.T, address string) *Client {
 	t.Helper()
 	c, err := New(Settings{Addresses: []string{address}})
 	if err != nil {
@@ -72,9 +72,10 @@
 	return c
 }
 
-// reply answers every request with the same status and body.
-func reply(status int, body string) *answerer {
-	return &answerer{answer: func(_ int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
+// alwaysRespond returns a platform that responds to every request with the same
+// status and body.
+func alwaysRespond(status int, body string) *fakePlatform {
+	return &fakePlatform{respond: func(_ int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
 		resp.SetStatusCode(status)
 		resp.SetBodyString(body)
 		return true
@@ -85,7 +86,7 @@
 
 func TestCallsCarryTheirArguments(t *testing.T) {
 	var got []string
-	server := &answerer{answer: func(_ int64, req *fasthttp.Request, resp *fasthttp.Response) bool {
+	server := &fakePlatform{respond: func(_ int64, req *fasthttp.Request, resp *fasthttp.Response) bool {
 		line := string(req.Header.Method()) + " " + string(req.RequestURI()) + " " + string(req.Header.Peek("If-Match")) + " " + string(req.Body())
 		got = append(got, line)
 		resp.SetBodyString(objectBody)
@@ -149,7 +150,7 @@
 		{200, objectBody, nil, &InvalidError{Kind: KindPut, Detail: "version 7"}},
 	}
 	for _, tc := range cases {
-		c := reply(tc.status, tc.body).serve(t)
+		c := alwaysRespond(tc.status, tc.body).serve(t)
 		_, err := c.Get(context.Background(), key)
 		if diff := cmp.Diff(tc.get, err); diff != "" {
 			t.Errorf("%d get: %s", tc.status, diff)
@@ -160,18 +161,18 @@
 		}
 	}
 	var invalid *InvalidError
-	if _, err := reply(200, "{").serve(t).Get(context.Background(), key); !errors.As(err, &invalid) {
+	if _, err := alwaysRespond(200, "{").serve(t).Get(context.Background(), key); !errors.As(err, &invalid) {
 		t.Errorf("got %v, want an *InvalidError", err)
 	}
 	var large *TooLargeError
-	c := reply(200, objectBody).serve(t)
+	c := alwaysRespond(200, objectBody).serve(t)
 	if _, err := c.Put(context.Background(), key, make([]byte, platformapi.MaxValueBytes+1), 0); !errors.As(err, &large) {
 		t.Errorf("got %v, want a *TooLargeError", err)
 	}
 }
 
 func TestNoCallIsSentAgain(t *testing.T) {
-	server := &answerer{answer: func(n int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
+	server := &fakePlatform{respond: func(n int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
 		resp.SetBodyString(objectBody)
 		return n == 1
 	}}
@@ -182,17 +183,18 @@
 	if _, err := c.Get(ctx, "config/profile/a b"); err != nil {
 		t.Fatal(err)
 	}
-	// The kept connection closes on the request, then a fresh one does.
+	// Request 2 uses the idle connection and request 3 a new one; both are closed
+	// without a response.
 	for n := int64(2); n <= 3; n++ {
 		_, err := c.Put(ctx, "k", []byte("x"), 0)
 		if !MayHaveTakenEffect(err) || server.requests.Load() != n {
-			t.Errorf("error %v after %d requests, want a lost answer after %d", err, server.requests.Load(), n)
+			t.Errorf("error %v after %d requests, want a write of unknown effect after %d", err, server.requests.Load(), n)
 		}
 	}
 	var unavailable *UnavailableError
 	_, err := c.Get(ctx, "k")
 	if !errors.As(err, &unavailable) || unavailable.MayHaveTakenEffect || server.requests.Load() != 4 {
-		t.Errorf("error %v after %d requests", err, server.requests.Load())
+		t.Errorf("error %v after %d requests, want an *UnavailableError without effect after 4", err, server.requests.Load())
 	}
 	if diff := cmp.Diff([]Kind{KindGet, KindPut, KindPut, KindGet}, kinds); diff != "" {
 		t.Error(diff)
@@ -206,7 +208,7 @@
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	_, err = client(t, address).Put(context.Background(), "k", nil, 0)
+	_, err = newClient(t, address).Put(context.Background(), "k", nil, 0)
 	var unavailable *UnavailableError
 	if !errors.As(err, &unavailable) || unavailable.MayHaveTakenEffect {
 		t.Errorf("got %v, want an *UnavailableError without effect", err)
@@ -216,8 +218,8 @@
 func TestAbandonedAnswerReachesNoOtherCall(t *testing.T) {
 	abandoned := make(chan struct{})
 	arrived := make(chan struct{})
-	server := &answerer{}
-	server.answer = func(n int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
+	server := &fakePlatform{}
+	server.respond = func(n int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
 		resp.SetBodyString(objectBody)
 		if n == 1 {
 			close(arrived)
@@ -234,7 +236,7 @@
 	}()
 	_, err := c.Get(ctx, "config/profile/a b")
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("got %v, want a cancelled call", err)
+		t.Fatalf("got %v, want context.Canceled", err)
 	}
 	close(abandoned)
 	object, err := c.Get(context.Background(), "config/profile/a b")
@@ -243,14 +245,14 @@
 	}
 }
 
-func TestSilentConnectionsAreLeftBehind(t *testing.T) {
+func TestTimedOutCallClosesIdleConnections(t *testing.T) {
 	const kept = 3
 	var together sync.WaitGroup
 	together.Add(kept)
-	server := &answerer{}
+	server := &fakePlatform{}
 	silence := make(chan struct{})
 	t.Cleanup(func() { close(silence) })
-	server.answer = func(n int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
+	server.respond = func(n int64, _ *fasthttp.Request, resp *fasthttp.Response) bool {
 		resp.SetBodyString(objectBody)
 		if n <= kept {
 			together.Done()
@@ -271,14 +273,14 @@
 	defer cancel()
 	_, err := c.Get(ctx, "config/profile/a b")
 	if !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("got %v, want a call that ran out of time", err)
+		t.Fatalf("got %v, want context.DeadlineExceeded", err)
 	}
 	if _, err := c.Get(context.Background(), "config/profile/a b"); err != nil || server.connections.Load() != kept+1 {
 		t.Errorf("got %v over %d connections", err, server.connections.Load())
 	}
 }
 
-func TestNewRefusesNames(t *testing.T) {
+func TestNewRefusesHostNames(t *testing.T) {
 	for _, addresses := range [][]string{nil, {"localhost:80"}, {"127.0.0.1:80", "127.0.0.1"}} {
 		var address *AddressError
 		if _, err := New(Settings{Addresses: addresses}); !errors.As(err, &address) {
--- a/adapter/platform/errors.go
+++ b/adapter/platform/errors.go
@@ -7,7 +7,8 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// AddressError tells that a setting is no IP address with a port.
+// AddressError is returned for an address in Settings that is not an IP address and
+// port, or if there is none.
 type AddressError struct{ Address string }
 
 // Error implements error.
@@ -15,11 +16,11 @@
 	return fmt.Sprintf("platform address %q: want an IP address and a port", e.Address)
 }
 
-// ConflictError tells that a conditional update was refused: the object had
-// another version. The update certainly had no effect.
+// ConflictError is returned when a conditional write was refused because the object
+// had another version. The write had no effect.
 type ConflictError struct {
-	// Current is the object as it stands; Version 0 means that it does not
-	// exist.
+	// Current is the object as stored. Version 0 means that it does not exist,
+	// UnknownVersion that the response did not contain it.
 	Current platformapi.Object
 }
 
@@ -28,21 +29,21 @@
 	return fmt.Sprintf("object %s is at version %d", e.Current.Key, e.Current.Version)
 }
 
-// NotFoundError tells that there is no such object.
+// NotFoundError is returned when an object does not exist.
 type NotFoundError struct{ Key string }
 
 // Error implements error.
 func (e *NotFoundError) Error() string { return "no object " + e.Key }
 
-// UnavailableError tells that a call brought no usable answer.
+// UnavailableError is returned when a call got no usable response.
 type UnavailableError struct {
-	// Kind is the call that failed.
+	// Kind is the kind of the failed call.
 	Kind Kind
-	// MayHaveTakenEffect is true when a write left and was not settled.
+	// MayHaveTakenEffect is true if a write was sent and its result is unknown.
 	MayHaveTakenEffect bool
-	// Status is the HTTP status of the answer; 0 means that none came.
+	// Status is the HTTP status of the response; 0 means that none arrived.
 	Status int
-	// Cause is the failure of the transport; nil when an answer came.
+	// Cause is the transport error; nil if a response arrived.
 	Cause error
 }
 
@@ -54,10 +55,11 @@
 	return fmt.Sprintf("platform %s: status %d", e.Kind, e.Status)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// RefusedError tells that the platform refused a call; it had no effect.
+// RefusedError is returned when the platform refused a call with a 4xx status. The
+// call had no effect.
 type RefusedError struct {
 	Kind Kind
 	// Status is the HTTP status.
@@ -69,11 +71,11 @@
 	return fmt.Sprintf("platform refused %s: status %d", e.Kind, e.Status)
 }
 
-// InvalidError tells that an answer does not parse or is not one to the
+// InvalidError is returned when a response does not parse or does not belong to the
 // call. A write may have taken effect.
 type InvalidError struct {
 	Kind Kind
-	// Detail tells what is wrong with it.
+	// Detail describes what is wrong with the response.
 	Detail string
 	// Cause is the decoder's error; may be nil.
 	Cause error
@@ -84,14 +86,14 @@
 	return fmt.Sprintf("platform %s: invalid answer: %s", e.Kind, e.Detail)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *InvalidError) Unwrap() error { return e.Cause }
 
-// TooLargeError tells that a value is larger than platformapi.MaxValueBytes, or an
-// answer larger than the client takes.
+// TooLargeError is returned for a value larger than platformapi.MaxValueBytes or a
+// response larger than Settings.MaxResponseBytes.
 type TooLargeError struct {
 	Kind Kind
-	// Size is the value's, in bytes; 0 for an answer.
+	// Size is the size of the value in bytes; 0 for a response.
 	Size int
 }
 
@@ -100,8 +102,8 @@
 	return fmt.Sprintf("platform %s: too large (%d bytes)", e.Kind, e.Size)
 }
 
-// MayHaveTakenEffect reports whether a failed write may stand, or may yet
-// come to stand, in the store. It is false for a nil error.
+// MayHaveTakenEffect reports whether a failed write may have been stored or may
+// still be. It returns false for a nil error.
 func MayHaveTakenEffect(err error) bool {
 	var unavailable *UnavailableError
 	if errors.As(err, &unavailable) {
--- a/adapter/platform/kind.go
+++ b/adapter/platform/kind.go
@@ -1,6 +1,6 @@
 package platform
 
-// Kind names a kind of call. The platform counts each call.
+// Kind is a kind of call.
 type Kind int
 
 // Kinds of calls.
@@ -13,7 +13,7 @@
 	KindVMs
 )
 
-// kindNames are indexed by Kind.
+// kindNames is indexed by Kind.
 var kindNames = [...]string{"get", "put", "delete", "list", "watch", "vms"}
 
 // String implements fmt.Stringer.
--- a/adapter/platform/put.go
+++ b/adapter/platform/put.go
@@ -8,69 +8,72 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// PutOutcome is what is known of a write.
+// PutOutcome is what PutAndVerify found out about a write.
 type PutOutcome int
 
 const (
 	// PutWritten: the write took effect.
 	PutWritten PutOutcome = iota
-	// PutConflict: the write was refused, since a newer object stands.
+	// PutConflict: the write was refused because a newer object is stored.
 	PutConflict
-	// PutSuperseded: the answer was lost, and a newer object that is not
-	// ours stands. Ours may have stood before it; it can't come back.
+	// PutSuperseded: the response was lost, and a newer object of another writer is
+	// stored. The write may have been stored before it, but can no longer take
+	// effect.
 	PutSuperseded
-	// PutUnknown: the write may stand, or may yet come to stand.
+	// PutUnknown: the write may have taken effect or may still do so.
 	PutUnknown
-	// PutFailed: the write had no effect, and will have none.
+	// PutFailed: the write had no effect and will have none.
 	PutFailed
 )
 
-// putStateNames are indexed by PutState.
-var putStateNames = [...]string{"written", "conflict", "superseded", "unknown", "failed"}
+// putOutcomeNames is indexed by PutOutcome.
+var putOutcomeNames = [...]string{"written", "conflict", "superseded", "unknown", "failed"}
 
 // String implements fmt.Stringer.
 func (s PutOutcome) String() string {
-	if s < 0 || int(s) >= len(putStateNames) {
+	if s < 0 || int(s) >= len(putOutcomeNames) {
 		return fmt.Sprintf("put_state(%d)", int(s))
 	}
-	return putStateNames[s]
+	return putOutcomeNames[s]
 }
 
-// PutResult is the outcome of PutKnown.
+// PutResult is the result of PutAndVerify.
 type PutResult struct {
 	Outcome PutOutcome
-	// Object is ours when written, the newer one on conflict or when
-	// superseded; else zero.
+	// Object is the written object after PutWritten, the newer one after
+	// PutConflict and PutSuperseded, and zero otherwise.
 	Object platformapi.Object
-	// Err is the failure behind PutFailed and PutUnknown.
+	// Err is the last error if Outcome is PutFailed or PutUnknown.
 	Err error
 }
 
-// Store is the part of Client that settles writes.
+// Store is the part of Client that PutAndVerify uses.
 type Store interface {
 	Get(ctx context.Context, key string) (platformapi.Object, error)
 	Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error)
 }
 
-// Tries of PutKnown after a lost answer.
-const maxPutTries = 3
+// maxPutAttempts limits how often PutAndVerify sends the write.
+const maxPutAttempts = 3
 
-// PutAndVerify writes an object and settles a lost answer by reading it back.
-// isMine tells whether a value is the one written. While the object read back
-// is still at version ifMatch, the lost write may yet arrive: the write is
-// then sent again under the same condition, which lets only one of them take
-// effect.
+// PutAndVerify writes an object if its version is ifMatch. If the response is lost,
+// it reads the object back to find out whether the write took effect. isMine
+// reports whether a value is the one written.
+//
+// While the object read back is still at version ifMatch, the lost write may yet
+// arrive. PutAndVerify then sends it again with the same condition, so that at most
+// one of the writes takes effect.
 func PutAndVerify(ctx context.Context, store Store, key string, value []byte, ifMatch int64, isMine func(value []byte) bool) PutResult {
 	lost := false
-	var last error
-	for range maxPutTries {
+	var lastErr error
+	for range maxPutAttempts {
 		object, err := store.Put(ctx, key, value, ifMatch)
 		if err == nil {
 			return PutResult{Outcome: PutWritten, Object: object}
 		}
-		last = err
-		if current, ok := currentOf(ctx, store, key, err); ok {
-			return settled(current, lost, isMine)
+		lastErr = err
+		if current, ok := conflictingObject(ctx, store, key, err); ok {
+			return resultFor(current, lost, isMine)
 		}
 		if !MayHaveTakenEffect(err) {
 			break
@@ -78,18 +81,18 @@
 		lost = true
 		object, err = store.Get(ctx, key)
 		if err == nil && object.Version > ifMatch {
-			return settled(object, lost, isMine)
+			return resultFor(object, lost, isMine)
 		}
 	}
 	if lost {
-		return PutResult{Outcome: PutUnknown, Err: last}
+		return PutResult{Outcome: PutUnknown, Err: lastErr}
 	}
-	return PutResult{Outcome: PutFailed, Err: last}
+	return PutResult{Outcome: PutFailed, Err: lastErr}
 }
 
-// currentOf gives the object that refused a write; false when err is no
-// conflict, or the object could not be read.
-func currentOf(ctx context.Context, store Store, key string, err error) (platformapi.Object, bool) {
+// conflictingObject returns the object that made the platform refuse a write. It
+// returns false if err is not a *ConflictError or the object could not be read.
+func conflictingObject(ctx context.Context, store Store, key string, err error) (platformapi.Object, bool) {
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
 		return platformapi.Object{}, false
@@ -101,8 +104,9 @@
 	return object, err == nil
 }
 
-// settled judges a write by the newer object that stands.
-func settled(current platformapi.Object, lost bool, isMine func(value []byte) bool) PutResult {
+// resultFor returns the result of a write after which a newer object is stored.
+// lost reports that a response was lost before.
+func resultFor(current platformapi.Object, lost bool, isMine func(value []byte) bool) PutResult {
 	switch {
 	case !lost:
 		return PutResult{Outcome: PutConflict, Object: current}
--- a/adapter/platform/put_test.go
+++ b/adapter/platform/put_test.go
@@ -7,18 +7,18 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// scriptedStore is a Store whose puts lose their answers as a script says.
+// scriptedStore is a Store that follows a script for each Put.
 type scriptedStore struct {
 	object platformapi.Object
-	script []step
+	script []putStep
 }
 
-// step is the fate of one Put.
-type step struct {
-	// applies tells whether the write reaches the store; lost whether its
-	// answer is lost.
+// putStep says what happens to one Put.
+type putStep struct {
+	// applies reports whether the write reaches the store, and lost whether its
+	// response is lost.
 	applies, lost bool
-	// then runs after the write, before it is read back.
+	// then runs after the write, before the object is read back.
 	then func(s *scriptedStore)
 }
 
@@ -51,30 +51,30 @@
 	return s.object, nil
 }
 
-// other overwrites the object with another writer's.
-func other(s *scriptedStore) {
+// overwrite stores a newer object of another writer.
+func overwrite(s *scriptedStore) {
 	s.object = platformapi.Object{Version: s.object.Version + 1, Value: []byte("other")}
 }
 
-func TestPutKnownSettles(t *testing.T) {
-	landed := step{applies: true, lost: true}
-	vanished := step{lost: true}
+func TestPutAndVerifyOutcomes(t *testing.T) {
+	responseLost := putStep{applies: true, lost: true}
+	requestLost := putStep{lost: true}
 	cases := map[string]struct {
 		start  int64
-		script []step
+		script []putStep
 		want   PutOutcome
 		value  string
 	}{
-		"answered":                        {3, []step{{applies: true}}, PutWritten, "mine"},
-		"conflict":                        {4, []step{{applies: true}}, PutConflict, "old"},
+		"answered":                        {3, []putStep{{applies: true}}, PutWritten, "mine"},
+		"conflict":                        {4, []putStep{{applies: true}}, PutConflict, "old"},
 		"never left":                      {3, nil, PutFailed, ""},
-		"answer lost":                     {3, []step{landed}, PutWritten, "mine"},
-		"request lost, sent again":        {3, []step{vanished, {applies: true}}, PutWritten, "mine"},
-		"request lost, another's stands":  {3, []step{{lost: true, then: other}}, PutSuperseded, "other"},
-		"answer lost, then overwritten":   {3, []step{{applies: true, lost: true, then: other}}, PutSuperseded, "other"},
-		"request late, overtakes its own": {3, []step{vanished, {applies: true, lost: true}}, PutWritten, "mine"},
-		"never answered":                  {3, []step{vanished, vanished, vanished}, PutUnknown, ""},
-		"lost, then out of reach":         {3, []step{vanished}, PutUnknown, ""},
+		"answer lost":                     {3, []putStep{responseLost}, PutWritten, "mine"},
+		"request lost, sent again":        {3, []putStep{requestLost, {applies: true}}, PutWritten, "mine"},
+		"request lost, another's stands":  {3, []putStep{{lost: true, then: overwrite}}, PutSuperseded, "other"},
+		"answer lost, then overwritten":   {3, []putStep{{applies: true, lost: true, then: overwrite}}, PutSuperseded, "other"},
+		"request late, overtakes its own": {3, []putStep{requestLost, {applies: true, lost: true}}, PutWritten, "mine"},
+		"never answered":                  {3, []putStep{requestLost, requestLost, requestLost}, PutUnknown, ""},
+		"lost, then out of reach":         {3, []putStep{requestLost}, PutUnknown, ""},
 	}
 	for name, tc := range cases {
 		store := &scriptedStore{object: platformapi.Object{Version: tc.start, Value: []byte("old")}, script: tc.script}
--- a/adapter/platform/transport.go
+++ b/adapter/platform/transport.go
@@ -8,22 +8,22 @@
 	"github.com/valyala/fasthttp"
 )
 
-// past is a deadline that ends all reading and writing at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a connection deadline that ends reads and writes immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// roundTrip makes one exchange over a pooled connection. It reports whether a
-// byte of the request may have left. The connection is closed unless the
-// whole answer was read before ctx ended.
+// roundTrip makes one exchange over a pooled connection. sent reports whether any
+// byte of the request may have been sent. The connection is closed unless the
+// complete response was read before ctx ended.
 func roundTrip(ctx context.Context, host *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (sent bool, err error) {
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
-	pooled, err := host.AcquireConn(remaining(ctx), false)
+	pooled, err := host.AcquireConn(timeLeft(ctx), false)
 	if err != nil {
 		return false, err
 	}
 	conn := pooled.Conn()
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(past) })
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(pastDeadline) })
 	err = exchange(host, conn, req, resp)
 	if !stop() || err != nil || resp.ConnectionClose() {
 		host.CloseConn(pooled)
@@ -36,8 +36,9 @@
 	return true, err
 }
 
-// remaining is the time until ctx ends; at least one nanosecond.
-func remaining(ctx context.Context) time.Duration {
+// timeLeft returns the time until the deadline of ctx, at least one nanosecond, or
+// 0 if ctx has no deadline.
+func timeLeft(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
@@ -45,8 +46,8 @@
 	return max(time.Until(deadline), 1)
 }
 
-// exchange writes the request and reads the whole answer. Bytes that follow
-// the answer belong to no call, so the connection is then marked for closing.
+// exchange writes the request and reads the complete response. If more bytes follow
+// the response, it marks the connection to be closed, since they belong to no call.
 func exchange(host *fasthttp.HostClient, conn net.Conn, req *fasthttp.Request, resp *fasthttp.Response) error {
 	w := host.AcquireWriter(conn)
 	defer host.ReleaseWriter(w)
