--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -1,13 +1,13 @@
-// Package backoff gives waits that double while what is waited for keeps failing.
+// Package backoff computes exponential backoff delays.
 package backoff
 
 import "time"
 
-// maxDoublings keeps a wait that doubles within its type.
+// maxDoublings bounds the shift, so that the delay does not overflow.
 const maxDoublings = 10
 
-// Exponential gives the wait after so many failures before this one: first, doubled with
-// each of them, and most at most.
-func Exponential(first, most time.Duration, failures int) time.Duration {
-	return min(first<<min(failures, maxDoublings), most)
+// Exponential returns the delay after the given number of earlier failures:
+// initial, doubled for each of them, but at most limit.
+func Exponential(initial, limit time.Duration, failures int) time.Duration {
+	return min(initial<<min(failures, maxDoublings), limit)
 }
