--- a/core/boottime/boottime.go
+++ b/core/boottime/boottime.go
@@ -1,7 +1,7 @@
-// Package boottime reads the clock that deadlines, leases and ages are counted
-// on: time since the VM started, counting the time it was suspended. Unlike the
-// time of day it never jumps, and unlike Go's monotonic clock it does not stand
-// still while the VM is frozen.
+// Package boottime reads the clock that deadlines, leases and ages are measured
+// with: the time since the VM booted, including the time it was suspended. Unlike
+// the time of day it never jumps, and unlike Go's monotonic clock it does not stop
+// while the VM is suspended.
 package boottime
 
 import (
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now gives the time since the VM's start as a time.Time. Such times may be
-// compared with and subtracted from each other only.
+// Now returns the time since boot as a time.Time. Only times returned by Now may be
+// compared with it or subtracted from it.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -21,5 +21,5 @@
 	return time.Unix(ts.Sec, ts.Nsec)
 }
 
-// Since gives the time passed since t, which came from Now.
+// Since returns the time elapsed since t, which must come from Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
--- a/core/defaults/defaults.go
+++ b/core/defaults/defaults.go
@@ -1,10 +1,11 @@
-// Package defaults fills in settings that are not set.
+// Package defaults replaces unset settings by their defaults.
 package defaults
 
 import "time"
 
-// Positive gives v, or def when v is not above zero: the rule of settings that
-// are counts, sizes, parts or times.
+// Positive returns v if it is positive and def otherwise. It is for settings where
+// zero means unset and negative values make no sense: counts, sizes, fractions and
+// durations.
 func Positive[T int | float64 | time.Duration](v, def T) T {
 	if v <= 0 {
 		return def
