--- a/core/every/every.go
+++ b/core/every/every.go
@@ -1,4 +1,4 @@
-// Package every repeats a duty at a fixed pace.
+// Package every calls functions periodically.
 package every
 
 import (
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Do calls f once in each interval, the first time after one, until ctx ends.
-// Calls do not overlap; intervals that a long call missed are left out.
+// Do calls f once per interval until ctx ends. The first call is one interval from
+// now. Calls never overlap; intervals that pass during a long call are skipped.
 func Do(ctx context.Context, interval time.Duration, f func()) {
 	DoOrOnSignal(ctx, interval, nil, f)
 }
 
-// DoOrOnSignal is Do that also calls f whenever soon is told.
-func DoOrOnSignal(ctx context.Context, interval time.Duration, soon <-chan struct{}, f func()) {
+// DoOrOnSignal is like Do, but also calls f for each value received from signal. A
+// nil signal is never ready.
+func DoOrOnSignal(ctx context.Context, interval time.Duration, signal <-chan struct{}, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -21,9 +22,10 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-soon:
+		case <-signal:
 		}
-		// Several may be due after a long call.
+		// After a long call ctx may have ended although the ticker or signal was
+		// selected.
 		if ctx.Err() != nil {
 			return
 		}
@@ -31,7 +33,8 @@
 	}
 }
 
-// Sleep waits so long, not at all for less than nothing, or until ctx ends.
+// Sleep pauses for d or until ctx ends, whichever is earlier. It returns
+// immediately if d is not positive.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/core/every/every_test.go
+++ b/core/every/every_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDutyIsRepeatedUntilTheEnd(t *testing.T) {
+func TestDoCallsUntilContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		calls := 0
@@ -20,27 +20,27 @@
 		stop()
 		<-done
 		if calls != 3 {
-			t.Errorf("%d calls in 3.5 intervals", calls)
+			t.Errorf("%d calls in 3.5 intervals, want 3", calls)
 		}
 	})
 }
 
-func TestDutyIsDoneSoonerWhenTold(t *testing.T) {
+func TestSignalTriggersCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer stop()
-		soon := make(chan struct{}, 1)
+		signal := make(chan struct{}, 1)
 		var at []time.Duration
 		began := time.Now()
-		time.AfterFunc(300*time.Millisecond, func() { soon <- struct{}{} })
-		DoOrOnSignal(ctx, time.Second, soon, func() { at = append(at, time.Since(began)) })
+		time.AfterFunc(300*time.Millisecond, func() { signal <- struct{}{} })
+		DoOrOnSignal(ctx, time.Second, signal, func() { at = append(at, time.Since(began)) })
 		if len(at) != 3 || at[0] != 300*time.Millisecond || at[1] != time.Second {
-			t.Errorf("called after %v", at)
+			t.Errorf("called after %v, want calls after 300ms, 1s and 2s", at)
 		}
 	})
 }
 
-func TestMissedIntervalsAreLeftOut(t *testing.T) {
+func TestMissedIntervalsAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), 10500*time.Millisecond)
 		defer stop()
