--- a/core/engineapi/engineapi.go
+++ b/core/engineapi/engineapi.go
@@ -1,8 +1,8 @@
-// Package engineapi holds the messages of the model engines' published HTTP
-// protocol. It follows the chat-completions convention, extended by the chain
-// of stages a request runs through and by the layers each token step ran.
+// Package engineapi defines the messages of the HTTP protocol that model engines
+// publish. It follows the chat-completions convention and adds the chain of stages
+// that a request runs through and the layers that each token step ran.
 //
-// Calls, all to the engine that holds the first layers (the head) unless said:
+// Calls go to the first engine of the chain unless marked otherwise:
 //
 //	POST   /v1/chat/completions   ChatRequest -> text/event-stream
 //	GET    /v1/streams/{request}  rejoin; header Last-Event-ID: last token index seen, or -1 -> text/event-stream
@@ -10,11 +10,13 @@
 //	GET    /v1/load               (any engine) -> LoadReport
 //	POST   /v1/orders             (any engine) Order -> OrderReply
 //
-// A stream is made of events "data: <Token>" with "id: <index>", closed by one
-// "event: done" with Done, or one "event: error" with StreamError. A stream
-// that ends without either was cut off. A refusal before start is a status
-// other than 200 with a Refusal body; after it the request certainly did not
-// run. Status 200 confirms the start.
+// A stream consists of events "data: <Token>" with "id: <index>" and ends with one
+// "event: done" carrying Done or one "event: error" carrying StreamError. A stream
+// that ends without either was cut off.
+//
+// Status 200 confirms that the request started. An engine refuses a request before
+// starting it with another status and a Refusal body; the request then certainly
+// did not run.
 package engineapi
 
 // Paths of the protocol.
@@ -25,7 +27,7 @@
 	OrdersPath  = "/v1/orders"
 )
 
-// Names of events and of protocol headers.
+// Names of events and headers.
 const (
 	DoneEvent     = "done"
 	ErrorEvent    = "error"
@@ -40,8 +42,8 @@
 	Content string `json:"content"`
 }
 
-// Stage is one engine of a chain with the layers it runs, First to Last
-// inclusive, counted from 0.
+// Stage is one engine of a chain and the layers it runs: First to Last, inclusive,
+// counted from 0. Address is the IP address and port of the engine.
 type Stage struct {
 	Engine  string `json:"engine"`
 	Address string `json:"address"`
@@ -49,9 +51,10 @@
 	Last    int    `json:"last"`
 }
 
-// ChatRequest starts one attempt. Delivered holds the tokens a caller already
-// has from earlier attempts: the engine runs them as part of the prompt and
-// numbers its first token len(Delivered).
+// ChatRequest starts one attempt of a request. Delivered holds the tokens that the
+// caller already received from earlier attempts; the engine treats them as part of
+// the prompt and gives its first token the index len(Delivered). DeadlineMs is the
+// time left until the deadline of the request, in milliseconds; 0 means none.
 type ChatRequest struct {
 	Model      string    `json:"model"`
 	Messages   []Message `json:"messages"`
@@ -65,15 +68,15 @@
 	DeadlineMs int64     `json:"deadline_ms,omitempty"`
 }
 
-// Step says which layers an engine ran for a token, First to Last inclusive.
+// Step says which layers an engine ran for a token: First to Last, inclusive.
 type Step struct {
 	Engine string `json:"engine"`
 	First  int    `json:"first"`
 	Last   int    `json:"last"`
 }
 
-// Token is one generated token. Index counts from 0 over the whole answer,
-// earlier attempts included. Steps lists the layers run, in order.
+// Token is one generated token. Index counts from 0 over all attempts of the
+// request. Steps lists the layers that were run, in order.
 type Token struct {
 	Attempt int    `json:"attempt"`
 	Index   int    `json:"index"`
@@ -87,8 +90,8 @@
 	FinishLength = "length"
 )
 
-// Done is the end marker of a whole answer. Tokens is the count of all its
-// tokens, those of earlier attempts included.
+// Done is the end marker of a complete stream. Tokens counts the tokens of all
+// attempts. Finish is FinishStop or FinishLength.
 type Done struct {
 	Attempt int    `json:"attempt"`
 	Tokens  int    `json:"tokens"`
@@ -109,8 +112,8 @@
 	CodeStaleFence  = "stale_fence"
 )
 
-// StreamError ends a stream that could not be finished. Engine names the
-// stage at fault, where the engine can tell.
+// StreamError ends a stream that could not be completed. Engine is the ID of the
+// failed stage, or empty if the sender does not know it.
 type StreamError struct {
 	Attempt int    `json:"attempt"`
 	Code    string `json:"code"`
@@ -118,7 +121,8 @@
 	Message string `json:"message,omitempty"`
 }
 
-// Refusal answers a call that was not carried out.
+// Refusal is the body of the response to a call that was not carried out.
+// RetryAfterMs is when to try again, in milliseconds; 0 means no advice.
 type Refusal struct {
 	Code         string `json:"code"`
 	Message      string `json:"message,omitempty"`
@@ -127,65 +131,70 @@
 
 // States of CancelReply.
 const (
-	// CancelNotStarted: the engine never started the request and, having
-	// noted its name, will refuse it from now on (CodeTombstoned).
+	// CancelNotStarted: the engine has not started the request, has recorded its ID
+	// and will refuse it from now on with CodeTombstoned.
 	CancelNotStarted = "not_started"
-	// CancelStopped: the request ran and was stopped by this call.
+	// CancelStopped: the request was running and this call stopped it.
 	CancelStopped = "stopped"
 	// CancelFinished: the request had already finished.
 	CancelFinished = "finished"
 )
 
-// CancelReply tells what a cancel met. Epoch names the engine's process life:
-// a new one means that what it ran before is forgotten, and then
-// CancelNotStarted proves nothing about earlier epochs.
+// CancelReply is the reply to a cancel. Epoch identifies the run of the engine's
+// process. An engine forgets its requests when it restarts, so CancelNotStarted
+// proves nothing about earlier epochs. Tokens counts the tokens generated.
 type CancelReply struct {
 	State  string `json:"state"`
 	Epoch  string `json:"epoch"`
 	Tokens int    `json:"tokens"`
 }
 
-// Link is one engine's view of its connection to a next stage.
+// Link is what an engine reports of its connection to a next stage. To is the ID of
+// the engine there.
 type Link struct {
 	To string `json:"to"`
-	// LatencyUs is the one-way time of a step, in microseconds.
+	// LatencyUs is the one-way latency of a token step, in microseconds.
 	LatencyUs int64 `json:"latency_us"`
-	// TokensPerSecond is the rate the link carries; 0 means no limit known.
+	// TokensPerSecond is the capacity of the link; 0 means unknown.
 	TokensPerSecond float64 `json:"tokens_per_second"`
 }
 
-// LoadReport is an engine's own view of itself. It lags: AgeMs is how old its
-// figures were when it was sent.
+// LoadReport is what an engine reports of its own load. AgeMs is the age of the
+// report when it was sent, in milliseconds. First and Last are the layers the
+// engine holds. Leaving means that it takes no new requests.
 type LoadReport struct {
 	Engine string `json:"engine"`
 	Epoch  string `json:"epoch"`
 	Model  string `json:"model"`
 	First  int    `json:"first"`
 	Last   int    `json:"last"`
-	// Slots is the most requests it runs at once; further ones are refused
-	// with CodeBusy.
+	// Slots is the maximum number of requests that run at once. The engine refuses
+	// further ones with CodeBusy.
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
-	// TokensPerSecond is the steps it can run at full batch.
+	// TokensPerSecond is the number of token steps per second at full batch.
 	TokensPerSecond float64 `json:"tokens_per_second"`
 	Leaving         bool    `json:"leaving"`
 	AgeMs           int64   `json:"age_ms"`
 	Links           []Link  `json:"links,omitempty"`
 }
 
-// Order asks for a wanted end, never for a step, so that repeating it is
-// harmless.
+// Order is an instruction to an engine. It describes the wanted state, not a
+// change, so that it may safely be repeated.
 type Order struct {
-	// Fence is the lease object's version held by the sender.
+	// Fence is the fencing token: the version of the lease object that the
+	// sender holds.
 	Fence int64 `json:"fence"`
-	// Model, First, Last and Version name what the engine is to hold.
+	// Model, First, Last and Version say which layers of which model the engine
+	// must hold.
 	Model   string `json:"model"`
 	First   int    `json:"first"`
 	Last    int    `json:"last"`
 	Version string `json:"version"`
 }
 
-// OrderReply confirms an order taken.
+// OrderReply confirms that an engine accepted an order. Fence is the fencing token
+// of that order.
 type OrderReply struct {
 	Engine  string `json:"engine"`
 	Applied bool   `json:"applied"`
