--- a/core/ids/ids.go
+++ b/core/ids/ids.go
@@ -1,5 +1,5 @@
-// Package ids holds the identifier types shared by all packages, so that one
-// kind of identifier cannot be passed where another is meant.
+// Package ids defines the identifier types shared by all packages, so that the
+// compiler rejects one kind of identifier where another is expected.
 package ids
 
 import (
@@ -7,29 +7,30 @@
 	"strconv"
 )
 
-// Request names one request within the fleet. The VM that admitted it makes
-// it: unique across VMs and restarts.
+// Request identifies a request across all VMs and their restarts. The VM that
+// admits the request generates it.
 type Request string
 
-// Account names one client account.
+// Account is the ID of a client account.
 type Account string
 
-// Service names one routed service, for instance "mimosa-drafts".
+// Service is the name of a service, for instance "mimosa-drafts".
 type Service string
 
-// Profile names one operator profile.
+// Profile is the name of an operator profile.
 type Profile string
 
-// Upstream names one back end: a model engine or a plain service process.
+// Upstream is the ID of a back end: a model engine or a plain service process.
 type Upstream string
 
-// VM names one entry VM of the system.
+// VM is the ID of an entry VM.
 type VM string
 
-// Zone names one availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// Attempt numbers the sends of one request, from 1. Zero means no attempt.
+// Attempt is the number of an attempt within its request, counted from 1. Zero
+// means no attempt.
 type Attempt int
 
 // Instance identifies one run of an upstream's process. A process that restarts
