--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -1,6 +1,6 @@
-// Package outcome defines what an answer may say about a request: the four
-// outcomes, the reasons for refusals and retries, and the error that carries
-// them to the caller.
+// Package outcome defines what a response may claim about a request: the possible
+// outcomes, the reasons for refusals and retries, and the error that carries them
+// to the caller.
 package outcome
 
 import (
@@ -8,30 +8,31 @@
 	"time"
 )
 
-// Outcome says what became of a request. Its words are exact.
+// Outcome says whether a request ran, as far as the node can prove it.
 type Outcome string
 
 const (
-	// Complete: the whole answer was delivered, ended by its end marker.
+	// Complete: the whole response was delivered, up to its end marker.
 	Complete Outcome = "complete"
-	// NotRun: nothing was written to an upstream, or the upstream refused
-	// before starting, or it confirmed a cancel before start.
+	// NotRun: nothing was written to an upstream, or the upstream refused the
+	// request before starting it, or it confirmed that it was cancelled before the
+	// start.
 	NotRun Outcome = "not_run"
-	// Unknown: bytes may have reached an upstream and no answer settled it.
+	// Unknown: bytes may have reached an upstream, and no response shows whether
+	// the request ran.
 	Unknown Outcome = "unknown"
-	// AlreadyRun: the same idempotency key was seen before and its request
-	// has finished.
+	// AlreadyRun: an earlier request with the same idempotency key has finished.
 	AlreadyRun Outcome = "already_run"
-	// Running: the same idempotency key was seen before and its request may
-	// still run.
+	// Running: an earlier request with the same idempotency key may still be
+	// running.
 	Running Outcome = "running"
 )
 
-// Reason tells why a request was refused, retried or left unknown. Each has a
-// counter of its own.
+// Reason says why a request was refused, was retried or has an unknown outcome.
+// Each reason has its own counter.
 type Reason string
 
-// Reasons a request is refused before it runs.
+// Reasons for refusing a request before it runs.
 const (
 	BadRequest          Reason = "bad_request"
 	BodyTooLarge        Reason = "body_too_large"
@@ -55,8 +56,8 @@
 	CallerGone          Reason = "caller_gone"
 )
 
-// Reasons an attempt at an upstream ended without a whole answer. They are
-// also the reasons for retries.
+// Reasons for an attempt at an upstream to end without a complete response. They
+// are also the reasons for retries.
 const (
 	ConnectFailed   Reason = "connect_failed"
 	Unreachable     Reason = "unreachable"
@@ -70,21 +71,22 @@
 	Cancelled       Reason = "cancelled"
 )
 
-// Reasons a keyed request is answered from an earlier one.
+// Reasons for answering a request with an idempotency key from an earlier request.
 const (
 	DuplicateRunning Reason = "duplicate_running"
 	DuplicateDone    Reason = "duplicate_done"
 )
 
-// Error is the typed failure given to a caller.
+// Error is the failure that is returned to a caller.
 type Error struct {
-	// Outcome is what is known to have become of the request.
+	// Outcome is the outcome of the request.
 	Outcome Outcome
-	// Reason is why.
+	// Reason is the reason for the failure.
 	Reason Reason
-	// Detail is a sentence for people; may be empty.
+	// Detail is an explanation for people; may be empty.
 	Detail string
-	// RetryAfter tells when to come back; zero means no advice.
+	// RetryAfter is how long the caller should wait before it retries; zero means
+	// no advice.
 	RetryAfter time.Duration
 }
 
@@ -96,29 +98,29 @@
 	return fmt.Sprintf("%s: %s: %s", e.Outcome, e.Reason, e.Detail)
 }
 
-// Refuse makes the error for a request that was not run.
+// Refuse returns the error for a request that was not run.
 func Refuse(reason Reason, detail string, retryAfter time.Duration) *Error {
 	return &Error{Outcome: NotRun, Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// Phase is how far an attempt got; it decides what may be said of the request.
+// Phase is how far an attempt got. It determines which outcomes can be proven.
 type Phase int
 
 const (
 	// NotSent: no byte of the attempt was written to an upstream.
 	NotSent Phase = iota
-	// Refused: the upstream positively refused before starting, or confirmed
-	// a cancel before start.
+	// Refused: the upstream refused the request before starting it, or confirmed
+	// that it was cancelled before the start.
 	Refused
-	// MaybeSent: bytes may have reached the upstream, which has not answered.
+	// MaybeSent: bytes may have reached the upstream, which has not responded.
 	MaybeSent
 	// Started: the upstream confirmed the start.
 	Started
-	// Finished: the upstream delivered its whole answer and end marker.
+	// Finished: the upstream delivered its whole response and the end marker.
 	Finished
 )
 
-// phaseNames are indexed by Phase.
+// phaseNames is indexed by Phase.
 var phaseNames = [...]string{"not_sent", "refused", "maybe_sent", "started", "finished"}
 
 // String implements fmt.Stringer.
@@ -129,6 +131,6 @@
 	return phaseNames[p]
 }
 
-// ProvesNotRun reports whether an attempt that ended in this phase certainly
-// did not run.
+// ProvesNotRun reports whether an attempt that ended in this phase certainly did
+// not run.
 func (p Phase) ProvesNotRun() bool { return p == NotSent || p == Refused }
