--- a/core/platformapi/platformapi.go
+++ b/core/platformapi/platformapi.go
@@ -1,6 +1,5 @@
-// Package platformapi holds the messages of the platform's published HTTP
-// protocol: objects with versions, conditional updates and watches, and the
-// list of VMs.
+// Package platformapi defines the messages of the platform's HTTP protocol:
+// versioned objects, conditional writes and watches, and the list of VMs.
 //
 //	GET    /v1/objects/{key}                 -> Object, or 404 NotFound
 //	PUT    /v1/objects/{key}   If-Match: v   body: value -> Object, or 412 Conflict with the current Object
@@ -9,10 +8,10 @@
 //	GET    /v1/watch?prefix=P&after=R&wait_ms=W -> ListReply of changes above revision R; empty after W
 //	GET    /v1/vms?after=R                   -> VMList; without VMs when its revision is not above R
 //
-// If-Match: 0 means "must not exist". Versions come from one counter of the
-// store: they only grow, over all keys, and an object's version is the
-// store's revision at its last write. An absent If-Match writes without a
-// condition. Values are at most MaxValue bytes.
+// If-Match: 0 means that the object must not exist; without If-Match the write is
+// unconditional. Versions come from one counter of the store, so they increase
+// across all keys. The version of an object is the revision of the store at its
+// last write. A value has at most MaxValueBytes bytes.
 package platformapi
 
 // Paths of the protocol.
@@ -23,13 +22,13 @@
 	VMsPath     = "/v1/vms"
 )
 
-// MaxValueBytes is the largest value of an object, in bytes.
+// MaxValueBytes limits the value of an object.
 const MaxValueBytes = 1 << 20
 
-// IfMatch is the header of a conditional update.
+// IfMatch is the header with the version that a conditional write expects.
 const IfMatch = "If-Match"
 
-// Object is one stored object.
+// Object is one stored object. Deleted marks the last version of a deleted object.
 type Object struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
@@ -37,7 +36,7 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// ListReply holds objects and the store's revision at the time.
+// ListReply holds objects and the revision of the store when they were read.
 type ListReply struct {
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
@@ -56,20 +55,21 @@
 	StateLeaving = "leaving"
 )
 
-// VM is one entry of the list of VMs, which lags behind reality.
+// VM is one entry of the list of VMs. The list lags behind the actual state of the
+// VMs.
 type VM struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Role    string `json:"role"`
 	State   string `json:"state"`
-	// Service is the service an engine or plain upstream belongs to.
+	// Service is the service that an engine or plain upstream belongs to.
 	Service string `json:"service,omitempty"`
-	// PeerAddress is where an entry VM takes calls of its peers.
+	// PeerAddress is where an entry VM accepts calls from its peers.
 	PeerAddress string `json:"peer_address,omitempty"`
 }
 
-// VMList is the reply to a call for the VMs. Revision grows with each change.
+// VMList is the list of VMs. Revision increases with each change.
 type VMList struct {
 	Revision int64 `json:"revision"`
 	VMs      []VM  `json:"vms"`
