--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -36,39 +36,39 @@
 const (
 	BadRequest          Reason = "bad_request"
 	BodyTooLarge        Reason = "body_too_large"
-	BodyTruncated       Reason = "body_truncated"
+	BodyTruncated       Reason = "body_truncated" // the body ended early or arrived too slowly
 	Unauthorized        Reason = "unauthorized"
 	Forbidden           Reason = "forbidden"
 	UnknownService      Reason = "unknown_service"
-	DeadlineExpired     Reason = "deadline_expired"
-	DeadlineUnreachable Reason = "deadline_unreachable"
-	AccountLimit        Reason = "account_limit"
-	QueueFull           Reason = "queue_full"
-	RingFull            Reason = "ring_full"
-	NoUpstream          Reason = "no_upstream"
-	Quarantined         Reason = "quarantined"
-	Draining            Reason = "draining"
-	NotReady            Reason = "not_ready"
-	ClaimUnavailable    Reason = "claim_unavailable"
-	KeyReused           Reason = "key_reused"
-	RetryBudget         Reason = "retry_budget"
-	AttemptsExhausted   Reason = "attempts_exhausted"
-	CallerGone          Reason = "caller_gone"
+	DeadlineExpired     Reason = "deadline_expired"     // the deadline has passed
+	DeadlineUnreachable Reason = "deadline_unreachable" // the wait in the queue exceeds the deadline
+	AccountLimit        Reason = "account_limit"        // the account exceeds its rate limit or its share of the queue
+	QueueFull           Reason = "queue_full"           // the queue of the service is full
+	RingFull            Reason = "ring_full"            // the ring buffer of the node's decision loop is full
+	NoUpstream          Reason = "no_upstream"          // no usable upstream or chain
+	Quarantined         Reason = "quarantined"          // the same request crashed upstreams before
+	Draining            Reason = "draining"             // the node is stopping
+	NotReady            Reason = "not_ready"            // the node has no configuration yet
+	ClaimUnavailable    Reason = "claim_unavailable"    // the idempotency key could not be claimed
+	KeyReused           Reason = "key_reused"           // the idempotency key belongs to a different request
+	RetryBudget         Reason = "retry_budget"         // the retry budget is used up
+	AttemptsExhausted   Reason = "attempts_exhausted"   // the attempts of the request are used up
+	CallerGone          Reason = "caller_gone"          // the caller closed the connection or was too slow
 )
 
 // Reasons for an attempt at an upstream to end without a complete response. They
 // are also the reasons for retries.
 const (
-	ConnectFailed   Reason = "connect_failed"
-	Unreachable     Reason = "unreachable"
+	ConnectFailed   Reason = "connect_failed" // the dial failed
+	Unreachable     Reason = "unreachable"    // the dial got no response
 	UpstreamRefused Reason = "upstream_refused"
 	UpstreamBusy    Reason = "upstream_busy"
-	UpstreamLost    Reason = "upstream_lost"
-	UpstreamStalled Reason = "upstream_stalled"
-	UpstreamInvalid Reason = "upstream_invalid"
-	StageFailed     Reason = "stage_failed"
-	LedgerViolation Reason = "ledger_violation"
-	Cancelled       Reason = "cancelled"
+	UpstreamLost    Reason = "upstream_lost"    // the connection was lost
+	UpstreamStalled Reason = "upstream_stalled" // no progress within the stall timeout
+	UpstreamInvalid Reason = "upstream_invalid" // the response is malformed
+	StageFailed     Reason = "stage_failed"     // a stage or a link of the chain failed
+	LedgerViolation Reason = "ledger_violation" // the token stream has a gap, a repetition or wrong layers
+	Cancelled       Reason = "cancelled"        // the node cancelled the attempt
 )
 
 // Reasons for answering a request with an idempotency key from an earlier request.
