--- a/core/fleet/defaults.go
+++ b/core/fleet/defaults.go
@@ -28,16 +28,17 @@
 const (
 	defaultRate       = 10
 	defaultBurstRatio = 2
-	leastBurst        = 1
+	minBurst          = 1
 	defaultWeight     = 1
 )
 
-// DefaultProfile is a profile with every default and no name.
+// DefaultProfile returns a profile without a name in which each field has its
+// default.
 func DefaultProfile() Profile {
 	return Profile{Kind: KindProfile}.WithDefaults()
 }
 
-// WithDefaults gives a copy in which each unset field has its default.
+// WithDefaults returns a copy in which each unset field has its default.
 func (p Profile) WithDefaults() Profile {
 	setDefault(&p.Strategy, StrategyFlow)
 	setDefault(&p.Deadline, defaultDeadline)
@@ -58,8 +59,8 @@
 	return p
 }
 
-// WithDefaults gives a copy in which each route tells whether it is
-// idempotent. The copy has routes of its own.
+// WithDefaults returns a copy in which Idempotent is set on each route. The routes
+// are copied too.
 func (s Service) WithDefaults() Service {
 	if s.Routes == nil {
 		return s
@@ -74,7 +75,8 @@
 	return s
 }
 
-// WithDefaults gives a copy whose accounts have their defaults.
+// WithDefaults returns a copy in which each account has its defaults. The accounts
+// are copied too.
 func (a Accounts) WithDefaults() Accounts {
 	if a.Accounts == nil {
 		return a
@@ -87,16 +89,16 @@
 	return a
 }
 
-// WithDefaults gives a copy in which each unset field has its default.
+// WithDefaults returns a copy in which each unset field has its default.
 func (a Account) WithDefaults() Account {
 	setDefault(&a.Rate, defaultRate)
-	setDefault(&a.Burst, max(leastBurst, defaultBurstRatio*a.Rate))
+	setDefault(&a.Burst, max(minBurst, defaultBurstRatio*a.Rate))
 	setDefault(&a.Weight, defaultWeight)
 	return a
 }
 
-// IsIdempotent tells whether a call on the route may be repeated: as the
-// document says, else by the method.
+// IsIdempotent reports whether a call on the route may be repeated: as the document
+// says, or else by its method.
 func (r Route) IsIdempotent() bool {
 	if r.Idempotent != nil {
 		return *r.Idempotent
@@ -104,7 +106,7 @@
 	return idempotentMethods[r.Method]
 }
 
-// idempotentMethods are the methods that RFC 9110 has as idempotent.
+// idempotentMethods are the methods that are idempotent according to RFC 9110.
 var idempotentMethods = map[string]bool{
 	"GET":     true,
 	"HEAD":    true,
@@ -114,7 +116,7 @@
 	"DELETE":  true,
 }
 
-// setDefault sets a field that has its zero value.
+// setDefault sets a field to value if it is zero.
 func setDefault[T comparable](field *T, value T) {
 	*field = cmp.Or(*field, value)
 }
--- a/core/fleet/document.go
+++ b/core/fleet/document.go
@@ -4,15 +4,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Document is one Profile, Service or Accounts value.
+// Document is a Profile, Service or Accounts.
 type Document interface {
-	// DocumentKind is the kind of document: KindProfile, KindService or KindAccounts.
+	// DocumentKind returns KindProfile, KindService or KindAccounts.
 	DocumentKind() string
-	// DocumentName is the name, unique among documents of one kind.
+	// DocumentName returns the name, which is unique among documents of one kind.
 	DocumentName() string
-	// ChangeID is the id of the publish that wrote the document; may be empty.
+	// ChangeID returns the ID of the publish operation that wrote the document; may
+	// be empty.
 	ChangeID() string
-	// WithChange gives a copy that carries the id of a publish.
+	// WithChange returns a copy with the ID of a publish operation.
 	WithChange(id string) Document
 }
 
@@ -61,29 +62,29 @@
 	return a
 }
 
-// Key is the key of the platform object that holds a document.
+// Key returns the key of the platform object that holds a document.
 func Key(doc Document) string {
-	return prefixes[doc.DocumentKind()] + doc.DocumentName()
+	return keyPrefixes[doc.DocumentKind()] + doc.DocumentName()
 }
 
-// prefixes are the object key prefixes by kind.
-var prefixes = map[string]string{
+// keyPrefixes are the prefixes of object keys by document kind.
+var keyPrefixes = map[string]string{
 	KindProfile:  ProfilePrefix,
 	KindService:  ServicePrefix,
 	KindAccounts: AccountPrefix,
 }
 
-// EncodeError tells that a document could not be written as YAML.
+// EncodeError is returned if a document cannot be written as YAML.
 type EncodeError struct{ Cause error }
 
 // Error implements error.
 func (e *EncodeError) Error() string { return "encode document: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *EncodeError) Unwrap() error { return e.Cause }
 
-// Encode writes a document as YAML. Parse of the result gives the same
-// document, if Parse made it.
+// Encode returns a document as YAML. If the document came from Parse, Parse of the
+// result returns an equal one. The error is an *EncodeError.
 func Encode(doc Document) ([]byte, error) {
 	out, err := yaml.Marshal(doc)
 	if err != nil {
--- a/core/fleet/duration.go
+++ b/core/fleet/duration.go
@@ -6,11 +6,11 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// DurationError tells that a YAML value is not a duration.
+// DurationError is returned if a YAML value is not a duration.
 type DurationError struct {
-	// Line is where the value stands.
+	// Line is the line of the value, counted from 1.
 	Line int
-	// Value is the text found.
+	// Value is the text of the value; empty if it is not a scalar.
 	Value string
 }
 
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet defines the configuration that operators publish: profiles,
-// services and client accounts. Each is one YAML document and one object of
-// the platform's store; this package parses and checks them and holds no I/O.
+// services and client accounts. Each document is YAML and is stored as one object
+// of the platform. The package parses and validates documents; it does no I/O.
 package fleet
 
 import (
@@ -9,7 +9,7 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Key prefixes of the platform's objects that hold configuration.
+// Prefixes of the keys of platform objects that hold configuration.
 const (
 	ConfigPrefix  = "config/"
 	ProfilePrefix = ConfigPrefix + "profile/"
@@ -24,13 +24,13 @@
 	KindAccounts = "accounts"
 )
 
-// Service kinds.
+// Types of services.
 const (
 	ServiceModel = "model"
 	ServicePlain = "plain"
 )
 
-// Strategies for the choice of a chain.
+// Strategies for choosing a chain.
 const (
 	StrategyFlow        = "flow"
 	StrategyRoundRobin  = "round_robin"
@@ -38,96 +38,107 @@
 	StrategyLeastLoaded = "least_loaded"
 )
 
-// Profile is a named policy that services run under. Every field has a
-// default, given after its meaning.
+// Profile is a named policy for services. Every field has a default, given in its
+// comment.
 type Profile struct {
 	Kind string      `yaml:"kind"`
 	Name ids.Profile `yaml:"name"`
-	// Change is the id of the publish that wrote this document; set by
-	// mimosactl, read back when a publish's answer was lost.
+	// Change is the ID of the publish operation that wrote the document.
+	// mimosactl sets it, and reads it back when the response to a publish was lost.
 	Change string `yaml:"change,omitempty"`
-	// Strategy chooses chains: flow, round_robin, two_choices, least_loaded. Default flow.
+	// Strategy selects how chains are chosen: flow, round_robin, two_choices or
+	// least_loaded. Default flow.
 	Strategy string `yaml:"strategy,omitempty"`
-	// Queue bounds the requests that wait on a node.
+	// Queue limits the requests that wait on a node.
 	Queue QueuePolicy `yaml:"queue,omitempty"`
-	// Retry bounds repeated attempts.
+	// Retry limits the attempts at a request.
 	Retry RetryPolicy `yaml:"retry,omitempty"`
-	// Health sets when upstreams are ejected and taken back.
+	// Health sets when upstreams are ejected and readmitted.
 	Health HealthPolicy `yaml:"health,omitempty"`
-	// Deadline is given to requests that bring none. Default 60s.
+	// Deadline applies to requests that do not set one. Default 60s.
 	Deadline Duration `yaml:"deadline,omitempty"`
-	// TokenInterval is the time between tokens that the choice of chains keeps
-	// to, strategy flow only. A longer one fills engines further: more
+	// TokenInterval is the target time between tokens for the choice of chains with
+	// strategy flow. A longer interval allows more load per engine: more
 	// throughput, slower streams. Default 80ms.
 	TokenInterval Duration `yaml:"token_interval,omitempty"`
-	// StallAfter ends an attempt without progress for this long. Default 5s.
+	// StallAfter is how long an attempt may make no progress before it is ended.
+	// Default 5s.
 	StallAfter Duration `yaml:"stall_after,omitempty"`
-	// ConnectTimeout bounds opening a connection to an upstream. Default 500ms.
+	// ConnectTimeout bounds a dial to an upstream. Default 500ms.
 	ConnectTimeout Duration `yaml:"connect_timeout,omitempty"`
-	// ClaimRetention is how long a seen idempotency key is remembered after
-	// its request ended. Default 24h, least 1m.
+	// ClaimRetention is how long an idempotency key is remembered after its request
+	// ended. Default 24h, minimum 1m.
 	ClaimRetention Duration `yaml:"claim_retention,omitempty"`
 }
 
-// QueuePolicy bounds the requests waiting on one node for one service.
+// QueuePolicy limits the requests that wait on one node for one service.
 type QueuePolicy struct {
-	// Length is the most requests waiting. Default 256.
+	// Length is the maximum number of waiting requests. Default 256.
 	Length int `yaml:"length,omitempty"`
-	// PerAccount is the most requests of one account waiting. Default 128.
+	// PerAccount is the maximum number of waiting requests of one account. Default
+	// 128.
 	PerAccount int `yaml:"per_account,omitempty"`
 }
 
-// RetryPolicy bounds repeated attempts of a service.
+// RetryPolicy limits the attempts at requests of a service.
 type RetryPolicy struct {
-	// Attempts is the most attempts for one request, the first included. Default 4.
+	// Attempts is the maximum number of attempts at one request, including the
+	// first. Default 4.
 	Attempts int `yaml:"attempts,omitempty"`
-	// BudgetRatio is the retries allowed for each first attempt. Default 0.2.
+	// BudgetRatio is the number of retries allowed per first attempt. Default 0.2.
 	BudgetRatio float64 `yaml:"budget_ratio,omitempty"`
-	// BudgetMin is the retries a second allowed at any rate. Default 3.
+	// BudgetMin is the number of retries per second that are always allowed.
+	// Default 3.
 	BudgetMin float64 `yaml:"budget_min,omitempty"`
 }
 
-// HealthPolicy sets when upstreams are ejected and how they come back.
+// HealthPolicy sets when upstreams are ejected and how they are readmitted, and
+// when requests are quarantined.
 type HealthPolicy struct {
-	// Failures in a row that eject an upstream. Default 3.
+	// Failures is the number of consecutive failures after which an upstream is
+	// ejected. Default 3.
 	Failures int `yaml:"failures,omitempty"`
-	// EjectFor is the first ejection's length; it doubles to ten times. Default 1s.
+	// EjectFor is the duration of the first ejection. It doubles with each further
+	// one, up to ten times its value. Default 1s.
 	EjectFor Duration `yaml:"eject_for,omitempty"`
-	// FloorPercent of a service's upstreams always stay in use. Default 30.
+	// FloorPercent is the percentage of a service's upstreams that are never
+	// ejected. Default 30.
 	FloorPercent int `yaml:"floor_percent,omitempty"`
-	// QuarantineAfter is the upstream deaths blamed on one request's
-	// fingerprint that quarantine it. Default 2.
+	// QuarantineAfter is the number of upstream crashes attributed to the
+	// fingerprint of a request after which such requests are quarantined. Default
+	// 2.
 	QuarantineAfter int `yaml:"quarantine_after,omitempty"`
-	// QuarantineFor is how long. Default 10m.
+	// QuarantineFor is the duration of a quarantine. Default 10m.
 	QuarantineFor Duration `yaml:"quarantine_for,omitempty"`
 }
 
-// Service is one routed service.
+// Service configures a service and its routes.
 type Service struct {
 	Kind   string      `yaml:"kind"`
 	Name   ids.Service `yaml:"name"`
 	Change string      `yaml:"change,omitempty"`
-	// Type is model or plain.
+	// Type is ServiceModel or ServicePlain.
 	Type string `yaml:"type"`
-	// Profile names the policy the service runs under.
+	// Profile is the name of the profile that applies to the service.
 	Profile ids.Profile `yaml:"profile"`
-	// Layers is the model's count of layers; model services only.
+	// Layers is the number of the model's layers; model services only.
 	Layers int `yaml:"layers,omitempty"`
-	// Leaving names upstreams that get no new work, by the operators' word.
-	// Default none.
+	// Leaving lists the upstreams that the operator has marked to get no new
+	// requests. Default none.
 	Leaving []ids.Upstream `yaml:"leaving,omitempty"`
-	// Routes of a plain service; a path that fits none is refused.
+	// Routes are the routes of a plain service. A path that matches none is
+	// refused.
 	Routes []Route `yaml:"routes,omitempty"`
 }
 
-// Route is one path prefix of a plain service.
+// Route allows a method on the paths with a common prefix.
 type Route struct {
 	// Method is an HTTP method.
 	Method string `yaml:"method"`
-	// Prefix is the start of the path.
+	// Prefix is the prefix of the path.
 	Prefix string `yaml:"prefix"`
-	// Idempotent tells whether a call may be repeated. Default: by the
-	// method, as RFC 9110 has it.
+	// Idempotent reports whether a call may be repeated. Default: as RFC 9110
+	// defines for the method.
 	Idempotent *bool `yaml:"idempotent,omitempty"`
 }
 
@@ -136,28 +147,29 @@
 	Kind   string `yaml:"kind"`
 	Name   string `yaml:"name"`
 	Change string `yaml:"change,omitempty"`
-	// Accounts lists the shard's accounts.
+	// Accounts are the accounts of the shard.
 	Accounts []Account `yaml:"accounts"`
 }
 
-// Account is one client account.
+// Account is a client account.
 type Account struct {
 	ID ids.Account `yaml:"id"`
-	// KeySHA256 is the SHA-256 of the account's bearer key, in hex.
+	// KeySHA256 is the SHA-256 of the account's bearer key in hex.
 	KeySHA256 string `yaml:"key_sha256"`
-	// Rate is the requests a second over the whole fleet. Default 10.
+	// Rate is the number of requests per second that the whole fleet allows.
+	// Default 10.
 	Rate float64 `yaml:"rate,omitempty"`
-	// Burst is the requests allowed at once over the whole fleet. Default
-	// twice the rate.
+	// Burst is the size of a burst that the whole fleet allows, in requests.
+	// Default twice the rate.
 	Burst float64 `yaml:"burst,omitempty"`
-	// Weight is the account's share in queues. Default 1.
+	// Weight is the weight of the account in queues. Default 1.
 	Weight int `yaml:"weight,omitempty"`
-	// Services the account may call. Default all.
+	// Services are the services that the account may call. Default all.
 	Services []ids.Service `yaml:"services,omitempty"`
 }
 
-// Duration is a time.Duration written as "1.5s" in YAML.
+// Duration is a time.Duration that is written like "1.5s" in YAML.
 type Duration time.Duration
 
-// D gives the value as a time.Duration.
+// D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
--- a/core/fleet/parse.go
+++ b/core/fleet/parse.go
@@ -9,12 +9,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// MaxDocumentBytes is the largest document, in bytes. It leaves room for what
-// Encode adds within the platform's largest value.
+// MaxDocumentBytes limits the size of a document. It is below the platform's limit
+// for a value, because Encode adds the defaults.
 const MaxDocumentBytes = 768 << 10
 
-// Parse reads one YAML document and fills in its defaults. Unknown fields are
-// refused. The error is an *InvalidError that lists every violation.
+// Parse parses one YAML document and fills in the defaults. Unknown fields are
+// errors. The error is an *InvalidError that lists every violation.
 func Parse(data []byte) (Document, error) {
 	root, err := parseNode(data)
 	if err != nil {
@@ -28,11 +28,11 @@
 	return doc, nil
 }
 
-// parseNode reads the one YAML document in data as a tree.
+// parseNode parses data, which must hold exactly one YAML document, to a tree.
 func parseNode(data []byte) (*yaml.Node, error) {
 	if len(data) > MaxDocumentBytes {
 		size := fmt.Sprintf("(%d bytes)", len(data))
-		return nil, invalid(0, size, fmt.Sprintf("at most %d bytes", MaxDocumentBytes))
+		return nil, documentError(0, size, fmt.Sprintf("at most %d bytes", MaxDocumentBytes))
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var root, next yaml.Node
@@ -41,37 +41,38 @@
 	}
 	err := decoder.Decode(&next)
 	if err == nil {
-		return nil, invalid(next.Line, "(a second document)", "one YAML document")
+		return nil, documentError(next.Line, "(a second document)", "one YAML document")
 	}
 	if !errors.Is(err, io.EOF) {
 		return nil, syntaxError(err)
 	}
 	if root.Kind != yaml.DocumentNode || len(root.Content) != 1 {
-		return nil, invalid(root.Line, "", "one YAML document")
+		return nil, documentError(root.Line, "", "one YAML document")
 	}
 	return root.Content[0], nil
 }
 
-// syntaxError tells that data is no YAML.
+// syntaxError returns the error for data that is not well-formed YAML.
 func syntaxError(err error) error {
 	var line int
-	// The line is only in the library's text; without it the line stays 0.
+	// The line number is only in the text of the error; if it is absent, line stays
+	// 0.
 	if _, scanErr := fmt.Sscanf(err.Error(), "yaml: line %d:", &line); scanErr != nil {
 		line = 0
 	}
-	return invalid(line, err.Error(), "one well-formed YAML document")
+	return documentError(line, err.Error(), "one well-formed YAML document")
 }
 
-// invalid is an error of one violation for the document as a whole.
-func invalid(line int, value, expected string) *InvalidError {
+// documentError returns an error with one violation for the document as a whole.
+func documentError(line int, value, expected string) *InvalidError {
 	return &InvalidError{Violations: []Violation{{Line: line, Value: value, Expected: expected}}}
 }
 
 // document reads a document of any kind.
 func (r *reader) document(node *yaml.Node) Document {
-	kind := kindNode(node)
+	kind := findKind(node)
 	if kind == nil {
-		r.missing(node, "kind", kindExpected)
+		r.addMissing(node, "kind", kindExpected)
 		return nil
 	}
 	switch kind.Value {
@@ -82,15 +83,15 @@
 	case KindAccounts:
 		return r.accounts(node)
 	}
-	r.fail(kind, "kind", kindExpected)
+	r.addViolation(kind, "kind", kindExpected)
 	return nil
 }
 
-// kindExpected describes the field kind.
+// kindExpected describes the allowed values of the field kind.
 const kindExpected = "one of profile, service, accounts"
 
-// kindNode finds the first value of the field kind; nil if there is none.
-func kindNode(node *yaml.Node) *yaml.Node {
+// findKind returns the first value of the field kind, or nil if there is none.
+func findKind(node *yaml.Node) *yaml.Node {
 	if node.Kind != yaml.MappingNode {
 		return nil
 	}
@@ -102,15 +103,15 @@
 	return nil
 }
 
-// require notes each required field that was not seen. A nil seen means that
-// the mapping itself was refused already.
+// require adds a violation for each required field that was not seen. A nil seen
+// means that the mapping itself was invalid, which is already a violation.
 func (r *reader) require(node *yaml.Node, path string, seen map[string]bool, names ...string) {
 	if seen == nil {
 		return
 	}
 	for _, name := range names {
 		if !seen[name] {
-			r.missing(node, join(path, name), "a value")
+			r.addMissing(node, joinPath(path, name), "a value")
 		}
 	}
 }
--- a/core/fleet/reader.go
+++ b/core/fleet/reader.go
@@ -9,27 +9,28 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// field reads the YAML node of one field that stands at path.
+// field reads the YAML node of one field. path is the path of the field in the
+// document.
 type field func(r *reader, node *yaml.Node, path string)
 
 // fields are the known fields of a mapping by name.
 type fields map[string]field
 
-// reader walks a YAML document and gathers its violations.
+// reader reads a YAML document and collects its violations.
 type reader struct{ violations []Violation }
 
-// fail notes that the node at path is not what was expected.
-func (r *reader) fail(node *yaml.Node, path, expected string) {
+// addViolation adds a violation for a node that is not as expected.
+func (r *reader) addViolation(node *yaml.Node, path, expected string) {
 	r.violations = append(r.violations, Violation{
 		Path:     path,
 		Line:     node.Line,
-		Value:    shown(node),
+		Value:    nodeText(node),
 		Expected: expected,
 	})
 }
 
-// missing notes that a required field of a mapping is absent.
-func (r *reader) missing(parent *yaml.Node, path, expected string) {
+// addMissing adds a violation for a required field that is absent from a mapping.
+func (r *reader) addMissing(parent *yaml.Node, path, expected string) {
 	r.violations = append(r.violations, Violation{
 		Path:     path,
 		Line:     parent.Line,
@@ -37,7 +38,7 @@
 	})
 }
 
-// err gives the violations found, ordered by line; nil if there are none.
+// err returns the violations ordered by line, or nil if there are none.
 func (r *reader) err() error {
 	if len(r.violations) == 0 {
 		return nil
@@ -48,11 +49,11 @@
 	return &InvalidError{Violations: r.violations}
 }
 
-// mapping reads the known fields of a mapping and refuses all others. It
-// reports which fields were there; nil means that node is no mapping.
+// mapping reads the known fields of a mapping and adds a violation for any other.
+// It returns the names of the fields found, or nil if node is not a mapping.
 func (r *reader) mapping(node *yaml.Node, path string, known fields) map[string]bool {
 	if node.Kind != yaml.MappingNode {
-		r.fail(node, path, "a mapping with the fields "+known.names())
+		r.addViolation(node, path, "a mapping with the fields "+known.names())
 		return nil
 	}
 	seen := make(map[string]bool, len(node.Content)/2)
@@ -66,19 +67,19 @@
 func (r *reader) entry(key, value *yaml.Node, path string, known fields, seen map[string]bool) {
 	read, ok := known[key.Value]
 	if key.Kind != yaml.ScalarNode || !ok {
-		r.fail(key, path, "one of the fields "+known.names())
+		r.addViolation(key, path, "one of the fields "+known.names())
 		return
 	}
-	at := join(path, key.Value)
+	fieldPath := joinPath(path, key.Value)
 	if seen[key.Value] {
-		r.fail(key, at, "the field only once")
+		r.addViolation(key, fieldPath, "the field only once")
 		return
 	}
 	seen[key.Value] = true
-	read(r, value, at)
+	read(r, value, fieldPath)
 }
 
-// names lists the fields' names in order.
+// names returns the sorted names of the fields, separated by commas.
 func (f fields) names() string {
 	names := make([]string, 0, len(f))
 	for name := range f {
@@ -91,7 +92,7 @@
 // sequence reads each item of a sequence.
 func (r *reader) sequence(node *yaml.Node, path, expected string, item field) {
 	if node.Kind != yaml.SequenceNode {
-		r.fail(node, path, expected)
+		r.addViolation(node, path, expected)
 		return
 	}
 	for i, child := range node.Content {
@@ -99,28 +100,28 @@
 	}
 }
 
-// join adds a field's name to the path of its mapping.
-func join(path, name string) string {
+// joinPath appends the name of a field to the path of its mapping.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// kindNames describe nodes that are no scalars.
-var kindNames = map[yaml.Kind]string{
+// nodeKindNames describe nodes that are not scalars.
+var nodeKindNames = map[yaml.Kind]string{
 	yaml.MappingNode:  "(a mapping)",
 	yaml.SequenceNode: "(a sequence)",
 	yaml.AliasNode:    "(an alias)",
 }
 
-// shown gives a node's text for a Violation.
-func shown(node *yaml.Node) string {
-	if name, ok := kindNames[node.Kind]; ok {
+// nodeText returns the text of a node for a Violation, truncated to maxValueBytes.
+func nodeText(node *yaml.Node) string {
+	if name, ok := nodeKindNames[node.Kind]; ok {
 		return name
 	}
-	if len(node.Value) <= maxValueShown {
+	if len(node.Value) <= maxValueBytes {
 		return node.Value
 	}
-	return strings.ToValidUTF8(node.Value[:maxValueShown], "") + "..."
+	return strings.ToValidUTF8(node.Value[:maxValueBytes], "") + "..."
 }
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -12,24 +12,25 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Forms of text fields.
+// Patterns of text fields.
 var (
-	nameForm   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
-	hashForm   = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	prefixForm = regexp.MustCompile(`^/[!-"$->@-~]{0,255}$`)
+	namePattern   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+	hashPattern   = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	prefixPattern = regexp.MustCompile(`^/[!-"$->@-~]{0,255}$`)
 )
 
-// Descriptions of those forms.
+// Descriptions of the patterns for violations.
 const (
 	nameExpected   = "a name of 1 to 64 letters, digits, '.', '_' or '-' that starts with a letter or digit"
 	hashExpected   = "a SHA-256 as 64 lower-case hex digits"
 	prefixExpected = "a path of at most 256 visible ASCII characters that starts with '/', without '?' and '#'"
 )
 
-// scalarTags are the YAML types whose text may stand for a string.
+// scalarTags are the YAML types that are accepted as strings.
 var scalarTags = []string{"!!str", "!!int", "!!float", "!!bool", "!!timestamp"}
 
-// scalarText gives a scalar's text; false for null and all that is no scalar.
+// scalarText returns the text of a scalar. It returns false for null and for nodes
+// that are not scalars.
 func scalarText(node *yaml.Node) (string, bool) {
 	if node.Kind != yaml.ScalarNode || !slices.Contains(scalarTags, node.ShortTag()) {
 		return "", false
@@ -37,35 +38,36 @@
 	return node.Value, true
 }
 
-// text reads a string of a given form.
+// text returns a field that reads a string that matches a pattern. expected describes the pattern in
+// violations.
 func text[T ~string](target *T, form *regexp.Regexp, expected string) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, ok := scalarText(node)
 		if !ok || !form.MatchString(value) {
-			r.fail(node, path, expected)
+			r.addViolation(node, path, expected)
 			return
 		}
 		*target = T(value)
 	}
 }
 
-// name reads a name.
-func name[T ~string](target *T) field { return text(target, nameForm, nameExpected) }
+// name returns a field that reads a name.
+func name[T ~string](target *T) field { return text(target, namePattern, nameExpected) }
 
-// oneOf reads a string out of a fixed set.
+// oneOf returns a field that reads a string that is one of the allowed values.
 func oneOf[T ~string](target *T, allowed ...T) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, ok := scalarText(node)
 		if !ok || !slices.Contains(allowed, T(value)) {
-			r.fail(node, path, "one of "+list(allowed))
+			r.addViolation(node, path, "one of "+joinValues(allowed))
 			return
 		}
 		*target = T(value)
 	}
 }
 
-// list joins allowed values for a description.
-func list[T ~string](allowed []T) string {
+// joinValues joins allowed values for the text of a violation.
+func joinValues[T ~string](allowed []T) string {
 	parts := make([]string, len(allowed))
 	for i, value := range allowed {
 		parts[i] = string(value)
@@ -73,68 +75,68 @@
 	return strings.Join(parts, ", ")
 }
 
-// whole reads a whole number from least to most.
-func whole(target *int, least, most int) field {
-	expected := fmt.Sprintf("a whole number from %d to %d", least, most)
+// integer returns a field that reads an integer from minimum to maximum.
+func integer(target *int, minimum, maximum int) field {
+	expected := fmt.Sprintf("a whole number from %d to %d", minimum, maximum)
 	return func(r *reader, node *yaml.Node, path string) {
 		value, err := strconv.Atoi(node.Value)
 		ok := node.Kind == yaml.ScalarNode && node.ShortTag() == "!!int" && err == nil
-		if !ok || value < least || value > most {
-			r.fail(node, path, expected)
+		if !ok || value < minimum || value > maximum {
+			r.addViolation(node, path, expected)
 			return
 		}
 		*target = value
 	}
 }
 
-// number reads a number from least to most.
-func number(target *float64, least, most float64) field {
-	expected := fmt.Sprintf("a number from %v to %v", least, most)
+// number returns a field that reads a number from minimum to maximum.
+func number(target *float64, minimum, maximum float64) field {
+	expected := fmt.Sprintf("a number from %v to %v", minimum, maximum)
 	return func(r *reader, node *yaml.Node, path string) {
 		value, err := strconv.ParseFloat(node.Value, 64)
 		ok := node.Kind == yaml.ScalarNode && isNumber(node) && err == nil && !math.IsNaN(value)
-		if !ok || value < least || value > most {
-			r.fail(node, path, expected)
+		if !ok || value < minimum || value > maximum {
+			r.addViolation(node, path, expected)
 			return
 		}
 		*target = value
 	}
 }
 
-// isNumber reports whether a scalar is a whole or a floating number.
+// isNumber reports whether a scalar is an integer or a floating-point number.
 func isNumber(node *yaml.Node) bool {
 	tag := node.ShortTag()
 	return tag == "!!int" || tag == "!!float"
 }
 
-// duration reads a duration from least to most.
-func duration(target *Duration, least, most time.Duration) field {
-	expected := fmt.Sprintf("a duration such as 1.5s, from %v to %v", least, most)
+// duration returns a field that reads a duration from minimum to maximum.
+func duration(target *Duration, minimum, maximum time.Duration) field {
+	expected := fmt.Sprintf("a duration such as 1.5s, from %v to %v", minimum, maximum)
 	return func(r *reader, node *yaml.Node, path string) {
 		var value Duration
 		ok := node.Kind == yaml.ScalarNode && value.UnmarshalYAML(node) == nil
-		if !ok || value.D() < least || value.D() > most {
-			r.fail(node, path, expected)
+		if !ok || value.D() < minimum || value.D() > maximum {
+			r.addViolation(node, path, expected)
 			return
 		}
 		*target = value
 	}
 }
 
-// truth reads true or false.
-func truth(target **bool) field {
+// boolean returns a field that reads true or false.
+func boolean(target **bool) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, err := strconv.ParseBool(node.Value)
 		if node.Kind != yaml.ScalarNode || node.ShortTag() != "!!bool" || err != nil {
-			r.fail(node, path, "true or false")
+			r.addViolation(node, path, "true or false")
 			return
 		}
 		*target = &value
 	}
 }
 
-// object reads a mapping.
-func object(known fields) field {
+// submapping returns a field that reads a nested mapping.
+func submapping(known fields) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		r.mapping(node, path, known)
 	}
--- a/core/fleet/schema.go
+++ b/core/fleet/schema.go
@@ -6,21 +6,21 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Bounds of values.
+// Limits of values.
 const (
-	maxQueue       = 1 << 20
+	maxQueueLength = 1 << 20
 	maxAttempts    = 100
 	maxRate        = 1e6
 	maxWeight      = 1000
 	maxLayers      = 4096
 	maxFailures    = 1000
-	leastRatio     = 0.001
-	mostRatio      = 10
-	leastRate      = 0.001
-	leastTime      = time.Millisecond
-	mostTime       = 24 * time.Hour
-	leastRetention = time.Minute
-	mostRetention  = 31 * 24 * time.Hour
+	minRatio       = 0.001
+	maxRatio       = 10
+	minRate        = 0.001
+	minDuration    = time.Millisecond
+	maxDuration    = 24 * time.Hour
+	minRetention   = time.Minute
+	maxRetention   = 31 * 24 * time.Hour
 )
 
 // profile reads a Profile.
@@ -31,44 +31,44 @@
 		"name":            name(&p.Name),
 		"change":          name(&p.Change),
 		"strategy":        oneOf(&p.Strategy, StrategyFlow, StrategyRoundRobin, StrategyTwoChoices, StrategyLeastLoaded),
-		"queue":           object(queueFields(&p.Queue)),
-		"retry":           object(retryFields(&p.Retry)),
-		"health":          object(healthFields(&p.Health)),
-		"deadline":        duration(&p.Deadline, leastTime, mostTime),
-		"token_interval":  duration(&p.TokenInterval, leastTime, mostTime),
-		"stall_after":     duration(&p.StallAfter, leastTime, mostTime),
-		"connect_timeout": duration(&p.ConnectTimeout, leastTime, mostTime),
-		"claim_retention": duration(&p.ClaimRetention, leastRetention, mostRetention),
+		"queue":           submapping(queueFields(&p.Queue)),
+		"retry":           submapping(retryFields(&p.Retry)),
+		"health":          submapping(healthFields(&p.Health)),
+		"deadline":        duration(&p.Deadline, minDuration, maxDuration),
+		"token_interval":  duration(&p.TokenInterval, minDuration, maxDuration),
+		"stall_after":     duration(&p.StallAfter, minDuration, maxDuration),
+		"connect_timeout": duration(&p.ConnectTimeout, minDuration, maxDuration),
+		"claim_retention": duration(&p.ClaimRetention, minRetention, maxRetention),
 	})
 	r.require(node, "", seen, "name")
 	return p.WithDefaults()
 }
 
-// queueFields are the fields of a QueuePolicy.
+// queueFields returns the fields of a QueuePolicy.
 func queueFields(p *QueuePolicy) fields {
 	return fields{
-		"length":      whole(&p.Length, 1, maxQueue),
-		"per_account": whole(&p.PerAccount, 1, maxQueue),
+		"length":      integer(&p.Length, 1, maxQueueLength),
+		"per_account": integer(&p.PerAccount, 1, maxQueueLength),
 	}
 }
 
-// retryFields are the fields of a RetryPolicy.
+// retryFields returns the fields of a RetryPolicy.
 func retryFields(p *RetryPolicy) fields {
 	return fields{
-		"attempts":     whole(&p.Attempts, 1, maxAttempts),
-		"budget_ratio": number(&p.BudgetRatio, leastRatio, mostRatio),
-		"budget_min":   number(&p.BudgetMin, leastRatio, maxRate),
+		"attempts":     integer(&p.Attempts, 1, maxAttempts),
+		"budget_ratio": number(&p.BudgetRatio, minRatio, maxRatio),
+		"budget_min":   number(&p.BudgetMin, minRatio, maxRate),
 	}
 }
 
-// healthFields are the fields of a HealthPolicy.
+// healthFields returns the fields of a HealthPolicy.
 func healthFields(p *HealthPolicy) fields {
 	return fields{
-		"failures":         whole(&p.Failures, 1, maxFailures),
-		"eject_for":        duration(&p.EjectFor, leastTime, mostTime),
-		"floor_percent":    whole(&p.FloorPercent, 1, 100),
-		"quarantine_after": whole(&p.QuarantineAfter, 1, maxFailures),
-		"quarantine_for":   duration(&p.QuarantineFor, leastTime, mostTime),
+		"failures":         integer(&p.Failures, 1, maxFailures),
+		"eject_for":        duration(&p.EjectFor, minDuration, maxDuration),
+		"floor_percent":    integer(&p.FloorPercent, 1, 100),
+		"quarantine_after": integer(&p.QuarantineAfter, 1, maxFailures),
+		"quarantine_for":   duration(&p.QuarantineFor, minDuration, maxDuration),
 	}
 }
 
@@ -81,32 +81,33 @@
 		"change":  name(&s.Change),
 		"type":    oneOf(&s.Type, ServiceModel, ServicePlain),
 		"profile": name(&s.Profile),
-		"layers":  whole(&s.Layers, 1, maxLayers),
+		"layers":  integer(&s.Layers, 1, maxLayers),
 		"routes":  routes(&s.Routes),
 		"leaving": names(&s.Leaving, "upstream"),
 	})
 	r.require(node, "", seen, "name", "type", "profile")
-	r.matchType(node, s.Type, seen)
+	r.checkTypeFields(node, s.Type, seen)
 	return s.WithDefaults()
 }
 
-// matchType checks that a service has the fields of its type and no others.
-func (r *reader) matchType(node *yaml.Node, serviceType string, seen map[string]bool) {
-	wanted, foreign := "layers", "routes"
+// checkTypeFields checks that a service has the field that its type requires
+// (layers or routes) and not the other one.
+func (r *reader) checkTypeFields(node *yaml.Node, serviceType string, seen map[string]bool) {
+	required, forbidden := "layers", "routes"
 	switch serviceType {
 	case ServiceModel:
 	case ServicePlain:
-		wanted, foreign = foreign, wanted
+		required, forbidden = forbidden, required
 	default:
 		return
 	}
-	r.require(node, "", seen, wanted)
-	if seen[foreign] {
-		r.fail(node, foreign, "no such field in a service of type "+serviceType)
+	r.require(node, "", seen, required)
+	if seen[forbidden] {
+		r.addViolation(node, forbidden, "no such field in a service of type "+serviceType)
 	}
 }
 
-// routes reads the routes of a plain service.
+// routes returns a field that reads the routes of a plain service.
 func routes(target *[]Route) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		known := make(map[[2]string]bool)
@@ -115,24 +116,24 @@
 			route := r.route(node, path)
 			id := [2]string{route.Method, route.Prefix}
 			if known[id] && route.Prefix != "" {
-				r.fail(node, path, "each method and prefix only once")
+				r.addViolation(node, path, "each method and prefix only once")
 			}
 			known[id] = true
 			*target = append(*target, route)
 		})
 		if node.Kind == yaml.SequenceNode && len(node.Content) == 0 {
-			r.fail(node, path, expected)
+			r.addViolation(node, path, expected)
 		}
 	}
 }
 
-// route reads one Route.
+// route reads a Route.
 func (r *reader) route(node *yaml.Node, path string) Route {
 	var route Route
 	seen := r.mapping(node, path, fields{
 		"method":     oneOf(&route.Method, "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"),
-		"prefix":     text(&route.Prefix, prefixForm, prefixExpected),
-		"idempotent": truth(&route.Idempotent),
+		"prefix":     text(&route.Prefix, prefixPattern, prefixExpected),
+		"idempotent": boolean(&route.Idempotent),
 	})
 	r.require(node, path, seen, "method", "prefix")
 	return route
@@ -151,27 +152,28 @@
 	return a.WithDefaults()
 }
 
-// accountList reads the accounts of a shard.
+// accountList returns a field that reads the accounts of a shard.
 func accountList(target *[]Account) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		ids := make(map[string]bool)
 		keys := make(map[string]bool)
 		r.sequence(node, path, "a sequence of accounts", func(r *reader, node *yaml.Node, path string) {
 			account := r.account(node, path)
-			r.once(node, join(path, "id"), string(account.ID), ids)
-			r.once(node, join(path, "key_sha256"), account.KeySHA256, keys)
+			r.rejectDuplicate(node, joinPath(path, "id"), string(account.ID), ids)
+			r.rejectDuplicate(node, joinPath(path, "key_sha256"), account.KeySHA256, keys)
 			*target = append(*target, account)
 		})
 	}
 }
 
-// once notes a value that stands twice; an empty value was refused already.
-func (r *reader) once(node *yaml.Node, path, value string, known map[string]bool) {
+// rejectDuplicate adds a violation for a value that occurred before. An empty value
+// is ignored, because it is a violation already.
+func (r *reader) rejectDuplicate(node *yaml.Node, path, value string, known map[string]bool) {
 	if value == "" {
 		return
 	}
 	if known[value] {
-		r.fail(&yaml.Node{Kind: yaml.ScalarNode, Line: node.Line, Value: value}, path, "each value only once in a document")
+		r.addViolation(&yaml.Node{Kind: yaml.ScalarNode, Line: node.Line, Value: value}, path, "each value only once in a document")
 	}
 	known[value] = true
 }
--- a/core/fleet/violation.go
+++ b/core/fleet/violation.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// Violation is one fault of a document.
+// Violation describes one error in a document.
 type Violation struct {
-	// Path is the place, for instance "accounts[3].rate"; empty for the
+	// Path is the path of the field, for instance "accounts[3].rate"; empty for the
 	// document as a whole.
 	Path string
-	// Line counts from 1; 0 means that the line is not known.
+	// Line is the line number, counted from 1; 0 means unknown.
 	Line int
-	// Value is the text found, shortened to maxValueShown bytes; empty when
-	// a field is missing.
+	// Value is the text found, truncated to maxValueBytes; empty if a field is
+	// missing.
 	Value string
-	// Expected describes what is allowed there.
+	// Expected describes the allowed values.
 	Expected string
 }
 
-// maxValueShown is the most bytes of a wrong value that a Violation keeps.
-const maxValueShown = 80
+// maxValueBytes limits the text of a wrong value that a Violation keeps.
+const maxValueBytes = 80
 
-// String gives the violation in one line.
+// String returns the violation as one line.
 func (v Violation) String() string {
 	path := v.Path
 	if path == "" {
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("line %d: %s: got %q, expected %s", v.Line, path, v.Value, v.Expected)
 }
 
-// InvalidError lists every violation found in a document, by line.
+// InvalidError lists every violation in a document, ordered by line.
 type InvalidError struct{ Violations []Violation }
 
-// Error implements error. It has one line for each violation.
+// Error implements error. The text has one line per violation.
 func (e *InvalidError) Error() string {
 	var b strings.Builder
 	b.WriteString("invalid document")
