--- a/core/fleet/account.go
+++ b/core/fleet/account.go
@@ -19,8 +19,8 @@
 	return a
 }
 
-// names returns a field that reads a sequence of at least one name without duplicates. what describes
-// the names in violations.
+// names returns a field that reads a sequence of at least one name without
+// duplicates. what describes the names in violations.
 func names[T ~string](target *[]T, what string) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		known := make(map[string]bool)
--- a/core/fleet/rules.go
+++ b/core/fleet/rules.go
@@ -38,8 +38,8 @@
 	return node.Value, true
 }
 
-// text returns a field that reads a string that matches a pattern. expected describes the pattern in
-// violations.
+// text returns a field that reads a string that matches a pattern. expected
+// describes the pattern in violations.
 func text[T ~string](target *T, form *regexp.Regexp, expected string) field {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, ok := scalarText(node)
--- a/core/peerapi/calls.go
+++ b/core/peerapi/calls.go
@@ -2,15 +2,16 @@
 
 import "mimosaarch.example/core/platformapi"
 
-// Validate gives an error as Digest.Validate does.
+// Validate returns an *InvalidError or an *OversizeError if the message must not be
+// used, and nil otherwise.
 func (r *DigestReply) Validate() error {
 	var c checker
 	c.name("vm", string(r.VM))
 	c.name("zone", string(r.Zone))
 	c.name("boot", r.Boot)
-	c.least("config_revision", r.ConfigRevision, 0)
-	c.least("vms_revision", r.VMsRevision, 0)
-	c.size("known", len(r.KnownPeers), MaxKnownPeers)
+	c.atLeast("config_revision", r.ConfigRevision, 0)
+	c.atLeast("vms_revision", r.VMsRevision, 0)
+	c.sizeAtMost("known", len(r.KnownPeers), MaxKnownPeers)
 	for _, k := range r.KnownPeers[:min(len(r.KnownPeers), MaxKnownPeers)] {
 		c.name("known.vm", string(k.VM))
 		c.name("known.zone", string(k.Zone))
@@ -26,79 +27,85 @@
 	return r.Digest.Validate()
 }
 
-// Validate gives an error as Digest.Validate does.
+// Validate returns an *InvalidError or an *OversizeError if the message must not be
+// used, and nil otherwise.
 func (p *Pull) Validate() error {
 	var c checker
-	c.size("summary", len(p.Summary), MaxSummary)
+	c.sizeAtMost("summary", len(p.Summary), MaxSummary)
 	if c.err != nil {
 		return c.err
 	}
 	for _, kv := range p.Summary {
 		c.name("summary.key", kv.Key)
-		c.least("summary.version", kv.Version, 0)
-		c.least("summary.good", kv.Good, 0)
+		c.atLeast("summary.version", kv.Version, 0)
+		c.atLeast("summary.good", kv.Good, 0)
 	}
 	return c.err
 }
 
-// Validate gives an error as Digest.Validate does.
+// Validate returns an *InvalidError or an *OversizeError if the message must not be
+// used, and nil otherwise.
 func (r *PullReply) Validate() error {
 	var c checker
-	c.size("objects", len(r.Objects), MaxObjects)
+	c.sizeAtMost("objects", len(r.Objects), MaxObjects)
 	if c.err != nil {
 		return c.err
 	}
 	for _, object := range r.Objects {
 		c.name("objects.key", object.Key)
-		c.least("objects.version", object.Version, 1)
-		c.size("objects.value", len(object.Value), platformapi.MaxValueBytes)
+		c.atLeast("objects.version", object.Version, 1)
+		c.sizeAtMost("objects.value", len(object.Value), platformapi.MaxValueBytes)
 	}
 	return c.err
 }
 
-// Validate gives an error as Digest.Validate does.
+// Validate returns an *InvalidError or an *OversizeError if the message must not be
+// used, and nil otherwise.
 func (v *VMs) Validate() error {
 	var c checker
-	c.least("above", v.AfterRevision, 0)
+	c.atLeast("above", v.AfterRevision, 0)
 	return c.err
 }
 
-// Validate gives an error as Digest.Validate does.
+// Validate returns an *InvalidError or an *OversizeError if the message must not be
+// used, and nil otherwise.
 func (r *VMsReply) Validate() error {
 	var c checker
-	c.least("list.revision", r.List.Revision, 0)
-	c.size("list.vms", len(r.List.VMs), MaxVMs)
+	c.atLeast("list.revision", r.List.Revision, 0)
+	c.sizeAtMost("list.vms", len(r.List.VMs), MaxVMs)
 	if c.err != nil {
 		return c.err
 	}
 	for _, vm := range r.List.VMs {
 		c.name("list.vms.id", vm.ID)
-		c.size("list.vms.address", len(vm.Address), MaxNameBytes)
-		c.size("list.vms.zone", len(vm.Zone), MaxNameBytes)
-		c.size("list.vms.service", len(vm.Service), MaxNameBytes)
-		c.size("list.vms.peer_address", len(vm.PeerAddress), MaxNameBytes)
+		c.sizeAtMost("list.vms.address", len(vm.Address), MaxNameBytes)
+		c.sizeAtMost("list.vms.zone", len(vm.Zone), MaxNameBytes)
+		c.sizeAtMost("list.vms.service", len(vm.Service), MaxNameBytes)
+		c.sizeAtMost("list.vms.peer_address", len(vm.PeerAddress), MaxNameBytes)
 	}
 	return c.err
 }
 
-// Validate gives an error as Digest.Validate does.
+// Validate returns an *InvalidError or an *OversizeError if the message must not be
+// used, and nil otherwise.
 func (e *Explain) Validate() error {
 	var c checker
 	c.name("request", string(e.ID))
 	return c.err
 }
 
-// Validate gives an error as Digest.Validate does.
+// Validate returns an *InvalidError or an *OversizeError if the message must not be
+// used, and nil otherwise.
 func (r *ExplainReply) Validate() error {
 	var c checker
-	c.size("decisions", len(r.Decisions), MaxDecisions)
+	c.sizeAtMost("decisions", len(r.Decisions), MaxDecisions)
 	if c.err != nil {
 		return c.err
 	}
 	for _, d := range r.Decisions {
 		c.name("decisions.step", d.Step)
-		c.size("decisions.detail", len(d.Detail), MaxDetailBytes)
-		c.size("decisions.chain", len(d.Chain), MaxUpstreams)
+		c.sizeAtMost("decisions.detail", len(d.Detail), MaxDetailBytes)
+		c.sizeAtMost("decisions.chain", len(d.Chain), MaxUpstreams)
 	}
 	return c.err
 }
--- a/core/peerapi/claim_test.go
+++ b/core/peerapi/claim_test.go
@@ -14,7 +14,7 @@
 	if err := valid().Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Claim){
+	for name, corrupt := range map[string]func(*Claim){
 		"kind":           func(m *Claim) { m.Kind = "steal" },
 		"shard":          func(m *Claim) { m.Shard = -1 },
 		"nonce":          func(m *Claim) { m.Nonce = "" },
@@ -36,9 +36,9 @@
 		"unnamed record": func(m *Claim) { m.Record = ClaimRecord{} },
 	} {
 		m := valid()
-		spoil(m)
+		corrupt(m)
 		if m.Validate() == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("a claim with an invalid field was accepted: %s", name)
 		}
 	}
 	for name, c := range map[string]struct {
--- a/core/peerapi/figures.go
+++ b/core/peerapi/figures.go
@@ -12,34 +12,35 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Figures are the parts of a digest that change from round to round, by their
-// places in an earlier digest, the base. Each slice has the length of the
-// base's part.
+// Figures are the numbers of a digest that change from round to round, as values by
+// position in an earlier, full digest, the base. Each slice has the length of the
+// corresponding part of the base.
 //
-// In a message they are a string that holds JSON arrays of numbers, in the
-// order of the fields: the envelope of a call is parsed several times, and
-// what is in a string only once.
+// In a message they are a JSON string that contains JSON arrays of numbers, in the
+// order of the fields. The envelope of a call is parsed several times, but the
+// content of a string only once.
 type Figures struct {
-	// InFlight are counts, by the base's InFlight in the order of its names;
-	// 0 stands for an absent one.
+	// InFlight are the counts for the upstreams in the InFlight of the base,
+	// ordered by name; 0 means that the upstream has none.
 	InFlight []int
-	// Demands are those of the base's Usage, rounded to four digits; 0 stands
-	// for an absent one.
+	// Demands are the demands of the accounts in the Usage of the base, rounded to
+	// four significant digits; 0 means that the account is absent.
 	Demands []float64
-	// Running, ReportAges and Ages are those of the base's Loads: a report's
-	// Running and AgeMs, and the AgeNs in milliseconds. All else is as in the
-	// base. An age of absent means that the base's entry no longer stands.
+	// Running, ReportAges and Ages belong to the Loads of the base: Running and
+	// AgeMs of the report, and AgeNs in milliseconds. All other fields are
+	// unchanged from the base. An age of ageAbsent means that the entry of the base
+	// is not part of the digest; a changed one is in Loads instead.
 	Running    []int
 	ReportAges []int64
 	Ages       []int64
 }
 
-// plainFigures are Figures without their methods, as arrays.
-type plainFigures [5]any
+// figureArrays is the JSON form of Figures.
+type figureArrays [5]any
 
 // MarshalJSON implements json.Marshaler.
 func (f *Figures) MarshalJSON() ([]byte, error) {
-	inner, err := json.Marshal(plainFigures{f.InFlight, f.Demands, f.Running, f.ReportAges, f.Ages})
+	inner, err := json.Marshal(figureArrays{f.InFlight, f.Demands, f.Running, f.ReportAges, f.Ages})
 	if err != nil {
 		return nil, err
 	}
@@ -52,88 +53,92 @@
 	if err := json.Unmarshal(data, &inner); err != nil {
 		return err
 	}
-	return json.Unmarshal([]byte(inner), &plainFigures{&f.InFlight, &f.Demands, &f.Running, &f.ReportAges, &f.Ages})
+	return json.Unmarshal([]byte(inner), &figureArrays{&f.InFlight, &f.Demands, &f.Running, &f.ReportAges, &f.Ages})
 }
 
-// absent marks a load that is not as in the base.
-const absent = -1
+// ageAbsent is the value in Ages for an entry of the base that is not part of the
+// digest.
+const ageAbsent = -1
 
-// demandDigits are the digits of a demand that are told, less one.
-const demandDigits = 3
+// demandDecimals is the number of digits of a demand after the first significant
+// one.
+const demandDecimals = 3
 
-// Delta gives the digest as what differs from a base, which must be whole
-// and of the same boot. The digest itself is not changed.
+// Delta returns the digest as its difference from a base, which must be a full
+// digest of the same boot. d itself is not changed.
 func (d *Digest) Delta(base *Digest) Digest {
 	out := *d
 	out.Base = base.Seq
 	out.Figures = &Figures{}
-	out.inFlightAgainst(d, base)
-	out.usageAgainst(d, base)
-	out.loadsAgainst(d, base)
+	out.setInFlightDelta(d, base)
+	out.setUsageDelta(d, base)
+	out.setLoadsDelta(d, base)
 	return out
 }
 
-// inFlightAgainst sets the counts, and keeps those without a place.
-func (d *Digest) inFlightAgainst(whole, base *Digest) {
-	d.InFlight = maps.Clone(whole.InFlight)
+// setInFlightDelta sets the counts for the upstreams in base and keeps the others
+// in InFlight.
+func (d *Digest) setInFlightDelta(full, base *Digest) {
+	d.InFlight = maps.Clone(full.InFlight)
 	for _, id := range sortedNames(base.InFlight) {
-		d.Figures.InFlight = append(d.Figures.InFlight, whole.InFlight[id])
+		d.Figures.InFlight = append(d.Figures.InFlight, full.InFlight[id])
 		delete(d.InFlight, id)
 	}
 }
 
-// usageAgainst sets the demands, and keeps those without a place.
-func (d *Digest) usageAgainst(whole, base *Digest) {
-	demands := make(map[ids.Account]float64, len(whole.Usage))
-	for _, u := range whole.Usage {
+// setUsageDelta sets the demands for the accounts in base and keeps the others in
+// Usage.
+func (d *Digest) setUsageDelta(full, base *Digest) {
+	demands := make(map[ids.Account]float64, len(full.Usage))
+	for _, u := range full.Usage {
 		demands[u.Account] = u.Demand
 	}
 	for _, u := range base.Usage {
-		d.Figures.Demands = append(d.Figures.Demands, rounded(demands[u.Account]))
+		d.Figures.Demands = append(d.Figures.Demands, roundDemand(demands[u.Account]))
 		delete(demands, u.Account)
 	}
 	d.Usage = nil
-	for _, u := range whole.Usage {
+	for _, u := range full.Usage {
 		if _, left := demands[u.Account]; left {
 			d.Usage = append(d.Usage, u)
 		}
 	}
 }
 
-// loadsAgainst sets the loads whose unchanging parts are the base's, and keeps
-// the others.
-func (d *Digest) loadsAgainst(whole, base *Digest) {
-	byEngine := make(map[string]*Load, len(whole.Loads))
-	for i := range whole.Loads {
-		byEngine[whole.Loads[i].Report.Engine] = &whole.Loads[i]
+// setLoadsDelta sets the figures of the loads that differ from base only in them,
+// and keeps the others in Loads.
+func (d *Digest) setLoadsDelta(full, base *Digest) {
+	byEngine := make(map[string]*Load, len(full.Loads))
+	for i := range full.Loads {
+		byEngine[full.Loads[i].Report.Engine] = &full.Loads[i]
 	}
 	for i := range base.Loads {
 		load := byEngine[base.Loads[i].Report.Engine]
-		if load == nil || !sameBut(load, &base.Loads[i]) {
-			d.Figures.add(0, 0, absent)
+		if load == nil || !equalExceptFigures(load, &base.Loads[i]) {
+			d.Figures.appendLoad(0, 0, ageAbsent)
 			continue
 		}
 		age := time.Duration(load.AgeNs) + time.Millisecond - 1
-		d.Figures.add(load.Report.Running, load.Report.AgeMs, age.Milliseconds())
+		d.Figures.appendLoad(load.Report.Running, load.Report.AgeMs, age.Milliseconds())
 		delete(byEngine, load.Report.Engine)
 	}
 	d.Loads = nil
-	for i := range whole.Loads {
-		if load := byEngine[whole.Loads[i].Report.Engine]; load == &whole.Loads[i] {
+	for i := range full.Loads {
+		if load := byEngine[full.Loads[i].Report.Engine]; load == &full.Loads[i] {
 			d.Loads = append(d.Loads, *load)
 		}
 	}
 }
 
-// add adds the figures of one load.
-func (f *Figures) add(running int, reportAge, age int64) {
+// appendLoad appends the figures of one load.
+func (f *Figures) appendLoad(running int, reportAge, age int64) {
 	f.Running = append(f.Running, running)
 	f.ReportAges = append(f.ReportAges, reportAge)
 	f.Ages = append(f.Ages, age)
 }
 
-// sameBut reports whether two loads differ at most in their figures.
-func sameBut(a, b *Load) bool {
+// equalExceptFigures reports whether two loads are equal except for their figures.
+func equalExceptFigures(a, b *Load) bool {
 	x, y := &a.Report, &b.Report
 	return a.Relayed == b.Relayed && x.Epoch == y.Epoch && x.Model == y.Model &&
 		x.First == y.First && x.Last == y.Last && x.Slots == y.Slots &&
@@ -141,31 +146,31 @@
 		slices.Equal(x.Links, y.Links)
 }
 
-// rounded cuts a demand to the digits that are told.
-func rounded(demand float64) float64 {
+// roundDemand rounds a demand to the digits that are sent.
+func roundDemand(demand float64) float64 {
 	if demand <= 0 || math.IsInf(demand, 0) {
 		return demand
 	}
-	scale := math.Pow(10, demandDigits-math.Floor(math.Log10(demand)))
+	scale := math.Pow(10, demandDecimals-math.Floor(math.Log10(demand)))
 	if math.IsInf(scale, 0) || scale == 0 {
 		return demand
 	}
 	return math.Round(demand*scale) / scale
 }
 
-// sortedNames gives the names of counts in order.
+// sortedNames returns the keys of counts in order.
 func sortedNames(counts map[ids.Upstream]int) []ids.Upstream {
 	return slices.Sorted(maps.Keys(counts))
 }
 
-// Expand undoes Against. The error is an *InvalidError: the digest is not one
-// against this base.
+// Expand is the inverse of Delta: it returns the full digest. The error is an
+// *InvalidError if d is not a delta from this base.
 func (d *Digest) Expand(base *Digest) (Digest, error) {
 	f := d.Figures
 	if f == nil || d.Base != base.Seq || d.Boot != base.Boot || d.VM != base.VM || d.Zone != base.Zone {
 		return Digest{}, &InvalidError{Field: "base", Detail: "not that of the digest"}
 	}
-	if err := f.fits(base); err != nil {
+	if err := f.checkLengths(base); err != nil {
 		return Digest{}, err
 	}
 	out := *d
@@ -179,13 +184,13 @@
 			out.InFlight[id] = f.InFlight[i]
 		}
 	}
-	out.Usage = wholeUsage(d, base)
-	out.Loads = wholeLoads(d, base)
+	out.Usage = expandUsage(d, base)
+	out.Loads = expandLoads(d, base)
 	return out, nil
 }
 
-// fits checks that there is a figure for each place.
-func (f *Figures) fits(base *Digest) error {
+// checkLengths checks that each slice has the length of its part of the base.
+func (f *Figures) checkLengths(base *Digest) error {
 	pairs := []struct{ have, want int }{
 		{len(f.InFlight), len(base.InFlight)},
 		{len(f.Demands), len(base.Usage)},
@@ -201,8 +206,8 @@
 	return nil
 }
 
-// wholeUsage gives all demands, the largest first.
-func wholeUsage(d, base *Digest) []AccountUsage {
+// expandUsage returns the demands of the full digest, the largest first.
+func expandUsage(d, base *Digest) []AccountUsage {
 	out := slices.Clone(d.Usage)
 	for i, u := range base.Usage {
 		if demand := d.Figures.Demands[i]; demand > 0 {
@@ -215,12 +220,12 @@
 	return out
 }
 
-// wholeLoads gives all loads.
-func wholeLoads(d, base *Digest) []Load {
+// expandLoads returns the loads of the full digest.
+func expandLoads(d, base *Digest) []Load {
 	f := d.Figures
 	out := make([]Load, 0, len(base.Loads)+len(d.Loads))
 	for i, load := range base.Loads {
-		if f.Ages[i] == absent {
+		if f.Ages[i] == ageAbsent {
 			continue
 		}
 		load.Report.Running = f.Running[i]
--- a/core/peerapi/figures_test.go
+++ b/core/peerapi/figures_test.go
@@ -12,9 +12,10 @@
 	"mimosaarch.example/core/ids"
 )
 
-// twoRounds gives two digests that differ in each way.
-func twoRounds() (base, next Digest) {
-	base = valid()
+// baseAndNext returns two consecutive digests that differ in every way that a delta
+// must represent.
+func baseAndNext() (base, next Digest) {
+	base = validDigest()
 	base.InFlight = map[ids.Upstream]int{"e1": 1, "e2": 2, "e3": 3}
 	base.Usage = []AccountUsage{{"x", 9}, {"y", 5}}
 	base.Loads = nil
@@ -34,8 +35,8 @@
 	return base, next
 }
 
-func TestAgainstAndWhole(t *testing.T) {
-	base, next := twoRounds()
+func TestDeltaAndExpand(t *testing.T) {
+	base, next := baseAndNext()
 	update := next.Delta(&base)
 	if len(update.InFlight) != 1 || len(update.Usage) != 1 || len(update.Loads) != 1 {
 		t.Fatalf("%+v", update)
@@ -44,14 +45,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told Digest
-	if err := json.Unmarshal(data, &told); err != nil {
+	var received Digest
+	if err := json.Unmarshal(data, &received); err != nil {
 		t.Fatal(err)
 	}
-	if err := told.Validate(); err != nil {
+	if err := received.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	got, err := told.Expand(&base)
+	got, err := received.Expand(&base)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +65,7 @@
 		t.Fatalf("got  %s\nwant %s", have, want)
 	}
 	if len(base.InFlight) != 3 || base.Loads[0].Report.Running != 0 {
-		t.Fatal("the base was changed")
+		t.Fatal("Delta or Expand changed the base")
 	}
 }
 
@@ -76,7 +77,7 @@
 }
 
 func TestFiguresAreChecked(t *testing.T) {
-	base, next := twoRounds()
+	base, next := baseAndNext()
 	update := next.Delta(&base)
 	cases := map[string]func(*Digest){
 		"no figures":       func(d *Digest) { d.Figures = nil },
@@ -93,13 +94,13 @@
 		"base of a base":   func(d *Digest) { b := base; b.Figures = &Figures{}; d.BaseDigest = &b },
 		"base without use": func(d *Digest) { d.Base, d.Figures, d.BaseDigest = 0, nil, &base },
 	}
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		d := update
 		f := *update.Figures
 		f.InFlight, f.Demands = slices.Clone(f.InFlight), slices.Clone(f.Demands)
 		f.Running, f.ReportAges, f.Ages = slices.Clone(f.Running), slices.Clone(f.ReportAges), slices.Clone(f.Ages)
 		d.Figures = &f
-		spoil(&d)
+		corrupt(&d)
 		if err := d.Validate(); !errors.As(err, new(*InvalidError)) {
 			t.Errorf("%s: got %v", name, err)
 		}
@@ -111,9 +112,9 @@
 		"usage":     func(d *Digest) { d.Usage = d.Usage[1:] },
 		"loads":     func(d *Digest) { d.Loads = d.Loads[1:] },
 	}
-	for name, spoil := range wrong {
+	for name, corrupt := range wrong {
 		other := base
-		spoil(&other)
+		corrupt(&other)
 		if _, err := update.Expand(&other); !errors.As(err, new(*InvalidError)) {
 			t.Errorf("base with other %s: got %v", name, err)
 		}
--- a/core/peerapi/peerapi_test.go
+++ b/core/peerapi/peerapi_test.go
@@ -11,8 +11,8 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// valid makes a digest with something in each field.
-func valid() Digest {
+// validDigest returns a valid digest in which each list has an entry.
+func validDigest() Digest {
 	return Digest{
 		VM: "a", Zone: "z", Boot: "b", Seq: 1, Address: "127.0.0.1:1",
 		InFlight:   map[ids.Upstream]int{"e": 1},
@@ -25,7 +25,7 @@
 }
 
 func TestDigest(t *testing.T) {
-	ok := valid()
+	ok := validDigest()
 	if err := ok.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,9 +49,9 @@
 		"no number":         func(d *Digest) { d.Loads[0].Report.TokensPerSecond = math.NaN() },
 		"unnamed link":      func(d *Digest) { d.Loads[0].Report.Links[0].To = "" },
 	}
-	for name, spoil := range invalid {
-		d := valid()
-		spoil(&d)
+	for name, corrupt := range invalid {
+		d := validDigest()
+		corrupt(&d)
 		var refused *InvalidError
 		if err := d.Validate(); !errors.As(err, &refused) {
 			t.Errorf("%s: got %v", name, err)
@@ -66,9 +66,9 @@
 		"loads":      func(d *Digest) { d.Loads = make([]Load, MaxUpstreams+1) },
 		"links":      func(d *Digest) { d.Loads[0].Report.Links = make([]engineapi.Link, MaxLinks+1) },
 	}
-	for name, spoil := range oversize {
-		d := valid()
-		spoil(&d)
+	for name, corrupt := range oversize {
+		d := validDigest()
+		corrupt(&d)
 		var refused *OversizeError
 		if err := d.Validate(); !errors.As(err, &refused) {
 			t.Errorf("%s: got %v", name, err)
@@ -77,9 +77,9 @@
 }
 
 func TestCalls(t *testing.T) {
-	other := valid()
+	other := validDigest()
 	other.VM = "c"
-	own := valid()
+	own := validDigest()
 	cases := map[string]struct {
 		message interface{ Validate() error }
 		ok      bool
--- a/core/peerapi/validate_figures.go
+++ b/core/peerapi/validate_figures.go
@@ -17,42 +17,43 @@
 		c.fail("base", "not an earlier digest")
 	}
 	f := d.Figures
-	c.size("figures.in_flight", len(f.InFlight), MaxUpstreams)
-	c.size("figures.demands", len(f.Demands), MaxUsageEntries)
-	c.size("figures.running", len(f.Running), MaxUpstreams)
-	c.size("figures.report_ages", len(f.ReportAges), MaxUpstreams)
-	c.size("figures.ages", len(f.Ages), MaxUpstreams)
-	c.all("figures.in_flight", f.InFlight, 0)
-	c.all("figures.running", f.Running, 0)
+	c.sizeAtMost("figures.in_flight", len(f.InFlight), MaxUpstreams)
+	c.sizeAtMost("figures.demands", len(f.Demands), MaxUsageEntries)
+	c.sizeAtMost("figures.running", len(f.Running), MaxUpstreams)
+	c.sizeAtMost("figures.report_ages", len(f.ReportAges), MaxUpstreams)
+	c.sizeAtMost("figures.ages", len(f.Ages), MaxUpstreams)
+	c.eachAtLeast("figures.in_flight", f.InFlight, 0)
+	c.eachAtLeast("figures.running", f.Running, 0)
 	c.ages("figures.report_ages", f.ReportAges, 0)
-	c.ages("figures.ages", f.Ages, absent)
+	c.ages("figures.ages", f.Ages, ageAbsent)
 	for _, demand := range f.Demands {
-		c.figure("figures.demands", demand)
+		c.finite("figures.demands", demand)
 	}
 	c.base(d)
 }
 
-// all checks the lower bound of counts.
-func (c *checker) all(field string, counts []int, bound int64) {
+// eachAtLeast checks a lower bound of each count.
+func (c *checker) eachAtLeast(field string, counts []int, bound int64) {
 	for _, n := range counts {
-		c.least(field, int64(n), bound)
+		c.atLeast(field, int64(n), bound)
 	}
 }
 
-// maxAgeMs is the highest age that can be told, in milliseconds.
+// maxAgeMs is the highest age that fits in a time.Duration.
 const maxAgeMs = math.MaxInt64 / int64(time.Millisecond)
 
-// ages checks the bounds of ages.
+// ages checks the bounds of each age.
 func (c *checker) ages(field string, ages []int64, bound int64) {
 	for _, age := range ages {
-		c.least(field, age, bound)
+		c.atLeast(field, age, bound)
 		if age > maxAgeMs {
 			c.fail(field, "too high")
 		}
 	}
 }
 
-// base checks the base that came with figures.
+// base checks that the base that came with the figures is a full, valid digest of
+// the same sender.
 func (c *checker) base(d *Digest) {
 	b := d.BaseDigest
 	if c.err != nil || b == nil {
