--- a/decide/roster/lease_test.go
+++ b/decide/roster/lease_test.go
@@ -8,16 +8,16 @@
 	"mimosaarch.example/decide/lease"
 )
 
-// leaseFor is the lease of the test's nodes.
-const leaseFor = 4 * time.Second
+// leaseDuration is the duration of the lease in these tests.
+const leaseDuration = 4 * time.Second
 
-// object is a lease's object in a store.
+// object is the stored object of a lease.
 type object struct {
 	version int64
 	record  lease.Record
 }
 
-// apply carries a command out.
+// apply executes a command as the store would.
 func (o *object) apply(c lease.Command) lease.Answer {
 	if w, ok := c.(lease.Write); ok && w.IfMatch == o.version {
 		o.version++
@@ -29,28 +29,28 @@
 	return lease.Answer{Kind: lease.Found, Version: o.version, Record: o.record}
 }
 
-// seeker is a node that seeks the lease while it is a head.
-type seeker struct {
+// candidate is a node that campaigns for the lease while its Roster allows it.
+type candidate struct {
 	roster *Roster
 	lease  *lease.Lease
 	dead   bool
 }
 
-// seekers makes the nodes of a fleet.
-func seekers(members []Member) []*seeker {
-	var out []*seeker
+// newCandidates returns one candidate for each member of a fleet.
+func newCandidates(members []Member) []*candidate {
+	var out []*candidate
 	for i, m := range members {
-		l := lease.New(lease.Options{Holder: string(m.Name), Duration: leaseFor, ReadInterval: leaseFor / 2, StaleReads: true, Seed: uint64(i)})
-		out = append(out, &seeker{roster: knowing(m, members).Roster, lease: l})
+		l := lease.New(lease.Options{Holder: string(m.Name), Duration: leaseDuration, ReadInterval: leaseDuration / 2, StaleReads: true, Seed: uint64(i)})
+		out = append(out, &candidate{roster: nodeKnowing(m, members).Roster, lease: l})
 	}
 	return out
 }
 
-// counts are the calls that a store got.
-type counts struct{ reads, stale, writes int }
+// callCounts counts the calls that the store received, by kind.
+type callCounts struct{ reads, stale, writes int }
 
-// turn has each node make the call that is due; answer decides what becomes of it.
-func turn(now time.Time, nodes []*seeker, n *counts, answer func(lease.Command) lease.Answer) {
+// stepAll executes the call that is due at each node. answer returns its result.
+func stepAll(now time.Time, nodes []*candidate, n *callCounts, answer func(lease.Command) lease.Answer) {
 	for _, s := range nodes {
 		if s.dead {
 			continue
@@ -77,10 +77,10 @@
 	}
 }
 
-// holder gives the node that holds the lease, nil for none.
-func holder(t *testing.T, now time.Time, nodes []*seeker) *seeker {
+// holder returns the node that holds the lease, or nil if none does.
+func holder(t *testing.T, now time.Time, nodes []*candidate) *candidate {
 	t.Helper()
-	var found *seeker
+	var found *candidate
 	for _, s := range nodes {
 		if s.dead || !s.lease.State(now).Held {
 			continue
@@ -93,13 +93,13 @@
 	return found
 }
 
-// A store that loses a third of its answers gets some writes of the holder's and of
-// those that would follow it, not of each of 300 nodes.
+// Guards against every one of 300 nodes writing the lease when the store loses a third
+// of its answers. Only the holder and the next candidates may write.
 func TestLeaseOfManyNodesIsWrittenByFew(t *testing.T) {
-	nodes := seekers(fleet())
+	nodes := newCandidates(fleet())
 	random := rand.New(rand.NewPCG(1, 1))
 	var o object
-	var n counts
+	var n callCounts
 	answer := func(c lease.Command) lease.Answer {
 		a := o.apply(c)
 		if random.IntN(3) == 0 {
@@ -111,70 +111,70 @@
 	const steps = 600
 	for i := range steps {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		turn(now, nodes, &n, answer)
+		stepAll(now, nodes, &n, answer)
 		if holder(t, now, nodes) != nil {
 			held++
 		}
 	}
-	// A stale read costs a tenth of another call. Where all 300 nodes sought the
-	// lease, they made 635 reads, 14,979 stale ones and 322 writes.
+	// A stale read costs a tenth of another call. With all 300 nodes as candidates there
+	// were 635 reads, 14,979 stale reads and 322 writes.
 	if price := n.writes + n.reads + n.stale/10; price > 200 || n.writes > 70 {
-		t.Errorf("%+v in a minute", n)
+		t.Errorf("%+v calls in a minute", n)
 	}
 	if held < steps*9/10 {
 		t.Errorf("held in %d of %d steps", held, steps)
 	}
 }
 
-// A store that refuses everything for 8 s gets a few calls a second, and the lease is
-// held again soon after.
-func TestLeaseOfManyNodesWhileTheStoreIsAway(t *testing.T) {
-	nodes := seekers(fleet())
+// While the store refuses all calls for 8 s, it must get only a few calls a second. The
+// lease must be held again soon after the store is back.
+func TestLeaseOfManyNodesDuringAStoreOutage(t *testing.T) {
+	nodes := newCandidates(fleet())
 	var o object
-	var n, away counts
+	var n, outage callCounts
 	for i := range 300 {
 		at := time.Duration(i) * 100 * time.Millisecond
 		now := start.Add(at)
 		if at < 10*time.Second || at >= 18*time.Second {
-			turn(now, nodes, &n, o.apply)
+			stepAll(now, nodes, &n, o.apply)
 			continue
 		}
-		turn(now, nodes, &away, func(lease.Command) lease.Answer { return lease.Answer{Kind: lease.Failed} })
+		stepAll(now, nodes, &outage, func(lease.Command) lease.Answer { return lease.Answer{Kind: lease.Failed} })
 		if at == 17900*time.Millisecond {
-			n = counts{}
+			n = callCounts{}
 		}
 	}
-	if total := away.reads + away.stale + away.writes; total > 120 {
-		t.Errorf("%+v while the store is away", away)
+	if total := outage.reads + outage.stale + outage.writes; total > 120 {
+		t.Errorf("%+v while the store refuses calls", outage)
 	}
 	if holder(t, start.Add(30*time.Second), nodes) == nil {
-		t.Error("nobody holds the lease after the store's return")
+		t.Error("no node holds the lease after the outage")
 	}
 	if n.writes > 30 {
-		t.Errorf("%d writes in 12 s after the return", n.writes)
+		t.Errorf("%d writes in 12 s after the outage", n.writes)
 	}
 }
 
-// Another head takes over within the lease, its margin and half of a read's interval
-// after the holder died.
+// When the holder dies, another candidate must take over within the lease duration, its
+// margin and half of a read interval.
 func TestLeaseOfADeadHolderIsTakenOver(t *testing.T) {
-	nodes := seekers(fleet())
+	nodes := newCandidates(fleet())
 	var o object
-	var n counts
+	var n callCounts
 	var died time.Time
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		turn(now, nodes, &n, o.apply)
+		stepAll(now, nodes, &n, o.apply)
 		if i == 100 {
 			died = now
 			holder(t, now, nodes).dead = true
 		}
 		if i > 100 && holder(t, now, nodes) != nil {
-			if took := now.Sub(died); took > leaseFor+leaseFor/10+leaseFor/8 {
+			if took := now.Sub(died); took > leaseDuration+leaseDuration/10+leaseDuration/8 {
 				t.Errorf("taken over after %v", took)
 			}
 			return
 		}
 	}
-	t.Error("never taken over")
+	t.Error("the lease is never taken over")
 }
--- a/decide/roster/model_test.go
+++ b/decide/roster/model_test.go
@@ -9,395 +9,406 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Times of the calls by which nodes learn, as their callers bound them.
+// Timeouts and intervals of the simulated calls, as the callers of this package set
+// them.
 const (
-	step         = 25 * time.Millisecond
-	watchWait    = 3 * time.Second
-	watchSlack   = 400 * time.Millisecond
-	peerSilent   = PeerPollWait + PeerReadTimeout
-	dialSilent   = 150 * time.Millisecond
-	backoffFirst = 100 * time.Millisecond
-	backoffMost  = 800 * time.Millisecond
-	askEvery     = 200 * time.Millisecond
-	// callSilent bounds a call that does not wait.
-	callSilent = 1200 * time.Millisecond
+	step               = 25 * time.Millisecond
+	watchWait          = 3 * time.Second
+	watchGrace         = 400 * time.Millisecond
+	peerTimeout        = PeerPollWait + PeerReadTimeout
+	dialTimeout        = 150 * time.Millisecond
+	minBackoff         = 100 * time.Millisecond
+	maxBackoff         = 800 * time.Millisecond
+	randomPollInterval = 200 * time.Millisecond
+	// callTimeout bounds a call that returns without waiting for a change.
+	callTimeout = 1200 * time.Millisecond
 )
 
-// slowBy is how late a slow node answers its peers.
-const slowBy = 500 * time.Millisecond
+// slowPeerDelay is the delay of each answer of a slow node to its peers.
+const slowPeerDelay = 500 * time.Millisecond
 
-// fault is what is wrong with a node.
+// fault is the failure that affects a node.
 type fault int
 
 const (
-	sound fault = iota
-	// killed: its process is gone, connections are refused.
+	healthy fault = iota
+	// killed means that the process has ended and connections are refused.
 	killed
-	// frozen: it stands still, and calls to it hang.
+	// frozen means that the process makes no progress and calls to it hang.
 	frozen
-	// cut: it reaches neither the store nor peers.
-	cut
-	// unheard: its calls to the store hang, peers reach it.
-	unheard
-	// rejected: the store refuses its calls.
-	rejected
-	// silenced: the connection of a call under way went silent, new ones work.
-	silenced
-	// slow: it answers its peers late.
-	slow
-	// alone: it reaches the store, and no peer.
-	alone
-	// partial: the store refuses its calls about the last collection.
-	partial
-	faults
+	// isolated means that the node reaches neither the store nor its peers.
+	isolated
+	// storeTimeout means that calls to the store hang, while peers are reachable.
+	storeTimeout
+	// storeRejects means that the store refuses the node's calls.
+	storeRejects
+	// watchStalled means that the connection of one open call delivers nothing, while
+	// new connections work.
+	watchStalled
+	// slowPeer means that the node answers its peers with a delay.
+	slowPeer
+	// noPeers means that the node reaches the store but no peer.
+	noPeers
+	// collectionRejected means that the store refuses calls for the last collection.
+	collectionRejected
+	faultCount
 )
 
 // String implements fmt.Stringer.
 func (f fault) String() string {
-	return [...]string{"sound", "killed", "frozen", "cut", "unheard", "rejected", "silenced", "slow", "alone", "partial"}[f]
+	return [...]string{"healthy", "killed", "frozen", "isolated", "store timeout", "store rejects", "watch stalled", "slow peer", "no peers", "collection rejected"}[f]
 }
 
-// reachesStore reports whether the store serves a node with the fault.
-func (f fault) reachesStore() bool { return f == sound || f == silenced || f == slow || f == alone }
+// reachesStore reports whether a node with the fault gets answers of the store for all
+// collections.
+func (f fault) reachesStore() bool {
+	return f == healthy || f == watchStalled || f == slowPeer || f == noPeers
+}
 
-// collections are what each node follows side by side, by one view of the fleet.
+// collections is the number of collections that each node follows with one Roster.
 const collections = 2
 
-// vm is one node.
-type vm struct {
+// node is a simulated node of the fleet.
+type node struct {
 	roster *Roster
 	member Member
 	fault  fault
-	// follows are what it learns of each collection.
-	follows [collections]*learner
-	probe   Probe
-	// probing tells that a probe is under way.
-	probing, silent bool
+	// followers holds one follower for each collection.
+	followers [collections]*follower
+	probe     Probe
+	// probing is true while a probe waits for its answer.
+	probing, storeUnresponsive bool
 }
 
-// newVM makes a node that learned each collection's version at a moment.
-func newVM(m Member, members []Member, version int, heard time.Duration) *vm {
-	n := &vm{roster: knowing(m, members).Roster, member: m}
-	for i := range n.follows {
-		n.follows[i] = &learner{selector: n.roster.Selector(), version: version, heard: heard}
+// newNode returns a node that has the given version of each collection. The store was
+// last seen at storeSeenAt.
+func newNode(m Member, members []Member, version int, storeSeenAt time.Duration) *node {
+	n := &node{roster: nodeKnowing(m, members).Roster, member: m}
+	for i := range n.followers {
+		n.followers[i] = &follower{selector: n.roster.Selector(), version: version, storeSeenAt: storeSeenAt}
 	}
 	return n
 }
 
-// learner follows one collection, with the call that it has under way.
-type learner struct {
+// follower follows one collection and holds its current call.
+type follower struct {
 	selector *Selector
 	version  int
-	// heard is when the store last answered on the way to here, over hops.
-	heard time.Duration
-	hops  int
-
-	calling bool
-	way     Source
-	peer    *vm
-	began   time.Duration
-	// unreached: the peer did not take the connection. silent: it went silent.
-	unreached, silent bool
-	// readyAt is when the peer had its answer, zero before.
+	// storeSeenAt is when the store last answered the node from which this state came,
+	// which is hops nodes away from the store.
+	storeSeenAt time.Duration
+	hops        int
+
+	inCall    bool
+	source    Source
+	peer      *node
+	startedAt time.Duration
+	// unreachable is true if the peer did not accept the connection. stalled is true if
+	// the connection delivers nothing.
+	unreachable, stalled bool
+	// readyAt is when the peer had an answer, or zero before that.
 	readyAt time.Duration
-	// asides is the question beside a watch, nil for none.
-	asides *question
-	// searched is since when peers are asked in vain.
-	searched time.Duration
-	pause    time.Duration
-	fails    int
-	lost     bool
-	asked    time.Duration
+	// parallel is the poll of a peer during a watch, or nil.
+	parallel *parallelCall
+	// searchingSince is when the current search for a fresh source started, or zero.
+	searchingSince time.Duration
+	nextCallAt     time.Duration
+	failures       int
+	disconnected   bool
+	polledAt       time.Duration
 }
 
-// question is one to a peer.
-type question struct {
-	peer           *vm
-	began, readyAt time.Duration
-	unreached      bool
+// parallelCall is a poll of a peer during a watch of the store.
+type parallelCall struct {
+	peer               *node
+	startedAt, readyAt time.Duration
+	unreachable        bool
 }
 
-// world is a fleet and its store.
-type world struct {
-	now     time.Duration
-	version int
-	away    bool
-	nodes   []*vm
-	byName  map[ids.VM]*vm
-	rand    *rand.Rand
-	calls   int
-	// one has nodes learn from one source each, without probes: a fault to be found.
-	one bool
+// simulation is a fleet of nodes and their store.
+type simulation struct {
+	now       time.Duration
+	version   int
+	storeDown bool
+	nodes     []*node
+	byName    map[ids.VM]*node
+	rand      *rand.Rand
+	calls     int
+	// singleSource makes each node use only one source and no probes. The tests must
+	// detect the delays that this causes.
+	singleSource bool
 }
 
-// newWorld makes a fleet that knows the first version.
-func newWorld(members []Member, seed uint64) *world {
-	w := &world{version: 1, rand: rand.New(rand.NewPCG(seed, 1)), byName: make(map[ids.VM]*vm)}
+// newSimulation returns a fleet in which every node has the first version.
+func newSimulation(members []Member, seed uint64) *simulation {
+	sim := &simulation{version: 1, rand: rand.New(rand.NewPCG(seed, 1)), byName: make(map[ids.VM]*node)}
 	for _, m := range members {
-		n := newVM(m, members, 1, 0)
-		for _, l := range n.follows {
-			// Calls of many nodes begin at many moments.
-			l.pause = time.Duration(w.rand.Int64N(int64(time.Second)))
+		n := newNode(m, members, 1, 0)
+		for _, l := range n.followers {
+			// The first calls are spread over a second.
+			l.nextCallAt = time.Duration(sim.rand.Int64N(int64(time.Second)))
 		}
-		w.nodes = append(w.nodes, n)
-		w.byName[m.Name] = n
+		sim.nodes = append(sim.nodes, n)
+		sim.byName[m.Name] = n
 	}
-	return w
+	return sim
 }
 
-// time gives the clock of the roster.
-func (w *world) time() time.Time { return start.Add(w.now) }
+// clock returns the simulated time as the Roster sees it.
+func (sim *simulation) clock() time.Time { return start.Add(sim.now) }
 
-// run goes on for a while.
-func (w *world) run(d time.Duration) {
-	for end := w.now + d; w.now < end; w.now += step {
-		for _, n := range w.nodes {
+// run advances the simulation by d.
+func (sim *simulation) run(d time.Duration) {
+	for end := sim.now + d; sim.now < end; sim.now += step {
+		for _, n := range sim.nodes {
 			if n.fault == killed || n.fault == frozen {
 				continue
 			}
-			w.beat(n)
-			for i := range n.follows {
-				w.turn(n, i)
+			sim.probeStore(n)
+			for i := range n.followers {
+				sim.advance(n, i)
 			}
 		}
 	}
 }
 
-// turn lets one follower of a node do what is due.
-func (w *world) turn(n *vm, i int) {
-	l := n.follows[i]
-	if l.lost && w.now-l.asked >= askEvery {
-		l.asked = w.now
-		if p := w.nodes[w.rand.IntN(len(w.nodes))]; reachable(n, p) {
-			l.version = max(l.version, p.follows[i].version)
+// advance executes one step of follower i of a node.
+func (sim *simulation) advance(n *node, i int) {
+	l := n.followers[i]
+	if l.disconnected && sim.now-l.polledAt >= randomPollInterval {
+		l.polledAt = sim.now
+		if p := sim.nodes[sim.rand.IntN(len(sim.nodes))]; reaches(n, p) {
+			l.version = max(l.version, p.followers[i].version)
 		}
 	}
-	if !l.calling && w.now >= l.pause {
-		if l.searched == 0 {
-			l.searched = w.now
+	if !l.inCall && sim.now >= l.nextCallAt {
+		if l.searchingSince == 0 {
+			l.searchingSince = sim.now
 		}
-		w.call(n, l)
+		sim.startCall(n, l)
 	}
 	switch {
-	case !l.calling:
-	case l.way == Store:
-		w.watch(n, i)
+	case !l.inCall:
+	case l.source == Store:
+		sim.stepWatch(n, i)
 	default:
-		w.ask(n, l, l.peer.follows[i])
+		sim.stepPeerCall(n, l, l.peer.followers[i])
 	}
 }
 
-// beat sends a probe, and looks whether the last one was answered.
-func (w *world) beat(n *vm) {
-	hears := n.fault.reachesStore() || n.fault == rejected || n.fault == partial
+// probeStore checks the outcome of the last probe of a node and sends the next one.
+func (sim *simulation) probeStore(n *node) {
+	answered := n.fault.reachesStore() || n.fault == storeRejects || n.fault == collectionRejected
 	if n.probing {
-		took := w.time().Sub(n.probe.sentAt)
+		took := sim.clock().Sub(n.probe.sentAt)
 		switch {
-		case hears && !w.away:
-			n.probe.Answered(w.time())
+		case answered && !sim.storeDown:
+			n.probe.Answered(sim.clock())
 			n.probing = false
-			w.silent(n, false)
-			for _, l := range n.follows {
-				if l.calling && l.way == Store && n.fault != rejected {
-					l.heard, l.hops = w.now, 0
+			sim.setUnresponsive(n, false)
+			for _, l := range n.followers {
+				if l.inCall && l.source == Store && n.fault != storeRejects {
+					l.storeSeenAt, l.hops = sim.now, 0
 				}
 			}
-		case took >= callSilent:
+		case took >= callTimeout:
 			n.probing = false
 		case took >= n.probe.Timeout():
-			w.silent(n, true)
+			sim.setUnresponsive(n, true)
 		}
 	}
-	atStore := n.silent
-	for _, l := range n.follows {
-		atStore = atStore || l.calling && l.way == Store
+	watching := n.storeUnresponsive
+	for _, l := range n.followers {
+		watching = watching || l.inCall && l.source == Store
 	}
-	if atStore && !w.one && !n.probing && w.time().Sub(n.probe.sentAt) >= ProbeInterval {
-		n.probe.Sent(w.time())
+	if watching && !sim.singleSource && !n.probing && sim.clock().Sub(n.probe.sentAt) >= ProbeInterval {
+		n.probe.Sent(sim.clock())
 		n.probing = true
 	}
 }
 
-// silent notes whether the store answers a node; its watches end where it does not.
-func (w *world) silent(n *vm, silent bool) {
-	n.silent = silent
-	n.roster.SetStoreUnresponsive(silent)
-	for _, l := range n.follows {
-		if silent && l.calling && l.way == Store {
-			w.failed(l)
+// setUnresponsive records whether the store answers a node. If it does not, the node's
+// open watches fail.
+func (sim *simulation) setUnresponsive(n *node, unresponsive bool) {
+	n.storeUnresponsive = unresponsive
+	n.roster.SetStoreUnresponsive(unresponsive)
+	for _, l := range n.followers {
+		if unresponsive && l.inCall && l.source == Store {
+			sim.callFailed(l)
 		}
 	}
 }
 
-// reachable reports whether a peer answers a node.
-func reachable(n, p *vm) bool {
-	away := func(f fault) bool { return f == cut || f == alone }
-	return n != p && !away(n.fault) && !away(p.fault) && p.fault != killed && p.fault != frozen
+// reaches reports whether node n gets answers from peer p.
+func reaches(n, p *node) bool {
+	unreachable := func(f fault) bool { return f == isolated || f == noPeers }
+	return n != p && !unreachable(n.fault) && !unreachable(p.fault) && p.fault != killed && p.fault != frozen
 }
 
-// call begins the next call of a follower.
-func (w *world) call(n *vm, l *learner) {
-	if w.one {
-		l.selector.turn = 0
+// startCall starts the next call of a follower.
+func (sim *simulation) startCall(n *node, l *follower) {
+	if sim.singleSource {
+		l.selector.requests = 0
 	}
-	way, m := l.selector.Next(w.time())
-	l.calling, l.way, l.began = true, way, w.now
-	l.unreached, l.silent, l.readyAt = false, false, 0
-	if way == Store {
-		w.toStore(n, l)
+	source, m := l.selector.Next(sim.clock())
+	l.inCall, l.source, l.startedAt = true, source, sim.now
+	l.unreachable, l.stalled, l.readyAt = false, false, 0
+	if source == Store {
+		sim.startWatch(n, l)
 		return
 	}
-	l.peer = w.named(m)
-	l.unreached = !reachable(n, l.peer)
+	l.peer = sim.nodeOf(m)
+	l.unreachable = !reaches(n, l.peer)
 }
 
-// named gives the node of a member.
-func (w *world) named(m Member) *vm {
-	return w.byName[m.Name]
+// nodeOf returns the node of a member.
+func (sim *simulation) nodeOf(m Member) *node {
+	return sim.byName[m.Name]
 }
 
-// toStore begins a watch of the store.
-func (w *world) toStore(n *vm, l *learner) {
-	l.asides = nil
-	if n.silent {
-		w.failed(l)
+// startWatch starts a watch of the store.
+func (sim *simulation) startWatch(n *node, l *follower) {
+	l.parallel = nil
+	if n.storeUnresponsive {
+		sim.callFailed(l)
 		return
 	}
-	w.calls++
+	sim.calls++
 }
 
-// watch looks whether a watch of the store ends.
-func (w *world) watch(n *vm, i int) {
-	l := n.follows[i]
-	took, wait := w.now-l.began, n.roster.WatchWait(watchWait)
+// stepWatch ends a watch of the store if it is done or has failed.
+func (sim *simulation) stepWatch(n *node, i int) {
+	l := n.followers[i]
+	took, wait := sim.now-l.startedAt, n.roster.WatchWait(watchWait)
 	switch {
-	case n.fault == cut || n.fault == unheard || l.silent:
-		if took >= wait+watchSlack {
-			w.failed(l)
+	case n.fault == isolated || n.fault == storeTimeout || l.stalled:
+		if took >= wait+watchGrace {
+			sim.callFailed(l)
 			return
 		}
-	case w.away || n.fault == rejected || n.fault == partial && i == collections-1:
-		w.failed(l)
+	case sim.storeDown || n.fault == storeRejects || n.fault == collectionRejected && i == collections-1:
+		sim.callFailed(l)
 		return
-	case w.version > l.version || took >= wait:
-		l.version, l.heard, l.hops = w.version, w.now, 0
-		l.selector.StoreAnswered(w.time())
-		w.answered(l)
+	case sim.version > l.version || took >= wait:
+		l.version, l.storeSeenAt, l.hops = sim.version, sim.now, 0
+		l.selector.StoreAnswered(sim.clock())
+		sim.callSucceeded(l)
 		return
 	}
-	if !w.one {
-		w.askBeside(n, i)
+	if !sim.singleSource {
+		sim.stepParallelCall(n, i)
 	}
 }
 
-// askBeside has one that waits at the store ask the watchers meanwhile.
-func (w *world) askBeside(n *vm, i int) {
-	l := n.follows[i]
-	q := l.asides
-	if q == nil {
-		if m, ok := l.selector.NextDuringWatch(w.time()); ok {
-			p := w.named(m)
-			l.asides = &question{peer: p, began: w.now, unreached: !reachable(n, p)}
+// stepParallelCall polls the other watchers while a watch of the store is open.
+func (sim *simulation) stepParallelCall(n *node, i int) {
+	l := n.followers[i]
+	call := l.parallel
+	if call == nil {
+		if m, ok := l.selector.NextDuringWatch(sim.clock()); ok {
+			p := sim.nodeOf(m)
+			l.parallel = &parallelCall{peer: p, startedAt: sim.now, unreachable: !reaches(n, p)}
 		}
 		return
 	}
-	took, p := w.now-q.began, q.peer.follows[i]
-	if !reachable(n, q.peer) {
-		if q.peer.fault == killed || took >= peerSilent || q.unreached && took >= dialSilent {
-			n.roster.MarkUnreachable(w.time(), q.peer.member.Name)
-			l.asides = nil
+	took, p := sim.now-call.startedAt, call.peer.followers[i]
+	if !reaches(n, call.peer) {
+		if call.peer.fault == killed || took >= peerTimeout || call.unreachable && took >= dialTimeout {
+			n.roster.MarkUnreachable(sim.clock(), call.peer.member.Name)
+			l.parallel = nil
 		}
 		return
 	}
-	if q.readyAt == 0 && (p.version > l.version || took >= PeerPollWait || p.lost) {
-		q.readyAt = w.now
+	if call.readyAt == 0 && (p.version > l.version || took >= PeerPollWait || p.disconnected) {
+		call.readyAt = sim.now
 	}
-	if q.readyAt == 0 || q.peer.fault == slow && w.now-q.readyAt < slowBy {
-		if took >= peerSilent {
-			n.roster.MarkUnreachable(w.time(), q.peer.member.Name)
-			l.asides = nil
+	if call.readyAt == 0 || call.peer.fault == slowPeer && sim.now-call.readyAt < slowPeerDelay {
+		if took >= peerTimeout {
+			n.roster.MarkUnreachable(sim.clock(), call.peer.member.Name)
+			l.parallel = nil
 		}
 		return
 	}
-	n.roster.MarkReachable(q.peer.member.Name)
-	l.version, l.asides = max(l.version, p.version), nil
+	n.roster.MarkReachable(call.peer.member.Name)
+	l.version, l.parallel = max(l.version, p.version), nil
 }
 
-// ask looks whether a question to a peer, that follows as p does, ends.
-func (w *world) ask(n *vm, l, p *learner) {
-	took := w.now - l.began
-	if !reachable(n, l.peer) || l.silent {
-		w.unanswered(l, took)
+// stepPeerCall ends a poll of a peer if it is done or has failed. p is the peer's
+// follower of the same collection.
+func (sim *simulation) stepPeerCall(n *node, l, p *follower) {
+	took := sim.now - l.startedAt
+	if !reaches(n, l.peer) || l.stalled {
+		sim.peerFailed(l, took)
 		return
 	}
-	if l.readyAt == 0 && (p.version > l.version || took >= PeerPollWait || p.lost) {
-		l.readyAt = w.now
+	if l.readyAt == 0 && (p.version > l.version || took >= PeerPollWait || p.disconnected) {
+		l.readyAt = sim.now
 	}
-	if l.readyAt == 0 || l.peer.fault == slow && w.now-l.readyAt < slowBy {
-		if took >= peerSilent {
-			w.unanswered(l, took)
+	if l.readyAt == 0 || l.peer.fault == slowPeer && sim.now-l.readyAt < slowPeerDelay {
+		if took >= peerTimeout {
+			sim.peerFailed(l, took)
 		}
 		return
 	}
-	age := w.now - p.heard
-	if p.lost || !Fresh(age, p.hops) {
-		l.selector.PeerStale(w.time(), l.peer.member.Name)
-		w.inVain(l)
+	age := sim.now - p.storeSeenAt
+	if p.disconnected || !Fresh(age, p.hops) {
+		l.selector.PeerStale(sim.clock(), l.peer.member.Name)
+		sim.endWithoutUpdate(l)
 		return
 	}
 	l.selector.PeerFresh(l.peer.member.Name)
-	l.version, l.heard, l.hops = max(l.version, p.version), p.heard, p.hops+1
-	w.answered(l)
+	l.version, l.storeSeenAt, l.hops = max(l.version, p.version), p.storeSeenAt, p.hops+1
+	sim.callSucceeded(l)
 }
 
-// unanswered ends a question to a peer that does not answer, once its time is over.
-func (w *world) unanswered(l *learner, took time.Duration) {
-	if l.peer.fault != killed && took < peerSilent && (!l.unreached || took < dialSilent) {
+// peerFailed ends a poll of a peer that does not answer, once it has timed out.
+func (sim *simulation) peerFailed(l *follower, took time.Duration) {
+	if l.peer.fault != killed && took < peerTimeout && (!l.unreachable || took < dialTimeout) {
 		return
 	}
-	l.selector.PeerFailed(w.time(), l.peer.member.Name, took)
-	w.inVain(l)
+	l.selector.PeerFailed(sim.clock(), l.peer.member.Name, took)
+	sim.endWithoutUpdate(l)
 }
 
-// inVain ends a question that brought nothing.
-func (w *world) inVain(l *learner) {
-	l.calling = false
-	if l.selector.SearchExhausted(w.time(), start.Add(l.searched)) {
-		w.failed(l)
+// endWithoutUpdate ends a poll of a peer that failed or was stale.
+func (sim *simulation) endWithoutUpdate(l *follower) {
+	l.inCall = false
+	if l.selector.SearchExhausted(sim.clock(), start.Add(l.searchingSince)) {
+		sim.callFailed(l)
 	}
 }
 
-// answered ends a call with news of the store.
-func (w *world) answered(l *learner) {
-	l.calling, l.lost, l.fails, l.searched = false, false, 0, 0
+// callSucceeded ends a call that returned a fresh state.
+func (sim *simulation) callSucceeded(l *follower) {
+	l.inCall, l.disconnected, l.failures, l.searchingSince = false, false, 0, 0
 }
 
-// failed ends a call without.
-func (w *world) failed(l *learner) {
-	l.calling, l.lost, l.searched = false, true, 0
-	wait := min(backoffFirst<<min(l.fails, 10), backoffMost)
-	l.fails++
-	l.pause = w.now + wait/2 + time.Duration(w.rand.Int64N(int64(wait)))
+// callFailed ends a call that failed and schedules the next one.
+func (sim *simulation) callFailed(l *follower) {
+	l.inCall, l.disconnected, l.searchingSince = false, true, 0
+	wait := min(minBackoff<<min(l.failures, 10), maxBackoff)
+	l.failures++
+	l.nextCallAt = sim.now + wait/2 + time.Duration(sim.rand.Int64N(int64(wait)))
 }
 
-// set gives a node a fault. A process that was killed comes back knowing nothing.
-func (w *world) set(n *vm, f fault) {
+// setFault sets the fault of a node. A killed process restarts without any state.
+func (sim *simulation) setFault(n *node, f fault) {
 	if n.fault == killed && f != killed {
-		*n = *newVM(n.member, n.roster.members, 0, -time.Hour)
+		*n = *newNode(n.member, n.roster.members, 0, -time.Hour)
 	}
 	n.fault = f
-	if f == silenced {
-		n.follows[w.rand.IntN(collections)].silent = true
+	if f == watchStalled {
+		n.followers[sim.rand.IntN(collections)].stalled = true
 	}
 }
 
-// late gives how many nodes lack the newest version of something, of those that counts
-// holds for.
-func (w *world) late(counts func(fault) bool) []string {
+// outdated returns a description of each follower that lacks the newest version, for the
+// nodes whose fault satisfies counts.
+func (sim *simulation) outdated(counts func(fault) bool) []string {
 	var names []string
-	for _, n := range w.nodes {
-		for i, l := range n.follows {
-			if l.version < w.version && counts(n.fault) {
+	for _, n := range sim.nodes {
+		for i, l := range n.followers {
+			if l.version < sim.version && counts(n.fault) {
 				names = append(names, fmt.Sprintf("%s (%s, collection %d)", n.member.Name, n.fault, i))
 			}
 		}
@@ -405,23 +416,25 @@
 	return names
 }
 
-// learns reports whether a node with a fault can learn, from the store or its peers.
-func learns(f fault) bool { return f != killed && f != frozen && f != cut }
+// canLearn reports whether a node with the fault can get updates from the store or a
+// peer.
+func canLearn(f fault) bool { return f != killed && f != frozen && f != isolated }
 
-// small makes a fleet of twelve nodes in three zones.
-func small() []Member {
+// smallFleet returns a fleet of twelve nodes in three zones.
+func smallFleet() []Member {
 	return slices.Concat(zone("a", 4), zone("b", 4), zone("c", 4))
 }
 
-// sizes are fleets of 4, 12, 50 and 295 nodes.
-func sizes() [][]Member {
+// fleets returns fleets of 4, 12, 50 and 295 nodes.
+func fleets() [][]Member {
 	fifty := slices.Concat(zone("a", 10), zone("b", 10), zone("c", 10), zone("d", 10), zone("e", 10))
-	return [][]Member{slices.Concat(zone("a", 2), zone("b", 2)), small(), fifty, fleet()}
+	return [][]Member{slices.Concat(zone("a", 2), zone("b", 2)), smallFleet(), fifty, fleet()}
 }
 
-// places gives nodes of all places in a fleet: of the first zones the first ones, which
-// others learn from, and of the first and the last zone the last one, which nobody does.
-func places(members []Member) []int {
+// positions returns the indexes of nodes of every role: the first three nodes of the
+// first three zones, which others poll, and the last node of the first and of the last
+// zone, which nobody polls.
+func positions(members []Member) []int {
 	var out []int
 	for i, m := range members {
 		first := slices.IndexFunc(members, func(o Member) bool { return o.Zone == m.Zone })
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -1,24 +1,23 @@
-// Package roster decides whom a node learns from: the platform's store, or
-// another node that learns from it.
+// Package roster decides from where a node learns of changes: from the platform's store,
+// or from another node (a peer) that follows the store.
 //
-// It answers the load of many nodes on one store, which counts each call and
-// whose rates grow more slowly than the fleet. Three nodes of the fleet, its
-// watchers, watch the store. Three nodes of each availability zone, its heads, ask
-// the watchers; all others ask their heads. Who is what follows from the list of
-// nodes alone, so nothing is agreed upon: a node whose list differs, or that finds
-// a peer dead, only asks another one or the store, which costs a call and harms
-// nothing.
+// It answers the load that many nodes put on one store, whose rate limits count every
+// call and grow more slowly than the fleet. Updates are distributed in tiers. Three
+// nodes of the fleet, the watchers, watch the store. Three nodes of each availability
+// zone, the zone relays, poll the watchers. All other nodes poll the relays of their
+// zone. The roles follow from the list of nodes alone, so the nodes need no agreement: a
+// node with a different list, or one whose source does not respond, polls another peer
+// or the store. That costs one more call and is harmless.
 //
-// Each asks three peers in turn. What one of them does not know, since it is cut off
-// from the store or stands still, another tells with the next answer, whichever two
-// of them fail.
+// Each node polls three peers in turn. If any two of them are cut off from the store or
+// frozen, the third still delivers an update with its next answer.
 //
-// A watcher that the store has silently stopped answering finds that by its probes,
-// tells those that wait at it, and asks the other watchers like any node. While its
-// probes are answered it asks them too, beside its watch, as the connection of the
-// watch alone may be silent.
+// A watcher probes the store. When probes get no answer, it reports itself as
+// disconnected to the peers that poll it, and polls the other watchers like any other
+// node. While probes are answered, it polls the other watchers in parallel with its
+// watch, because only the connection of the watch may be broken.
 //
-// A Roster is used by one goroutine at a time and reads no clock.
+// A Roster must be used by one goroutine at a time. It reads no clock.
 package roster
 
 import (
@@ -29,210 +28,216 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Member is a node of the fleet as the others see it.
+// Member is a node of the fleet, as listed in the store.
 type Member struct {
 	Name ids.VM   `json:"name"`
 	Zone ids.Zone `json:"zone"`
-	// PeerAddress is the address at which it answers peers, IP and port.
+	// PeerAddress is the IP address and port on which the node serves its peers.
 	PeerAddress string `json:"peer"`
 }
 
 const (
-	// sourceCount is how many watchers a fleet has, and heads a zone: any two may fail
-	// and one is left that all others ask already.
-	sourceCount = 3
-	// leaseSeekers is how many nodes of each zone seek the lease.
-	leaseSeekers = 2
+	// sourcesPerTier is the number of watchers in the fleet and of relays in each zone.
+	// Every node already polls three, so one is left when any two fail.
+	sourcesPerTier = 3
+	// leaseCandidatesPerZone is the number of nodes in each zone that compete for the
+	// lease of duties that one node does for the whole fleet.
+	leaseCandidatesPerZone = 2
 )
 
 const (
-	// restFirst is how long a peer that did not answer is left out; it doubles up
-	// to restMost, as some entries are of nodes that no longer exist. A process
-	// that was killed is back in less than a second.
-	restFirst = 500 * time.Millisecond
-	restMost  = time.Minute
+	// minPeerBackoff is how long a peer is skipped after its first failure. The time
+	// doubles with each further failure, up to maxPeerBackoff, because some listed nodes
+	// no longer exist. A killed process is back in less than a second.
+	minPeerBackoff = 500 * time.Millisecond
+	maxPeerBackoff = time.Minute
 )
 
-// Source is where a node is to learn what is new.
+// Source is where a node gets its next update from.
 type Source int
 
 const (
-	// NotReady: the list of nodes is not known yet.
+	// NotReady means that the list of nodes is not known yet.
 	NotReady Source = iota
-	// Store: watch the store.
+	// Store means that the node watches the store.
 	Store
-	// Peer: ask a peer.
+	// Peer means that the node polls a peer.
 	Peer
 )
 
-// Roster is one node's view of the fleet. Make it with New.
+// Roster is one node's view of the fleet. Create it with New.
 type Roster struct {
-	own  ids.VM
+	self ids.VM
 	zone ids.Zone
 
-	settled bool
+	ready   bool
 	members []Member
-	// ranks are the members of all zones, the first of each zone before the second
-	// of any, so that the watchers lie in several zones. own is rank at.
-	ranks []Member
-	at    int
-	// heads are the members of the own zone in order.
-	heads []Member
-	peers map[ids.VM]*belief
-	// place is the own one in the zone.
-	place int
-	// silent tells that the store has stopped answering this node.
-	silent bool
-}
-
-// belief is what is known of one peer that did not answer.
-type belief struct {
-	restUntil time.Time
-	rest      time.Duration
-}
-
-// New makes the view of a node that knows no others.
+	// ranked holds the members of all zones: the first member of each zone, then the
+	// second of each, and so on, so that the watchers are in different zones. selfIndex
+	// is this node's index in it, or -1 if the node is not listed.
+	ranked    []Member
+	selfIndex int
+	// zoneMembers holds the members of this node's zone, ordered by name.
+	zoneMembers []Member
+	backoffs    map[ids.VM]*peerBackoff
+	// zoneIndex is this node's index in its zone.
+	zoneIndex int
+	// storeUnresponsive is true while the store does not answer this node's probes.
+	storeUnresponsive bool
+}
+
+// peerBackoff is the exclusion of a peer that failed to answer.
+type peerBackoff struct {
+	until time.Time
+	delay time.Duration
+}
+
+// New returns the Roster of the node named own, without any other members.
 func New(own ids.VM, zone ids.Zone) *Roster {
-	return &Roster{own: own, zone: zone, peers: make(map[ids.VM]*belief)}
+	return &Roster{self: own, zone: zone, backoffs: make(map[ids.VM]*peerBackoff)}
 }
 
-// Selector makes one that learns by the view, for each collection that the node follows.
+// Selector returns a Selector that chooses sources by this Roster. Each collection that
+// the node follows needs one of its own.
 func (r *Roster) Selector() *Selector {
-	return &Selector{roster: r, behindUntil: make(map[ids.VM]time.Time)}
+	return &Selector{roster: r, staleUntil: make(map[ids.VM]time.Time)}
 }
 
-// Set takes the list of the fleet's nodes.
+// Set replaces the list of the fleet's nodes. The node becomes ready once the list has
+// its own entry.
 func (r *Roster) Set(members []Member) {
 	r.members = members
 	byZone := make(map[ids.Zone][]Member)
 	for _, m := range members {
 		byZone[m.Zone] = append(byZone[m.Zone], m)
 	}
-	place := make(map[ids.VM]int, len(members))
+	index := make(map[ids.VM]int, len(members))
 	for _, zone := range byZone {
 		slices.SortFunc(zone, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 		for i, m := range zone {
-			place[m.Name] = i
+			index[m.Name] = i
 		}
 	}
-	r.heads = byZone[r.zone]
-	r.ranks = slices.Clone(members)
-	slices.SortFunc(r.ranks, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(place[a.Name], place[b.Name]), cmp.Compare(a.Zone, b.Zone))
+	r.zoneMembers = byZone[r.zone]
+	r.ranked = slices.Clone(members)
+	slices.SortFunc(r.ranked, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(index[a.Name], index[b.Name]), cmp.Compare(a.Zone, b.Zone))
 	})
-	r.at = slices.IndexFunc(r.ranks, func(m Member) bool { return m.Name == r.own })
-	for name := range r.peers {
-		if _, there := place[name]; !there {
-			delete(r.peers, name)
+	r.selfIndex = slices.IndexFunc(r.ranked, func(m Member) bool { return m.Name == r.self })
+	for name := range r.backoffs {
+		if _, listed := index[name]; !listed {
+			delete(r.backoffs, name)
 		}
 	}
-	r.place = place[r.own]
-	r.settled = r.settled || r.at >= 0
+	r.zoneIndex = index[r.self]
+	r.ready = r.ready || r.selfIndex >= 0
 }
 
-// ForceReady has the node go by the list as it is, though its own entry is not in it.
-func (r *Roster) ForceReady() { r.settled = true }
+// ForceReady makes the node use its current list even if its own entry is missing.
+func (r *Roster) ForceReady() { r.ready = true }
 
-// Ready reports whether the node knows whom to learn from.
-func (r *Roster) Ready() bool { return r.settled }
+// Ready reports whether the node has a list that it can choose sources from.
+func (r *Roster) Ready() bool { return r.ready }
 
-// Others gives all members but the own node.
+// Others returns the members that have a peer address, without this node.
 func (r *Roster) Others() []Member {
-	return slices.DeleteFunc(slices.Clone(r.members), func(m Member) bool { return m.Name == r.own || m.PeerAddress == "" })
+	return slices.DeleteFunc(slices.Clone(r.members), func(m Member) bool { return m.Name == r.self || m.PeerAddress == "" })
 }
 
-// WatchWait is how long the node's watch of the store is to wait for a change where one
-// that watches alone waits so long. The first watcher finds a connection that went silent
-// as early as that; the others wait longer, as they have the first one's news beside.
+// WatchWait returns how long this node's watch of the store waits for a change, where
+// alone is the wait of a node that watches by itself. The first watcher waits that long
+// and so detects a broken connection soonest. The second and third wait two and three
+// times as long, since they also poll the first one.
 func (r *Roster) WatchWait(alone time.Duration) time.Duration {
-	if r.at < 0 || r.at >= sourceCount {
+	if r.selfIndex < 0 || r.selfIndex >= sourcesPerTier {
 		return alone
 	}
-	return alone * time.Duration(r.at+1)
+	return alone * time.Duration(r.selfIndex+1)
 }
 
-// sources gives the peers to ask; watches tells that this node is to watch the store
+// sources returns the peers to poll, and whether this node has to watch the store
 // itself.
 func (r *Roster) sources(now time.Time) (peers []Member, watches bool) {
-	peers, own := r.first(now, r.heads, sourceCount, false)
-	if own || len(peers) < sourceCount {
-		// A head, or one that its zone's list does not have yet.
-		peers, own = r.first(now, r.ranks, sourceCount, r.silent)
+	peers, own := r.firstAvailable(now, r.zoneMembers, sourcesPerTier, false)
+	if own || len(peers) < sourcesPerTier {
+		// A zone relay, or a node whose zone has too few known members.
+		peers, own = r.firstAvailable(now, r.ranked, sourcesPerTier, r.storeUnresponsive)
 	}
 	return peers, own || len(peers) == 0
 }
 
-// IsWatcher reports whether the node is one of those that watch the store for all.
+// IsWatcher reports whether the node watches the store on behalf of the fleet.
 func (r *Roster) IsWatcher(now time.Time) bool {
-	if !r.settled {
+	if !r.ready {
 		return false
 	}
 	_, watches := r.sources(now)
 	return watches
 }
 
-// IsLeaseCandidate reports whether the node is one of those of its zone that do duties which one
-// node of the fleet does at a time.
+// IsLeaseCandidate reports whether the node competes for the lease of duties that one
+// node does for the whole fleet.
 func (r *Roster) IsLeaseCandidate(now time.Time) bool {
-	if !r.settled {
+	if !r.ready {
 		return false
 	}
-	_, own := r.first(now, r.heads, leaseSeekers, false)
+	_, own := r.firstAvailable(now, r.zoneMembers, leaseCandidatesPerZone, false)
 	return own
 }
 
-// first gives the first members of a list that do not rest, up to count or to the own
-// node, which own tells; others passes that over.
-func (r *Roster) first(now time.Time, list []Member, count int, others bool) (peers []Member, own bool) {
+// firstAvailable returns the first count members of list that are not in backoff. It
+// stops at this node's own entry and then sets own, unless skipSelf is set.
+func (r *Roster) firstAvailable(now time.Time, list []Member, count int, skipSelf bool) (peers []Member, own bool) {
 	for _, m := range list {
 		switch {
 		case len(peers) == count:
 			return peers, false
-		case m.Name == r.own && others:
-		case m.Name == r.own:
+		case m.Name == r.self && skipSelf:
+		case m.Name == r.self:
 			return peers, true
-		case m.PeerAddress != "" && !now.Before(r.of(m.Name).restUntil):
+		case m.PeerAddress != "" && !now.Before(r.backoffOf(m.Name).until):
 			peers = append(peers, m)
 		}
 	}
 	return peers, false
 }
 
-// rank is the own place among all members, the last for one that is not listed.
+// rank returns this node's index among all members, or their number if it is not listed.
 func (r *Roster) rank() int {
-	if r.at < 0 {
-		return len(r.ranks)
+	if r.selfIndex < 0 {
+		return len(r.ranked)
 	}
-	return r.at
+	return r.selfIndex
 }
 
-// of gives the belief about a peer.
-func (r *Roster) of(name ids.VM) *belief {
-	b := r.peers[name]
+// backoffOf returns the backoff of a peer and creates it if needed.
+func (r *Roster) backoffOf(name ids.VM) *peerBackoff {
+	b := r.backoffs[name]
 	if b == nil {
-		b = &belief{}
-		r.peers[name] = b
+		b = &peerBackoff{}
+		r.backoffs[name] = b
 	}
 	return b
 }
 
-// MarkUnreachable leaves a peer that did not answer out for a while.
+// MarkUnreachable records that a peer did not answer, and skips the peer for a backoff
+// that doubles with each failure in a row.
 func (r *Roster) MarkUnreachable(now time.Time, name ids.VM) {
-	b := r.of(name)
-	b.rest = min(max(b.rest*2, restFirst), restMost)
-	b.restUntil = now.Add(b.rest)
+	b := r.backoffOf(name)
+	b.delay = min(max(b.delay*2, minPeerBackoff), maxPeerBackoff)
+	b.until = now.Add(b.delay)
 }
 
-// MarkReachable tells that a peer answered.
-func (r *Roster) MarkReachable(name ids.VM) { delete(r.peers, name) }
+// MarkReachable records that a peer answered, which ends its backoff.
+func (r *Roster) MarkReachable(name ids.VM) { delete(r.backoffs, name) }
 
-// SetStoreUnresponsive notes whether the store has stopped answering this node, which asks its peers
-// until it does again; changed tells that this is new.
-func (r *Roster) SetStoreUnresponsive(silent bool) (changed bool) {
-	changed = r.silent != silent
-	r.silent = silent
+// SetStoreUnresponsive records whether the store has stopped answering this node. While
+// it has, the node polls its peers. changed is true if the state differs from before.
+func (r *Roster) SetStoreUnresponsive(unresponsive bool) (changed bool) {
+	changed = r.storeUnresponsive != unresponsive
+	r.storeUnresponsive = unresponsive
 	return changed
 }
 
-// StoreUnresponsive reports whether the store has stopped answering this node.
-func (r *Roster) StoreUnresponsive() bool { return r.silent }
+// StoreUnresponsive returns the state set by SetStoreUnresponsive.
+func (r *Roster) StoreUnresponsive() bool { return r.storeUnresponsive }
--- a/decide/roster/selector.go
+++ b/decide/roster/selector.go
@@ -8,181 +8,191 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Waits of a selector.
+// Durations and limits of a Selector.
 const (
-	// behindFor is how long a peer that has no news of the store is left out while
-	// another one has them: longer than it takes to ask all in turn.
-	behindFor = (sourceCount + 1) * PeerPollWait
-	// tryStep times a node's rank is how long its peers have no news of the store before
-	// it asks the store itself: while that is away ten more nodes a second ask, instead of
-	// all at once, and where it turns all watchers and a third of the others away one that
-	// it serves has a change in less than a second. Watchers that start together with all
-	// others have their first news sooner.
-	tryStep = 100 * time.Millisecond
-	// tryFirst is the pause between such calls of one node; it doubles up to
-	// tryMost.
-	tryFirst = time.Second
-	tryMost  = 8 * time.Second
-	// servedFor is how long a node whose call the store answered goes on there
-	// before it asks its peers again.
-	servedFor = 5 * time.Second
-	// askFor is how long peers are tried before the store counts as lost: those of other
-	// zones behind a cut take no connection, until a node of the own zone is found.
-	askFor = 1500 * time.Millisecond
-	// maxUnanswered is how many peers in a row may not answer, and maxBehind how many may
-	// have no news of the store.
-	maxUnanswered = sourceCount
-	maxBehind     = sourceCount
+	// staleExclusion is how long a peer with a stale view of the store is skipped while
+	// another has a fresh one. It is longer than polling all sources in turn takes.
+	staleExclusion = (sourcesPerTier + 1) * PeerPollWait
+	// storeFallbackStep, multiplied by the node's rank, is how long all its peers must
+	// be stale before the node calls the store itself. During an outage of the store ten
+	// more nodes call it in each second, instead of all at once. If the store refuses
+	// all watchers and a third of the other nodes, a node that it serves still learns of
+	// a change in less than a second. Watchers that start together with the whole fleet
+	// get their first state before the others fall back.
+	storeFallbackStep = 100 * time.Millisecond
+	// minStoreRetry is the pause after a node's first such call. It doubles with each
+	// further call, up to maxStoreRetry.
+	minStoreRetry = time.Second
+	maxStoreRetry = 8 * time.Second
+	// storeHold is how long a node that the store has answered keeps using the store
+	// before it polls its peers again.
+	storeHold = 5 * time.Second
+	// searchTimeout bounds the search for a fresh peer, after which the store counts as
+	// unreachable. When zones are partitioned, peers of other zones refuse connections
+	// until the search reaches one of the node's own zone.
+	searchTimeout = 1500 * time.Millisecond
+	// maxFailedPeers is the number of peers in a row that may fail to answer, and
+	// maxStalePeers the number in a row that may be stale.
+	maxFailedPeers = sourcesPerTier
+	maxStalePeers  = sourcesPerTier
 )
 
-// Selector decides where one collection is learnt from, by the node's view of the fleet. Make
-// it with Roster.Selector.
+// Selector chooses the source of one collection by the node's Roster. Create it with
+// Roster.Selector.
 //
-// What its peers know of its collection is kept apart from other collections: two that
-// shared a turn and asked alternately would each ask the same peer always, and what one
-// finds at a peer tells nothing of the other.
+// Each collection has its own rotation and its own record of stale peers. With a shared
+// rotation, two collections that poll alternately would each poll the same peer every
+// time. A peer that is stale for one collection may be fresh for another.
 type Selector struct {
 	roster *Roster
-	// turn counts the questions, and aside those beside a watch of the store.
-	turn, aside int
-	// behindUntil are the peers that answered without news of the store, the first of them
-	// at behindSince.
-	behindUntil map[ids.VM]time.Time
-	behindSince time.Time
-	// awaySince is since when no peer had news of the store, zero while one has;
-	// tries counts the own calls since the store answered one, the next being due
-	// at tryAt. Until servedUntil the store is asked.
-	awaySince, tryAt, servedUntil time.Time
-	tries                         int
-	// served tells that the store answered, and no peer was asked since.
-	served bool
-	// behind and unanswered count the peers in a row that had no news of the store, and
-	// that did not answer; direct tells that the store is to be asked next.
-	behind, unanswered int
-	direct             bool
+	// requests counts the polls of peers, and parallelRequests those made during a watch
+	// of the store.
+	requests, parallelRequests int
+	// staleUntil holds, for each peer that answered with a stale view of the store, when
+	// its exclusion ends. firstStaleAt is when the first of them answered.
+	staleUntil   map[ids.VM]time.Time
+	firstStaleAt time.Time
+	// allStaleSince is when the last fresh peer was lost, or zero while a peer is fresh.
+	// storeAttempts counts the fallback calls to the store since it last answered; the
+	// next one is due at nextStoreAttempt. The store is used until storeHoldUntil.
+	allStaleSince, nextStoreAttempt, storeHoldUntil time.Time
+	storeAttempts                                   int
+	// storeAnswered is true if the store has answered since the last poll of a peer.
+	storeAnswered bool
+	// staleCount and failedCount count the peers in a row that were stale and that did
+	// not answer. useStoreNext makes the next call go to the store.
+	staleCount, failedCount int
+	useStoreNext            bool
 }
 
-// Next tells where to learn what is new, and the peer to ask.
+// Next returns the source of the next update. The Member is the peer to poll if the
+// source is Peer, and empty otherwise.
 func (s *Selector) Next(now time.Time) (Source, Member) {
 	r := s.roster
-	if !r.settled {
+	if !r.ready {
 		return NotReady, Member{}
 	}
 	peers, watches := r.sources(now)
-	if watches || s.direct || s.stays(now) || s.try(now) {
-		s.direct, s.unanswered = false, 0
+	if watches || s.useStoreNext || s.holdsStore(now) || s.tryStore(now) {
+		s.useStoreNext, s.failedCount = false, 0
 		return Store, Member{}
 	}
-	s.turn++
-	// Nodes that wait at the same peers are spread over them by their places.
-	from := r.place + s.turn
+	s.requests++
+	// Nodes that poll the same peers start at different ones, by their index in the
+	// zone.
+	from := r.zoneIndex + s.requests
 	for i := range peers {
-		if m := peers[(from+i)%len(peers)]; !now.Before(s.behindUntil[m.Name]) {
+		if m := peers[(from+i)%len(peers)]; !now.Before(s.staleUntil[m.Name]) {
 			return Peer, m
 		}
 	}
 	return Peer, peers[from%len(peers)]
 }
 
-// NextDuringWatch gives a watcher to ask while a watch waits at the store; false where there is
-// none.
+// NextDuringWatch returns a watcher to poll while the node's own watch of the store is
+// open. It returns false if there is none.
 func (s *Selector) NextDuringWatch(now time.Time) (Member, bool) {
 	r := s.roster
-	peers, _ := r.first(now, r.ranks, sourceCount, true)
+	peers, _ := r.firstAvailable(now, r.ranked, sourcesPerTier, true)
 	if len(peers) == 0 {
 		return Member{}, false
 	}
-	s.aside++
-	return peers[(r.place+s.aside)%len(peers)], true
+	s.parallelRequests++
+	return peers[(r.zoneIndex+s.parallelRequests)%len(peers)], true
 }
 
-// stays reports whether to go on at the store, which answered while no peer had news of
-// it.
-func (s *Selector) stays(now time.Time) bool {
-	return !s.roster.silent && !s.awaySince.IsZero() && now.Before(s.servedUntil)
+// holdsStore reports whether the node keeps using the store, which has answered it while
+// no peer was fresh.
+func (s *Selector) holdsStore(now time.Time) bool {
+	return !s.roster.storeUnresponsive && !s.allStaleSince.IsZero() && now.Before(s.storeHoldUntil)
 }
 
-// try reports whether to ask the store, as no peer has news of it.
-func (s *Selector) try(now time.Time) bool {
-	if s.roster.silent || s.awaySince.IsZero() || s.served {
+// tryStore reports whether a fallback call to the store is due because no peer is fresh,
+// and schedules the next one.
+func (s *Selector) tryStore(now time.Time) bool {
+	if s.roster.storeUnresponsive || s.allStaleSince.IsZero() || s.storeAnswered {
 		return false
 	}
-	if now.Sub(s.awaySince) < time.Duration(s.roster.rank())*tryStep || now.Before(s.tryAt) {
+	if now.Sub(s.allStaleSince) < time.Duration(s.roster.rank())*storeFallbackStep || now.Before(s.nextStoreAttempt) {
 		return false
 	}
-	s.tryAt = now.Add(backoff.Doubled(tryFirst, tryMost, s.tries))
-	s.tries++
+	s.nextStoreAttempt = now.Add(backoff.Doubled(minStoreRetry, maxStoreRetry, s.storeAttempts))
+	s.storeAttempts++
 	return true
 }
 
-// PeerStale tells that a peer answered, without news of the store. Where all have, the store
-// is asked.
+// PeerStale records that a peer answered with a stale view of the store. When all
+// sources are stale, the node falls back to the store after a delay that grows with its
+// rank.
 func (s *Selector) PeerStale(now time.Time, name ids.VM) {
 	s.roster.MarkReachable(name)
-	maps.DeleteFunc(s.behindUntil, func(_ ids.VM, until time.Time) bool { return !now.Before(until) })
-	if len(s.behindUntil) == 0 {
-		s.behindSince = now
+	maps.DeleteFunc(s.staleUntil, func(_ ids.VM, until time.Time) bool { return !now.Before(until) })
+	if len(s.staleUntil) == 0 {
+		s.firstStaleAt = now
 	}
-	s.behindUntil[name] = now.Add(behindFor)
-	s.served = false
-	s.behind++
-	s.unanswered = 0
+	s.staleUntil[name] = now.Add(staleExclusion)
+	s.storeAnswered = false
+	s.staleCount++
+	s.failedCount = 0
 	peers, _ := s.roster.sources(now)
 	for _, m := range peers {
-		if _, behind := s.behindUntil[m.Name]; !behind {
+		if _, behind := s.staleUntil[m.Name]; !behind {
 			return
 		}
 	}
-	s.away(s.behindSince)
+	s.markAllStale(s.firstStaleAt)
 }
 
-// PeerFailed tells that a peer did not answer a question that took so long. Several that
-// take no connection show a node that is cut off from its peers: the store is asked, for a
-// while. So it is, once, where one took the connection: it stands still, or its link is too
-// thin for what it has to tell, while the store's carries a large configuration to all.
+// PeerFailed records that a peer did not answer within took. After maxFailedPeers
+// failures in a row the node counts as cut off from its peers and uses the store for a
+// while. It also calls the store once if the peer accepted the connection: the peer may
+// be frozen, or its link too slow for a large configuration, which the store's link can
+// carry.
 func (s *Selector) PeerFailed(now time.Time, name ids.VM, took time.Duration) {
 	s.roster.MarkUnreachable(now, name)
-	s.unanswered++
-	if s.unanswered >= maxUnanswered {
-		s.served = false
-		s.away(now)
-		s.direct = true
+	s.failedCount++
+	if s.failedCount >= maxFailedPeers {
+		s.storeAnswered = false
+		s.markAllStale(now)
+		s.useStoreNext = true
 	}
-	s.direct = s.direct || took >= PeerPollWait
+	s.useStoreNext = s.useStoreNext || took >= PeerPollWait
 }
 
-// SearchExhausted reports whether the search for news, begun at a moment, is over without: enough
-// peers had none, or it took too long. The next one begins anew.
+// SearchExhausted reports whether a search for a fresh peer that started at began has
+// failed, because maxStalePeers peers were stale or searchTimeout has passed. If so, it
+// resets the counts for the next search.
 func (s *Selector) SearchExhausted(now, began time.Time) bool {
-	if s.behind < maxBehind && now.Sub(began) < askFor {
+	if s.staleCount < maxStalePeers && now.Sub(began) < searchTimeout {
 		return false
 	}
-	s.behind, s.unanswered = 0, 0
+	s.staleCount, s.failedCount = 0, 0
 	return true
 }
 
-// away notes that no peer has news of the store since a moment.
-func (s *Selector) away(since time.Time) {
-	if s.awaySince.IsZero() {
-		s.awaySince = since
+// markAllStale records that no peer has been fresh since the given time, unless an
+// earlier time is recorded.
+func (s *Selector) markAllStale(since time.Time) {
+	if s.allStaleSince.IsZero() {
+		s.allStaleSince = since
 	}
 }
 
-// PeerFresh tells that a peer answered with news of the store, or that there are
-// none.
+// PeerFresh records that a peer answered with a fresh view of the store, whether or not
+// there was a change.
 func (s *Selector) PeerFresh(name ids.VM) {
 	s.roster.MarkReachable(name)
-	delete(s.behindUntil, name)
-	s.awaySince, s.tryAt, s.servedUntil, s.tries, s.served = time.Time{}, time.Time{}, time.Time{}, 0, false
-	s.behind, s.unanswered = 0, 0
+	delete(s.staleUntil, name)
+	s.allStaleSince, s.nextStoreAttempt, s.storeHoldUntil, s.storeAttempts, s.storeAnswered = time.Time{}, time.Time{}, time.Time{}, 0, false
+	s.staleCount, s.failedCount = 0, 0
 }
 
-// StoreAnswered tells that the store answered this node.
+// StoreAnswered records that the store answered this node.
 func (s *Selector) StoreAnswered(now time.Time) {
-	s.behind = 0
-	if s.served {
+	s.staleCount = 0
+	if s.storeAnswered {
 		return
 	}
-	s.servedUntil, s.served = now.Add(servedFor), true
-	s.tryAt, s.tries = time.Time{}, 0
+	s.storeHoldUntil, s.storeAnswered = now.Add(storeHold), true
+	s.nextStoreAttempt, s.storeAttempts = time.Time{}, 0
 }
--- a/decide/roster/times.go
+++ b/decide/roster/times.go
@@ -2,29 +2,33 @@
 
 import "time"
 
-// A change must be in force everywhere within 2 s, and an upstream that leaves gets nothing
-// new after that, half a second of which goes to links and requests under way. Nodes ask in
-// turn, and news pass two nodes: what one question takes at the most bounds the whole.
+// A change must be in force on every node within 2 s of its acknowledgement. After that,
+// an upstream that leaves the fleet must get no new requests. Half a second of it is
+// reserved for links and requests in flight. An update passes up to two nodes on its
+// way, and each node polls its sources in turn, so the longest poll determines the
+// total.
 const (
-	// PeerPollWait is how long a peer's answer may wait for news. What one peer does not know,
-	// being cut off, another is asked for after it.
+	// PeerPollWait is how long a peer may hold a poll open until it has an update. After
+	// it the node polls the next source, in case this one is cut off.
 	PeerPollWait = 300 * time.Millisecond
-	// PeerReadTimeout is how much longer than that a peer may be silent before it counts as
-	// standing still. One that is sending is not silent.
+	// PeerReadTimeout is how long a peer may send nothing after PeerPollWait before it
+	// counts as frozen. A peer that is still sending does not time out.
 	PeerReadTimeout = 300 * time.Millisecond
-	// MaxAge is how old the view of a node that watches the store may be, whose probes are
-	// answered in time.
+	// MaxAge is the maximum age of the view of a watcher whose probes are answered in
+	// time.
 	MaxAge = 1500 * time.Millisecond
-	// hopAge is what each node between may add: its wait for an answer, and the way.
-	hopAge = time.Second
-	// MaxHops is the most nodes between the store and one that may be asked: those that
-	// watch the store and the heads of zones. Nodes whose lists of the fleet differ could
-	// else wait for each other in a ring.
+	// maxHopDelay is the age that each node on the way may add: its poll wait and the
+	// network delay.
+	maxHopDelay = time.Second
+	// MaxHops is the maximum number of nodes between the store and a peer that may be
+	// polled. One allows polling watchers and zone relays. Without the limit, nodes with
+	// different lists of the fleet could poll each other in a cycle.
 	MaxHops = 1
 )
 
-// Fresh reports whether news are taken of a peer that the store answered, over so many
-// nodes, that long ago.
+// Fresh reports whether a peer's view of the store is recent enough to use. age is the
+// time since the store last answered, and hops the number of nodes between the store and
+// that peer.
 func Fresh(age time.Duration, hops int) bool {
-	return hops <= MaxHops && age <= MaxAge+time.Duration(hops)*hopAge
+	return hops <= MaxHops && age <= MaxAge+time.Duration(hops)*maxHopDelay
 }
