--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -119,11 +119,11 @@
 	}
 	whole, err := h.service.bases.whole(d)
 	if err != nil {
-		h.service.opts.Count(DigestsUnbased, 1)
+		h.service.opts.Count(DigestsUnknownBase, 1)
 		return nil, err
 	}
 	if err := h.service.events.Offer(received{digest: whole, conn: conn, called: true}); err != nil {
-		h.service.opts.Count(MessagesBusy, 1)
+		h.service.opts.Count(MessagesDropped, 1)
 		return nil, &busyError{Cause: err}
 	}
 	return h.service.reply(d), nil
@@ -140,24 +140,24 @@
 		ConfigDigest:   own.ConfigDigest,
 		ConfigRevision: own.ConfigRevision,
 		VMsRevision:    s.vms.Load().Revision,
-		Have:           s.bases.of(to.VM, to.Boot),
+		HeldBase:       s.bases.of(to.VM, to.Boot),
 	}
 	if own.Seq > 0 {
-		digest := state.to(to.Have)
+		digest := state.to(to.HeldBase)
 		out.Digest = &digest
 	}
 	if to.VMsRevision == 0 {
-		out.Known = s.known()
+		out.KnownPeers = s.known()
 	}
 	return out
 }
 
 // known lists peers heard from, for a peer that has no list of VMs.
-func (s *Service) known() []peerapi.Known {
-	var out []peerapi.Known
+func (s *Service) known() []peerapi.KnownPeer {
+	var out []peerapi.KnownPeer
 	for _, p := range s.Peers() {
-		if p.State == member.Alive && len(out) < peerapi.MaxKnown {
-			out = append(out, peerapi.Known{VM: p.VM, Zone: p.Zone, Address: p.Address})
+		if p.State == member.Alive && len(out) < peerapi.MaxKnownPeers {
+			out = append(out, peerapi.KnownPeer{VM: p.VM, Zone: p.Zone, Address: p.Address})
 		}
 	}
 	return out
@@ -172,7 +172,7 @@
 	if h.service.opts.Feed == nil {
 		return peerapi.PullReply{}, nil
 	}
-	objects, err := h.service.opts.Feed.Newer(ctx, toldSummary(p.Summary), peerapi.MaxPullBytes)
+	objects, err := h.service.opts.Feed.Newer(ctx, decodeSummary(p.Summary), peerapi.MaxPullBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	list := h.service.vms.Load()
-	if list.Revision <= v.Above || len(list.VMs) > peerapi.MaxVMs {
+	if list.Revision <= v.AfterRevision || len(list.VMs) > peerapi.MaxVMs {
 		return peerapi.VMsReply{}, nil
 	}
 	return peerapi.VMsReply{List: *list}, nil
@@ -200,5 +200,5 @@
 	}
 	steps := h.service.opts.Source.Explain(e.ID)
 	steps = steps[max(len(steps)-peerapi.MaxDecisions, 0):]
-	return peerapi.ExplainReply{Decisions: tellDecisions(steps, time.Now())}, nil
+	return peerapi.ExplainReply{Decisions: encodeDecisions(steps, time.Now())}, nil
 }
--- a/decide/roster/selector.go
+++ b/decide/roster/selector.go
@@ -116,7 +116,7 @@
 	if now.Sub(s.allStaleSince) < time.Duration(s.roster.rank())*storeFallbackStep || now.Before(s.nextStoreAttempt) {
 		return false
 	}
-	s.nextStoreAttempt = now.Add(backoff.Doubled(minStoreRetry, maxStoreRetry, s.storeAttempts))
+	s.nextStoreAttempt = now.Add(backoff.Exponential(minStoreRetry, maxStoreRetry, s.storeAttempts))
 	s.storeAttempts++
 	return true
 }
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -29,9 +29,9 @@
 	n.server.DisableKeepAlives()
 	n.keeper.Resign()
 	n.log.Info().Str("event", "stopping").Int64("active", n.server.Active()).Send()
-	limit, done := context.WithDeadline(ctx, began.Add(n.settings.Grace-killSlack))
+	limit, done := context.WithDeadline(ctx, began.Add(n.settings.StopGrace-killSlack))
 	defer done()
-	every.Pause(limit, readinessLag)
+	every.Sleep(limit, readinessLag)
 	// What comes later could no longer be finished within the grace.
 	_ = l.callers.Close()
 	whole := n.server.Drain(limit)
