--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -183,7 +183,7 @@
 		Seq:      d.Seq,
 		Address:  d.Address,
 		Draining: d.Draining,
-		Called:   ev.called,
+		IsCall:   ev.called,
 	})
 	l.mu.Unlock()
 	if err != nil {
--- a/decide/member/events.go
+++ b/decide/member/events.go
@@ -18,9 +18,9 @@
 	// Address is where the sender takes calls; empty when not known.
 	Address  string
 	Draining bool
-	// Called is true when the sender called with its digest, false when the
+	// IsCall is true when the sender called with its digest, false when the
 	// digest came with a reply to this node's call.
-	Called bool
+	IsCall bool
 }
 
 // SetSeeds sets the addresses to start from, at most MaxSeeds of them. The
@@ -122,7 +122,7 @@
 	if from.Address != "" {
 		p.address = from.Address
 	}
-	if from.Called {
+	if from.IsCall {
 		p.called = now
 	}
 	m.prove(now, p, Alive)
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -72,7 +72,7 @@
 		s.print(s.m.ApplyVMList(s.now, list))
 	case "digest", "call":
 		from := heard(words[1], words[2])
-		from.Called = words[0] == "call"
+		from.IsCall = words[0] == "call"
 		_, _ = fmt.Sscan(words[3], &from.Seq)
 		commands, err := s.m.DigestReceived(s.now, from)
 		if err != nil {
@@ -319,7 +319,7 @@
 		return
 	}
 	from := m.who(w.seqs[m.opts.VM])
-	from.Called = true
+	from.IsCall = true
 	_, _ = to.DigestReceived(w.now, from)
 	if w.lost(to.opts.VM, m.opts.VM) {
 		m.CallFailed(w.now, send.Address)
