--- a/decide/member/command.go
+++ b/decide/member/command.go
@@ -6,57 +6,59 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Command is one thing for the owner of a Members to do or to know.
+// Command is an action or a notification for the owner of a Members.
 type Command interface {
 	fmt.Stringer
 	isCommand()
 }
 
-// Send asks to send the node's digest of this round to a peer.
+// Send requests that the node's digest of this round be sent to a peer.
 type Send struct {
-	// VM is empty for a seed whose name is not known.
+	// VM is empty for a seed address whose VM is not known.
 	VM      ids.VM
 	Address string
 }
 
-// StateChanged tells that a peer is in another state.
+// StateChanged reports the new state of a peer.
 type StateChanged struct {
 	VM    ids.VM
 	State State
 }
 
-// PeerGone tells that a peer's figures no longer stand.
+// PeerGone reports that the data in a peer's digests is no longer valid.
 type PeerGone struct {
 	VM     ids.VM
 	Reason GoneReason
 }
 
-// GoneReason tells why a peer is gone.
+// GoneReason is the reason why a peer is gone.
 type GoneReason int
 
 // Reasons of PeerGone.
 const (
-	// Silent: not heard from for long. It may work on behind a cut, so what
-	// it holds of a shared limit must not be given to others.
+	// Silent means that the peer has not been heard from for GoneAfter cycles. It may
+	// still run behind a network partition, so its share of a limit must not be given to
+	// other nodes.
 	Silent GoneReason = iota
-	// Restarted: its process began anew, and what it told before is void.
+	// Restarted means that the peer has a new process, so that the digests of the
+	// earlier one are invalid.
 	Restarted
-	// Delisted: silent, and the platform's list no longer has it; it follows
-	// Silent when the list changes later.
+	// Delisted means that the peer is silent and missing from the platform's list. It
+	// follows Silent if the list changes after the peer became Gone.
 	Delisted
-	// Forgotten: silent for very long and on no list.
+	// Forgotten means that an unlisted peer has been silent for ForgetAfter.
 	Forgotten
 )
 
-// whyNames are indexed by Why.
-var whyNames = [...]string{"silent", "restarted", "delisted", "forgotten"}
+// goneReasonNames holds the name of each GoneReason.
+var goneReasonNames = [...]string{"silent", "restarted", "delisted", "forgotten"}
 
 // String implements fmt.Stringer.
-func (w GoneReason) String() string {
-	if w < 0 || int(w) >= len(whyNames) {
-		return fmt.Sprintf("why(%d)", int(w))
+func (r GoneReason) String() string {
+	if r < 0 || int(r) >= len(goneReasonNames) {
+		return fmt.Sprintf("reason(%d)", int(r))
 	}
-	return whyNames[w]
+	return goneReasonNames[r]
 }
 
 // String implements fmt.Stringer.
@@ -72,7 +74,7 @@
 func (StateChanged) isCommand() {}
 func (PeerGone) isCommand()     {}
 
-// StaleError refuses a digest that is repeated or older than one taken.
+// StaleError reports a digest that is a duplicate or older than one already accepted.
 type StaleError struct {
 	VM   ids.VM
 	Boot string
@@ -84,11 +86,11 @@
 	return fmt.Sprintf("digest %d of %s, boot %s, is not new", e.Seq, e.VM, e.Boot)
 }
 
-// SelfError refuses a message under the node's own name.
+// SelfError reports a message whose sender has the node's own name.
 type SelfError struct {
 	VM ids.VM
-	// Boot is the sender's. One that isn't the node's own tells that two
-	// processes use one name.
+	// Boot identifies the sender's process. If it differs from the node's own, two
+	// processes use the same name.
 	Boot string
 }
 
@@ -97,7 +99,7 @@
 	return fmt.Sprintf("peer %s, boot %s, has this node's name", e.VM, e.Boot)
 }
 
-// FullError refuses a peer beyond MaxPeers.
+// FullError reports a message of an unknown peer when MaxPeers peers are known.
 type FullError struct{ Limit int }
 
 // Error implements error.
--- a/decide/member/events.go
+++ b/decide/member/events.go
@@ -8,23 +8,23 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// Sender names the sender of a digest or of a reply.
+// Sender describes the sender of a digest or a reply.
 type Sender struct {
 	VM   ids.VM
 	Zone ids.Zone
 	Boot string
-	// Seq is the digest's; 0 for a reply.
+	// Seq is the sequence number of the digest, or 0 for a reply.
 	Seq uint64
-	// Address is where the sender takes calls; empty when not known.
+	// Address is where the sender accepts calls, or empty if unknown.
 	Address  string
 	Draining bool
-	// IsCall is true when the sender called with its digest, false when the
-	// digest came with a reply to this node's call.
+	// IsCall is true if the sender called this node to deliver the digest, and false if
+	// the digest came with the reply to a call of this node.
 	IsCall bool
 }
 
-// SetSeeds sets the addresses to start from, at most MaxSeeds of them. The
-// node's own is passed over.
+// SetSeeds sets the addresses to contact first, at most MaxSeeds of them. The node's own
+// address is ignored.
 func (m *Members) SetSeeds(addresses []string) {
 	m.seeds = m.seeds[:0]
 	for _, address := range addresses {
@@ -34,19 +34,19 @@
 	}
 }
 
-// ApplyVMList takes the platform's list. One of an older revision is ignored. The
-// commands are valid until the next call.
+// ApplyVMList applies the platform's list of VMs. A list that is not newer than the last
+// one is ignored. The returned commands are valid until the next call.
 func (m *Members) ApplyVMList(now time.Time, list platformapi.VMList) []Command {
-	m.out = m.out[:0]
-	if list.Revision <= m.listed {
-		return m.out
+	m.commands = m.commands[:0]
+	if list.Revision <= m.listRevision {
+		return m.commands
 	}
-	m.listed = list.Revision
+	m.listRevision = list.Revision
 	named := make(map[ids.VM]bool)
 	for _, vm := range list.VMs {
 		if vm.Role == platformapi.RoleEntry && vm.PeerAddress != "" {
 			named[ids.VM(vm.ID)] = true
-			m.list(now, vm)
+			m.addListed(now, vm)
 		}
 	}
 	for _, vm := range slices.Clone(m.order) {
@@ -54,12 +54,12 @@
 			m.delist(p)
 		}
 	}
-	return m.out
+	return m.commands
 }
 
-// list notes a listed VM.
-func (m *Members) list(now time.Time, vm platformapi.VM) {
-	p := m.known(now, ids.VM(vm.ID))
+// addListed marks a VM as listed and adds it as a peer if it is unknown.
+func (m *Members) addListed(now time.Time, vm platformapi.VM) {
+	p := m.getOrAdd(now, ids.VM(vm.ID))
 	if p == nil {
 		return
 	}
@@ -72,50 +72,50 @@
 	}
 }
 
-// delist notes that a VM is no longer listed. One that is still heard from
-// stays until it falls silent.
+// delist marks a peer as missing from the list. A peer that still sends digests is kept
+// until it is silent.
 func (m *Members) delist(p *peer) {
 	p.listed = false
 	p.listedAddress = ""
 	p.delisted = true
 	switch p.state {
 	case Gone:
-		m.out = append(m.out, PeerGone{p.vm, Delisted})
+		m.commands = append(m.commands, PeerGone{p.vm, Delisted})
 		m.remove(p)
 	case Candidate:
 		m.remove(p)
 	}
 }
 
-// LearnAddress takes the address of a VM from another peer. It is used where nothing
-// is known of the VM.
+// LearnAddress adds a VM whose address another peer has reported. It does nothing if the
+// VM is already known.
 func (m *Members) LearnAddress(now time.Time, vm ids.VM, zone ids.Zone, address string) {
 	if m.peers[vm] != nil {
 		return
 	}
-	if p := m.known(now, vm); p != nil {
+	if p := m.getOrAdd(now, vm); p != nil {
 		p.zone = zone
 		p.address = address
 	}
 }
 
-// DigestReceived takes the sender of a digest. The error is a *StaleError,
-// *SelfError or *FullError: the digest must not be used and nothing was
-// changed. The commands, valid until the next call, come before the digest:
-// Restarted voids what the sender told before.
+// DigestReceived records the sender of a digest. The error is a *StaleError, *SelfError
+// or *FullError; the digest must then not be used, and nothing has changed. The returned
+// commands are valid until the next call and must be handled before the digest, because
+// Restarted invalidates the sender's earlier digests.
 func (m *Members) DigestReceived(now time.Time, from Sender) ([]Command, error) {
-	m.out = m.out[:0]
+	m.commands = m.commands[:0]
 	if from.VM == m.opts.VM {
 		return nil, &SelfError{VM: from.VM, Boot: from.Boot}
 	}
 	p := m.peers[from.VM]
-	if p != nil && (p.old(from.Boot) || p.boot == from.Boot && from.Seq <= p.seq) {
+	if p != nil && (p.isEarlierBoot(from.Boot) || p.boot == from.Boot && from.Seq <= p.seq) {
 		return nil, &StaleError{VM: from.VM, Boot: from.Boot, Seq: from.Seq}
 	}
-	if p = m.known(now, from.VM); p == nil {
+	if p = m.getOrAdd(now, from.VM); p == nil {
 		return nil, &FullError{Limit: m.opts.MaxPeers}
 	}
-	m.begin(p, from.Boot)
+	m.setBoot(p, from.Boot)
 	p.zone = from.Zone
 	p.seq = from.Seq
 	p.draining = from.Draining
@@ -123,118 +123,121 @@
 		p.address = from.Address
 	}
 	if from.IsCall {
-		p.called = now
+		p.lastCall = now
 	}
-	m.prove(now, p, Alive)
-	return m.out, nil
+	m.markHeard(now, p, Alive)
+	return m.commands, nil
 }
 
-// ReplyReceived takes the sender of a reply to a digest sent to an address. A peer
-// that was Gone becomes a Candidate by its first reply and Alive by a second.
-// take tells whether a digest that came with the reply may be used; it still
-// has to pass Received.
+// ReplyReceived records the sender of a reply to a digest that was sent to address. The
+// first reply of a Gone peer makes it a Candidate, and the second makes it Alive. take
+// reports whether a digest that came with the reply may be passed to DigestReceived. The
+// returned commands are valid until the next call.
 func (m *Members) ReplyReceived(now time.Time, address string, from Sender) (commands []Command, take bool) {
-	m.out = m.out[:0]
+	m.commands = m.commands[:0]
 	if from.VM == m.opts.VM {
 		m.seeds = slices.DeleteFunc(m.seeds, func(seed string) bool { return seed == address })
-		return m.out, false
+		return m.commands, false
 	}
-	p := m.known(now, from.VM)
-	if p == nil || p.old(from.Boot) {
-		return m.out, false
+	p := m.getOrAdd(now, from.VM)
+	if p == nil || p.isEarlierBoot(from.Boot) {
+		return m.commands, false
 	}
-	m.begin(p, from.Boot)
+	m.setBoot(p, from.Boot)
 	p.zone = from.Zone
 	p.address = address
 	if p.state == Gone {
-		m.prove(now, p, Candidate)
-		return m.out, false
+		m.markHeard(now, p, Candidate)
+		return m.commands, false
 	}
-	m.prove(now, p, Alive)
-	return m.out, true
+	m.markHeard(now, p, Alive)
+	return m.commands, true
 }
 
-// CallFailed tells that a digest sent to an address brought no reply in time.
+// CallFailed records that a digest sent to address got no reply in time. The returned
+// commands are valid until the next call.
 func (m *Members) CallFailed(_ time.Time, address string) []Command {
-	m.out = m.out[:0]
+	m.commands = m.commands[:0]
 	for _, vm := range m.order {
 		if p := m.peers[vm]; p.address == address {
-			m.miss(p)
+			m.countMissedCall(p)
 			break
 		}
 	}
-	return m.out
+	return m.commands
 }
 
-// miss counts a call without reply.
-func (m *Members) miss(p *peer) {
-	p.misses++
-	if p.misses < missesToSuspect {
+// countMissedCall counts a call without a reply. At maxMissedCalls in a row an Alive
+// peer becomes Suspect, and a Candidate becomes Gone.
+func (m *Members) countMissedCall(p *peer) {
+	p.missedCalls++
+	if p.missedCalls < maxMissedCalls {
 		return
 	}
 	switch p.state {
 	case Alive:
-		m.change(p, Suspect)
+		m.setState(p, Suspect)
 	case Candidate:
 		p.state = Gone
 	}
 }
 
-// known gives a peer, made when missing; nil for this node itself and when
-// there is no room.
-func (m *Members) known(now time.Time, vm ids.VM) *peer {
+// getOrAdd returns a peer and adds it if it is unknown. It returns nil for this node
+// itself and if MaxPeers peers are known.
+func (m *Members) getOrAdd(now time.Time, vm ids.VM) *peer {
 	if p := m.peers[vm]; p != nil {
 		return p
 	}
 	if vm == m.opts.VM || len(m.peers) >= m.opts.MaxPeers {
 		return nil
 	}
-	p := &peer{vm: vm, heard: now}
+	p := &peer{vm: vm, lastHeard: now}
 	m.peers[vm] = p
 	m.order = slices.Insert(m.order, m.rand.IntN(len(m.order)+1), vm)
 	return p
 }
 
-// remove forgets a peer.
+// remove deletes a peer.
 func (m *Members) remove(p *peer) {
 	delete(m.peers, p.vm)
 	m.order = slices.DeleteFunc(m.order, func(vm ids.VM) bool { return vm == p.vm })
 }
 
-// begin notes the boot of a peer. A new one voids what the last one told.
-func (m *Members) begin(p *peer, boot string) {
+// setBoot records the boot identifier of a peer. A new one invalidates the digests of
+// the earlier process.
+func (m *Members) setBoot(p *peer, boot string) {
 	if p.boot == boot {
 		return
 	}
 	if p.boot != "" {
-		m.out = append(m.out, PeerGone{p.vm, Restarted})
-		p.boots = append(p.boots, p.boot)
-		p.boots = p.boots[max(len(p.boots)-keptBoots, 0):]
+		m.commands = append(m.commands, PeerGone{p.vm, Restarted})
+		p.earlierBoots = append(p.earlierBoots, p.boot)
+		p.earlierBoots = p.earlierBoots[max(len(p.earlierBoots)-maxEarlierBoots, 0):]
 	}
 	p.boot = boot
 	p.seq = 0
 	p.draining = false
 }
 
-// old reports whether a boot is an earlier one than the peer's last.
-func (p *peer) old(boot string) bool { return slices.Contains(p.boots, boot) }
+// isEarlierBoot reports whether boot identifies an earlier process of the peer.
+func (p *peer) isEarlierBoot(boot string) bool { return slices.Contains(p.earlierBoots, boot) }
 
-// prove notes that a peer was heard from.
-func (m *Members) prove(now time.Time, p *peer, state State) {
-	p.heard = now
-	p.misses = 0
+// markHeard records that a message of a peer arrived, and sets the peer's state.
+func (m *Members) markHeard(now time.Time, p *peer, state State) {
+	p.lastHeard = now
+	p.missedCalls = 0
 	if state == Candidate {
 		p.state = Candidate
 		return
 	}
-	m.change(p, state)
+	m.setState(p, state)
 }
 
-// change puts a peer in another state and tells so.
-func (m *Members) change(p *peer, state State) {
+// setState changes the state of a peer and reports the change.
+func (m *Members) setState(p *peer, state State) {
 	if p.state == state {
 		return
 	}
 	p.state = state
-	m.out = append(m.out, StateChanged{p.vm, state})
+	m.commands = append(m.commands, StateChanged{p.vm, state})
 }
--- a/decide/member/member.go
+++ b/decide/member/member.go
@@ -1,18 +1,17 @@
-// Package member keeps a node's view of the other nodes: whom to send digests
-// to, who is heard from, and which upstreams this node asks for their load.
+// Package member tracks the other nodes of the fleet by gossip: which peers to send
+// digests to, which peers are alive, and which upstreams this node polls for their load.
 //
-// Inside its zone a node sends to all others, to at most Fanout of them in a
-// round, in rotation. To each other zone it holds at most CrossLinks links,
-// chosen by rendezvous hash, so that zones stay joined when nodes go. A reply
-// carries a digest too: of two nodes that would call each other only the one
-// whose name comes first does. The work of a round thus has a bound that does
-// not grow with the fleet.
+// In its own zone a node sends digests to all peers in rotation, to at most Fanout in
+// each round. To each other zone it keeps at most LinksPerZone links, chosen by
+// rendezvous hashing, so that zones stay connected when nodes fail. A reply also carries
+// a digest, so of two nodes that would call each other only the one with the lower name
+// does. The work of a round is therefore bounded, whatever the size of the fleet.
 //
-// The view is a hint. Where it is wrong, two nodes may do the same work or
-// news may come late; no promise of the fleet rests on it.
+// The view is a hint. Where it is wrong, two nodes may do the same work, or information
+// may arrive late. No guarantee of the fleet depends on it.
 //
-// The package is pure. A Members is not safe for concurrent use: one
-// goroutine owns it. The same events and seed give the same commands.
+// The package does no I/O and reads no clock. A Members is not safe for concurrent use.
+// The same events and seed produce the same commands.
 package member
 
 import (
@@ -24,39 +23,41 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Options set up a Members. VM, Zone, Address and Boot are required; zero
-// values of the rest stand for the defaults.
+// Options configures a Members. VM, Zone, Address and Boot are required. Zero values of
+// the other fields select the defaults.
 type Options struct {
-	// VM, Zone and Boot are the node's own.
+	// VM and Zone are the node's own. Boot identifies the node's process.
 	VM   ids.VM
 	Zone ids.Zone
 	Boot string
-	// Address is where the node takes calls of its peers.
+	// Address is where the node accepts calls of its peers.
 	Address string
-	// Seed starts the random source that shuffles the rotation.
+	// Seed seeds the random source that shuffles the rotation.
 	Seed uint64
-	// Interval is the time between two calls of Tick. Default 250ms.
+	// Interval is the time between two calls of Tick, which is one round. Default 250ms.
 	Interval time.Duration
-	// Fanout is the most peers of the own zone sent to in a round. Default 5.
+	// Fanout is the maximum number of peers in the node's own zone that get a digest in
+	// one round. Default 5.
 	Fanout int
-	// CrossZoneFanout is the most peers of all other zones together sent to in a
-	// round. Default 3.
+	// CrossZoneFanout is the maximum number of peers in all other zones together that
+	// get a digest in one round. Default 3.
 	CrossZoneFanout int
-	// LinksPerZone is the most peers of one other zone sent to. Default 3, so
-	// that each two nodes of zones of three hear each other.
+	// LinksPerZone is the maximum number of peers in one other zone that get digests.
+	// Default 3, so that any two nodes exchange digests if each zone has three nodes.
 	LinksPerZone int
-	// MaxCrossZoneLinks bounds the links to all other zones together where there
-	// are many of them: each gets an even part, but at least one. Default 15.
+	// MaxCrossZoneLinks limits the links to all other zones together. With many zones
+	// each gets an equal share of it, but at least one link. Default 15.
 	MaxCrossZoneLinks int
-	// SuspectAfter and GoneAfter are how many of its turns a peer may stay
-	// silent. Default 4 and 20.
+	// SuspectAfter and GoneAfter are the numbers of cycles that a peer may be silent
+	// before it becomes Suspect and Gone. In one cycle each peer gets one digest.
+	// Default 4 and 20.
 	SuspectAfter, GoneAfter int
-	// ForgetAfter is how long a silent peer that is on no list is kept.
+	// ForgetAfter is how long an unlisted peer is kept after it was last heard from.
 	// Default 10m.
 	ForgetAfter time.Duration
-	// MaxPeers bounds the peers kept. Default 1024.
+	// MaxPeers limits the number of peers. Default 1024.
 	MaxPeers int
-	// MaxSeeds bounds the seeds kept. Default 64.
+	// MaxSeeds limits the number of seed addresses. Default 64.
 	MaxSeeds int
 }
 
@@ -74,13 +75,15 @@
 	DefaultMaxSeeds          = 64
 )
 
-// missesToSuspect is how many calls in a row may go without a reply.
-const missesToSuspect = 2
+// maxMissedCalls is the number of calls in a row without a reply that makes a peer
+// Suspect.
+const maxMissedCalls = 2
 
-// keptBoots is how many earlier boots of a VM are remembered.
-const keptBoots = 4
+// maxEarlierBoots is the number of earlier boot identifiers kept for each VM, so that
+// late digests of an earlier process are recognized.
+const maxEarlierBoots = 4
 
-// withDefaults fills in unset options.
+// withDefaults returns o with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	o.Interval = cmp.Or(o.Interval, DefaultInterval)
 	o.Fanout = cmp.Or(o.Fanout, DefaultFanout)
@@ -95,22 +98,24 @@
 	return o
 }
 
-// State is what is believed of a peer.
+// State is the liveness of a peer as this node sees it.
 type State int
 
 // States of a peer.
 const (
-	// Candidate: known by name, or answering, but not heard from in turn.
+	// Candidate is a peer that is known by name, or that has answered once after it was
+	// Gone.
 	Candidate State = iota
-	// Alive: heard from in turn.
+	// Alive is a peer that sends or answers digests.
 	Alive
-	// Suspect: silent for some turns, or without reply to two calls.
+	// Suspect is a peer that has been silent for SuspectAfter cycles, or that has not
+	// answered two calls in a row.
 	Suspect
-	// Gone: silent for long.
+	// Gone is a peer that has been silent for GoneAfter cycles.
 	Gone
 )
 
-// stateNames are indexed by State.
+// stateNames holds the name of each State.
 var stateNames = [...]string{"candidate", "alive", "suspect", "gone"}
 
 // String implements fmt.Stringer.
@@ -121,46 +126,50 @@
 	return stateNames[s]
 }
 
-// Members is the view. Make it with New.
+// Members is a node's view of its peers. Create it with New.
 type Members struct {
 	opts  Options
 	rand  *rand.Rand
 	peers map[ids.VM]*peer
-	// order are the peers' names in the order of rotation.
+	// order holds the names of the peers in the order of rotation.
 	order []ids.VM
 	seeds []string
-	// listed is the revision of the newest list of VMs; 0 means none.
-	listed int64
-	// inZone, across, silent and seeding are the places of the rotations.
-	inZone, across, silent, seeding int
-	rounds                          int
-	out                             []Command
+	// listRevision is the revision of the newest list of VMs, or 0 before the first
+	// list.
+	listRevision int64
+	// The cursors are the positions of the rotations over peers of the zone, linked
+	// peers of other zones, Gone peers, and seeds.
+	zoneCursor, crossZoneCursor, goneCursor, seedCursor int
+	rounds                                              int
+	commands                                            []Command
 }
 
-// peer is one other node.
+// peer is the state of one other node.
 type peer struct {
 	vm      ids.VM
 	zone    ids.Zone
 	address string
-	// listedAddress is the list's; empty when the peer is not listed.
+	// listedAddress is the address in the platform's list, or empty if the peer is not
+	// listed.
 	listedAddress string
 	listed        bool
-	// delisted is true when a newer list no longer has it.
-	delisted bool
-	state    State
-	boot     string
-	boots    []string
-	seq      uint64
-	draining bool
-	// heard is when it was last heard from, or became known.
-	heard time.Time
-	// called is when it last called this node with a digest.
-	called time.Time
-	// misses counts calls without reply since it was heard.
-	misses int
+	// delisted is true if an earlier list had the peer and the newest one does not.
+	delisted     bool
+	state        State
+	boot         string
+	earlierBoots []string
+	seq          uint64
+	draining     bool
+	// lastHeard is when the last message of the peer arrived, or when the peer was
+	// added.
+	lastHeard time.Time
+	// lastCall is when the peer last called this node with a digest.
+	lastCall time.Time
+	// missedCalls counts the calls without a reply since lastHeard.
+	missedCalls int
 }
 
-// New makes a view without peers.
+// New returns a Members without peers.
 func New(opts Options) *Members {
 	opts = opts.withDefaults()
 	return &Members{
@@ -173,7 +182,7 @@
 // seedStream is the second half of the random source's seed.
 const seedStream = 0x6d656d626572
 
-// Peer is what is known of one peer.
+// Peer describes one peer.
 type Peer struct {
 	VM       ids.VM
 	Zone     ids.Zone
@@ -181,30 +190,31 @@
 	State    State
 	Listed   bool
 	Draining bool
-	// LastHeard is when it was last heard from, or became known.
+	// LastHeard is when the last message of the peer arrived, or when the peer was
+	// added.
 	LastHeard time.Time
 }
 
-// Peers lists all peers, in no order that matters.
+// Peers returns all peers, in no particular order.
 func (m *Members) Peers() []Peer {
 	out := make([]Peer, 0, len(m.order))
 	for _, vm := range m.order {
-		out = append(out, m.peers[vm].show())
+		out = append(out, m.peers[vm].snapshot())
 	}
 	return out
 }
 
-// Peer gives what is known of a VM; false when it is no known peer.
+// Peer returns the peer with the given name, and false if it is unknown.
 func (m *Members) Peer(vm ids.VM) (Peer, bool) {
 	p, ok := m.peers[vm]
 	if !ok {
 		return Peer{}, false
 	}
-	return p.show(), true
+	return p.snapshot(), true
 }
 
-// show copies what others may see.
-func (p *peer) show() Peer {
+// snapshot returns the exported description of the peer.
+func (p *peer) snapshot() Peer {
 	return Peer{
 		VM:        p.vm,
 		Zone:      p.zone,
@@ -212,6 +222,6 @@
 		State:     p.state,
 		Listed:    p.listed,
 		Draining:  p.draining,
-		LastHeard: p.heard,
+		LastHeard: p.lastHeard,
 	}
 }
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -27,7 +27,7 @@
 
 var start = time.Unix(1000, 0)
 
-// script drives a Members by lines of text and gives its commands as text.
+// script drives a Members with lines of text and prints its commands as text.
 type script struct {
 	m   *Members
 	now time.Time
@@ -42,10 +42,10 @@
 	return &script{m: New(opts), now: start}
 }
 
-// run takes events, one a line:
+// run executes one event for each line and returns the commands:
 //
 //	vms REV VM/ZONE...    digest VM/ZONE BOOT SEQ    reply VM/ZONE BOOT
-//	call VM/ZONE BOOT SEQ, a digest that came by the peer's own call
+//	call VM/ZONE BOOT SEQ, a digest that the peer delivered by a call of its own
 //	miss VM               tick [COUNT]               polls UPSTREAM ZONE
 func (s *script) run(lines string) string {
 	s.out.Reset()
@@ -71,7 +71,7 @@
 		}
 		s.print(s.m.ApplyVMList(s.now, list))
 	case "digest", "call":
-		from := heard(words[1], words[2])
+		from := sender(words[1], words[2])
 		from.IsCall = words[0] == "call"
 		_, _ = fmt.Sscan(words[3], &from.Seq)
 		commands, err := s.m.DigestReceived(s.now, from)
@@ -80,7 +80,7 @@
 		}
 		s.print(commands)
 	case "reply":
-		from := heard(words[1], words[2])
+		from := sender(words[1], words[2])
 		commands, take := s.m.ReplyReceived(s.now, string(from.VM)+":1", from)
 		s.print(commands)
 		fmt.Fprintln(&s.out, "take", take)
@@ -106,7 +106,7 @@
 	}
 }
 
-func heard(name, boot string) Sender {
+func sender(name, boot string) Sender {
 	vm, zone, _ := strings.Cut(name, "/")
 	return Sender{VM: ids.VM(vm), Zone: ids.Zone(zone), Boot: boot, Address: vm + ":1"}
 }
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestSilenceAndReturn(t *testing.T) {
+func TestSilentPeerIsGoneAndComesBack(t *testing.T) {
 	s := newScript("a", "z1", nil)
 	s.want(t, `
 		vms 1 a/z1 b/z1
@@ -172,7 +172,7 @@
 		> digest b/z1 x 2`)
 }
 
-func TestRestartVoidsTheEarlierBoot(t *testing.T) {
+func TestRestartInvalidatesTheEarlierBoot(t *testing.T) {
 	s := newScript("a", "z1", nil)
 	s.want(t, `
 		digest b/z1 x 5
@@ -208,7 +208,7 @@
 		b is suspect`)
 }
 
-func TestListTellsWhoIsGoneForGood(t *testing.T) {
+func TestPeerMissingFromTheListIsDelisted(t *testing.T) {
 	s := newScript("a", "z1", nil)
 	s.run(`
 		vms 1 b/z1 c/z1
@@ -227,7 +227,7 @@
 		b gone: delisted`)
 }
 
-// fleetOf lists VMs of a zone by number.
+// fleetOf returns a list of numbered VMs of a zone.
 func fleetOf(zone string, count int) string {
 	var out strings.Builder
 	for i := range count {
@@ -236,7 +236,7 @@
 	return out.String()
 }
 
-func TestWorkOfARoundIsBounded(t *testing.T) {
+func TestMessagesPerRoundAreBounded(t *testing.T) {
 	for _, size := range []int{3, 130} {
 		s := newScript("me", "p", nil)
 		s.run("vms 1 me/p" + fleetOf("p", size) + fleetOf("q", size) + fleetOf("r", size))
@@ -257,7 +257,7 @@
 			}
 		}
 		if len(inZone) != size || len(across) != 2*DefaultLinksPerZone {
-			t.Fatalf("size %d: %d of the zone, %d across", size, len(inZone), len(across))
+			t.Fatalf("size %d: %d peers of the zone, %d of other zones", size, len(inZone), len(across))
 		}
 	}
 }
@@ -266,7 +266,7 @@
 	s := newScript("a", "z1", func(o *Options) { o.MaxPeers, o.MaxSeeds = 1, 2 })
 	s.run("digest b/z1 x 1")
 	var full *FullError
-	if _, err := s.m.DigestReceived(start, heard("c/z1", "x")); !errors.As(err, &full) || len(s.m.Peers()) != 1 {
+	if _, err := s.m.DigestReceived(start, sender("c/z1", "x")); !errors.As(err, &full) || len(s.m.Peers()) != 1 {
 		t.Fatalf("got %v", err)
 	}
 	s.m.SetSeeds([]string{"a:1", "b:1", "s:1", "u:1"})
@@ -275,68 +275,68 @@
 	}
 }
 
-// world is a fleet of Members joined by links that lose messages.
-type world struct {
+// testFleet is a fleet of Members connected by links that lose messages.
+type testFleet struct {
 	nodes map[ids.VM]*Members
 	seqs  map[ids.VM]uint64
 	now   time.Time
-	// lost decides whether a message is lost.
-	lost func(from, to ids.VM) bool
+	// isLost reports whether a message is lost.
+	isLost func(from, to ids.VM) bool
 }
 
-func newWorld(names map[ids.VM]ids.Zone) *world {
-	w := &world{nodes: map[ids.VM]*Members{}, seqs: map[ids.VM]uint64{}, now: start}
+func newTestFleet(names map[ids.VM]ids.Zone) *testFleet {
+	f := &testFleet{nodes: map[ids.VM]*Members{}, seqs: map[ids.VM]uint64{}, now: start}
 	list := platformapi.VMList{Revision: 1}
 	for _, vm := range slices.Sorted(maps.Keys(names)) {
 		zone := names[vm]
-		w.nodes[vm] = New(Options{VM: vm, Zone: zone, Boot: string(vm) + "-1", Address: string(vm), Interval: time.Second})
+		f.nodes[vm] = New(Options{VM: vm, Zone: zone, Boot: string(vm) + "-1", Address: string(vm), Interval: time.Second})
 		list.VMs = append(list.VMs, platformapi.VM{ID: string(vm), Zone: string(zone), Role: platformapi.RoleEntry, PeerAddress: string(vm)})
 	}
-	for _, m := range w.nodes {
+	for _, m := range f.nodes {
 		m.ApplyVMList(start, list)
 	}
-	return w
+	return f
 }
 
 // round lets each node send once.
-func (w *world) round() {
-	w.now = w.now.Add(time.Second)
-	for _, vm := range slices.Sorted(maps.Keys(w.nodes)) {
-		m := w.nodes[vm]
-		w.seqs[vm]++
-		for _, command := range append([]Command{}, m.Tick(w.now)...) {
+func (f *testFleet) round() {
+	f.now = f.now.Add(time.Second)
+	for _, vm := range slices.Sorted(maps.Keys(f.nodes)) {
+		m := f.nodes[vm]
+		f.seqs[vm]++
+		for _, command := range append([]Command{}, m.Tick(f.now)...) {
 			if send, ok := command.(Send); ok {
-				w.send(m, send)
+				f.send(m, send)
 			}
 		}
 	}
 }
 
-func (w *world) send(m *Members, send Send) {
-	to := w.nodes[ids.VM(send.Address)]
-	if to == nil || w.lost(m.opts.VM, to.opts.VM) {
-		m.CallFailed(w.now, send.Address)
+func (f *testFleet) send(m *Members, send Send) {
+	to := f.nodes[ids.VM(send.Address)]
+	if to == nil || f.isLost(m.opts.VM, to.opts.VM) {
+		m.CallFailed(f.now, send.Address)
 		return
 	}
-	from := m.who(w.seqs[m.opts.VM])
+	from := m.asSender(f.seqs[m.opts.VM])
 	from.IsCall = true
-	_, _ = to.DigestReceived(w.now, from)
-	if w.lost(to.opts.VM, m.opts.VM) {
-		m.CallFailed(w.now, send.Address)
+	_, _ = to.DigestReceived(f.now, from)
+	if f.isLost(to.opts.VM, m.opts.VM) {
+		m.CallFailed(f.now, send.Address)
 		return
 	}
-	if _, take := m.ReplyReceived(w.now, send.Address, to.who(0)); take {
-		_, _ = m.DigestReceived(w.now, to.who(w.seqs[to.opts.VM]))
+	if _, take := m.ReplyReceived(f.now, send.Address, to.asSender(0)); take {
+		_, _ = m.DigestReceived(f.now, to.asSender(f.seqs[to.opts.VM]))
 	}
 }
 
-func (m *Members) who(seq uint64) Sender {
+func (m *Members) asSender(seq uint64) Sender {
 	return Sender{VM: m.opts.VM, Zone: m.opts.Zone, Boot: m.opts.Boot, Seq: seq, Address: m.opts.Address}
 }
 
-// populated reports whether a zone has a node.
-func (w *world) populated(zone ids.Zone) bool {
-	for _, m := range w.nodes {
+// hasNode reports whether a zone has a node.
+func (f *testFleet) hasNode(zone ids.Zone) bool {
+	for _, m := range f.nodes {
 		if m.opts.Zone == zone {
 			return true
 		}
@@ -344,10 +344,10 @@
 	return false
 }
 
-// pollers are the nodes that poll an upstream.
-func (w *world) pollers(id ids.Upstream, zone ids.Zone) []ids.VM {
+// pollers returns the nodes that poll an upstream.
+func (f *testFleet) pollers(id ids.Upstream, zone ids.Zone) []ids.VM {
 	var out []ids.VM
-	for vm, m := range w.nodes {
+	for vm, m := range f.nodes {
 		if m.Polls(id, zone) {
 			out = append(out, vm)
 		}
@@ -355,7 +355,7 @@
 	return out
 }
 
-func TestSharesUnderCutLossAndRestart(t *testing.T) {
+func TestPollersUnderPartitionLossAndRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := map[ids.VM]ids.Zone{}
 		for _, zone := range []ids.Zone{"p", "q", "r"} {
@@ -363,26 +363,26 @@
 				names[ids.VM(fmt.Sprint(zone, i))] = zone
 			}
 		}
-		w := newWorld(names)
+		f := newTestFleet(names)
 		cut, loss := false, 0
 		drops := rapid.SliceOfN(rapid.IntRange(0, 99), 64, 64).Draw(t, "drops")
 		sent := 0
-		w.lost = func(from, to ids.VM) bool {
+		f.isLost = func(from, to ids.VM) bool {
 			sent++
 			across := (names[from] == "p") != (names[to] == "p")
 			return cut && across || drops[sent%len(drops)] < loss
 		}
 		settle := func(what string) {
 			for range 2 * DefaultGoneAfter {
-				w.round()
+				f.round()
 			}
 			for _, zone := range []ids.Zone{"p", "q", "r"} {
 				for i := range 20 {
-					got := w.pollers(ids.Upstream(fmt.Sprint("e", i)), zone)
+					got := f.pollers(ids.Upstream(fmt.Sprint("e", i)), zone)
 					most := 1
-					if cut || !w.populated(zone) {
-						// Views across zones are partial, but in each zone
-						// the highest ranked node of it is known.
+					if cut || !f.hasNode(zone) {
+						// Views differ across zones, but every node knows the
+						// highest-ranked node of its own zone.
 						most = 3
 					}
 					if len(got) == 0 || len(got) > most {
@@ -394,28 +394,28 @@
 		settle("start")
 		cut = rapid.Bool().Draw(t, "cut")
 		settle("cut")
-		// While messages are lost some node polls, though several may.
+		// While messages are lost at least one node polls, and possibly several.
 		loss = rapid.IntRange(0, 40).Draw(t, "loss")
 		for range 10 {
-			w.round()
+			f.round()
 			for i := range 5 {
-				if len(w.pollers(ids.Upstream(fmt.Sprint("e", i)), "q")) == 0 {
-					t.Fatalf("nobody polls upstream %d", i)
+				if len(f.pollers(ids.Upstream(fmt.Sprint("e", i)), "q")) == 0 {
+					t.Fatalf("no node polls upstream %d", i)
 				}
 			}
 		}
 		cut, loss = false, 0
 		settle("heal")
 		gone := rapid.SampledFrom([]ids.VM{"p0", "q0", "r0"}).Draw(t, "restarts")
-		old := w.nodes[gone]
-		delete(w.nodes, gone)
+		old := f.nodes[gone]
+		delete(f.nodes, gone)
 		settle("one gone")
-		w.nodes[gone] = New(Options{VM: gone, Zone: old.opts.Zone, Boot: string(gone) + "-2", Address: string(gone), Interval: time.Second})
-		w.seqs[gone] = 0
+		f.nodes[gone] = New(Options{VM: gone, Zone: old.opts.Zone, Boot: string(gone) + "-2", Address: string(gone), Interval: time.Second})
+		f.seqs[gone] = 0
 		others := slices.DeleteFunc(slices.Sorted(maps.Keys(names)), func(vm ids.VM) bool { return vm == gone })
-		w.nodes[gone].SetSeeds([]string{string(others[0])})
+		f.nodes[gone].SetSeeds([]string{string(others[0])})
 		settle("restart")
-		for vm, m := range w.nodes {
+		for vm, m := range f.nodes {
 			if p, ok := m.Peer(gone); ok && p.State == Alive && m.peers[gone].boot != string(gone)+"-2" {
 				t.Fatalf("%s still has the old boot", vm)
 			}
@@ -423,34 +423,34 @@
 	})
 }
 
-func TestZonesStayJoined(t *testing.T) {
-	w := newWorld(map[ids.VM]ids.Zone{"p0": "p", "p1": "p", "p2": "p", "q0": "q", "q1": "q", "q2": "q"})
-	w.lost = func(ids.VM, ids.VM) bool { return false }
+func TestZonesStayConnected(t *testing.T) {
+	f := newTestFleet(map[ids.VM]ids.Zone{"p0": "p", "p1": "p", "p2": "p", "q0": "q", "q1": "q", "q2": "q"})
+	f.isLost = func(ids.VM, ids.VM) bool { return false }
 	for _, vm := range []ids.VM{"q0", "q1"} {
-		delete(w.nodes, vm)
+		delete(f.nodes, vm)
 		for range DefaultGoneAfter + 2 {
-			w.round()
+			f.round()
 		}
 		for _, from := range []ids.VM{"p0", "p1", "p2"} {
-			m := w.nodes[from]
-			linked := slices.ContainsFunc(m.links(), func(p *peer) bool { return w.nodes[p.vm] != nil })
-			if !linked || !m.heardFrom("q") {
-				t.Fatalf("%s lost zone q with %s", from, vm)
+			m := f.nodes[from]
+			linked := slices.ContainsFunc(m.links(), func(p *peer) bool { return f.nodes[p.vm] != nil })
+			if !linked || !m.hasPoller("q") {
+				t.Fatalf("%s is cut off from zone q after %s left", from, vm)
 			}
 		}
 	}
 }
 
-// calls counts the calls of a round, by the two nodes that each joins.
-func (w *world) calls() map[[2]ids.VM]int {
+// messagesByPair runs a round and counts the messages between each pair of nodes.
+func (f *testFleet) messagesByPair() map[[2]ids.VM]int {
 	out := map[[2]ids.VM]int{}
-	lost := w.lost
-	w.lost = func(from, to ids.VM) bool {
+	lost := f.isLost
+	f.isLost = func(from, to ids.VM) bool {
 		out[[2]ids.VM{min(from, to), max(from, to)}]++
 		return lost(from, to)
 	}
-	w.round()
-	w.lost = lost
+	f.round()
+	f.isLost = lost
 	return out
 }
 
@@ -461,22 +461,23 @@
 			names[ids.VM(fmt.Sprint(zone, i))] = zone
 		}
 	}
-	w := newWorld(names)
-	w.lost = func(ids.VM, ids.VM) bool { return false }
+	f := newTestFleet(names)
+	f.isLost = func(ids.VM, ids.VM) bool { return false }
 	for range 4 {
-		w.round()
+		f.round()
 	}
-	joined := map[[2]ids.VM]int{}
+	total := map[[2]ids.VM]int{}
 	for range 2 {
-		for pair, messages := range w.calls() {
-			joined[pair] += messages
+		for pair, messages := range f.messagesByPair() {
+			total[pair] += messages
 		}
 	}
-	if len(joined) != 9*8/2 {
-		t.Fatalf("%d pairs", len(joined))
+	if len(total) != 9*8/2 {
+		t.Fatalf("%d pairs", len(total))
 	}
-	for pair, messages := range joined {
-		// A call and its reply are two; in its zone a pair has one a round.
+	for pair, messages := range total {
+		// A call and its reply are two messages. A pair in the same zone has one call in
+		// each round, and one across zones has one call in two rounds.
 		want := 2
 		if names[pair[0]] == names[pair[1]] {
 			want = 4
@@ -487,7 +488,7 @@
 	}
 }
 
-func TestOnlyTheFirstOfTwoCallsWhileItDoes(t *testing.T) {
+func TestOnlyTheFirstOfTwoPeersCalls(t *testing.T) {
 	s := newScript("b", "z", nil)
 	s.want(t, `
 		vms 1 a/z b/z c/z
--- a/decide/member/tick.go
+++ b/decide/member/tick.go
@@ -7,147 +7,150 @@
 	"mimosaarch.example/core/ids"
 )
 
-// seedRounds is how many rounds lie between two probes of seeds while some
-// peer is heard from.
-const seedRounds = 4
+// seedProbeRounds is the number of rounds from one probe of a seed to the next while a
+// peer is alive. Without a live peer every round probes a seed.
+const seedProbeRounds = 4
 
-// Tick begins a round. It is called once each Interval. The commands are
-// valid until the next call.
+// Tick starts a round. Call it once every Interval. The returned commands are valid
+// until the next call.
 func (m *Members) Tick(now time.Time) []Command {
-	m.out = m.out[:0]
+	m.commands = m.commands[:0]
 	m.rounds++
-	m.age(now)
+	m.expireSilent(now)
 	m.sendInZone(now)
-	m.sendAcross(now)
-	m.probeSilent()
+	m.sendCrossZone(now)
+	m.probeGone()
 	m.probeSeed()
-	return m.out
+	return m.commands
 }
 
-// turn is the time in which each peer of the zone gets one digest.
-func (m *Members) turn() time.Duration {
+// zoneCycle returns the time in which every peer of the node's zone gets a digest.
+func (m *Members) zoneCycle() time.Duration {
 	peers := 0
 	for _, p := range m.peers {
 		if p.zone == m.opts.Zone && p.state != Gone {
 			peers++
 		}
 	}
-	return m.roundsFor(peers, m.opts.Fanout)
+	return m.cycleTime(peers, m.opts.Fanout)
 }
 
-// turnAcross is the time in which each linked peer of another zone gets one
-// digest, and at least that of the zone.
-func (m *Members) turnAcross() time.Duration {
-	return max(m.turn(), m.roundsFor(len(m.links()), m.opts.CrossZoneFanout))
+// crossZoneCycle returns the time in which every linked peer of other zones gets a
+// digest. It is never shorter than zoneCycle.
+func (m *Members) crossZoneCycle() time.Duration {
+	return max(m.zoneCycle(), m.cycleTime(len(m.links()), m.opts.CrossZoneFanout))
 }
 
-// roundsFor is how long a number of peers takes, so many in a round.
-func (m *Members) roundsFor(peers, fanout int) time.Duration {
+// cycleTime returns how long it takes to send to the given number of peers, at most
+// fanout of them in each round.
+func (m *Members) cycleTime(peers, fanout int) time.Duration {
 	rounds := max((peers+fanout-1)/fanout, 1)
 	return time.Duration(rounds) * m.opts.Interval
 }
 
-// age moves silent peers on.
-func (m *Members) age(now time.Time) {
-	inZone, across := m.turn(), m.turnAcross()
+// expireSilent moves silent peers to Suspect and Gone, and removes unlisted ones after
+// ForgetAfter.
+func (m *Members) expireSilent(now time.Time) {
+	inZone, crossZone := m.zoneCycle(), m.crossZoneCycle()
 	for _, vm := range slices.Clone(m.order) {
 		p := m.peers[vm]
-		turn := across
+		cycle := crossZone
 		if p.zone == m.opts.Zone {
-			turn = inZone
+			cycle = inZone
 		}
-		suspect := time.Duration(m.opts.SuspectAfter) * turn
-		gone := time.Duration(m.opts.GoneAfter) * turn
-		silent := now.Sub(p.heard)
+		suspect := time.Duration(m.opts.SuspectAfter) * cycle
+		gone := time.Duration(m.opts.GoneAfter) * cycle
+		silent := now.Sub(p.lastHeard)
 		switch {
 		case p.state == Alive && silent >= suspect:
-			m.change(p, Suspect)
+			m.setState(p, Suspect)
 		case p.state == Suspect && silent >= gone:
-			m.lose(p)
+			m.markGone(p)
 		case (p.state == Gone || p.state == Candidate) && !p.listed && silent >= m.opts.ForgetAfter:
-			m.out = append(m.out, PeerGone{p.vm, Forgotten})
+			m.commands = append(m.commands, PeerGone{p.vm, Forgotten})
 			m.remove(p)
 		}
 	}
 }
 
-// spare leaves out the peers that call this node, by whose calls both hear
-// each other: those heard that way within a turn and a half.
-func (m *Members) spare(now time.Time, turn time.Duration, peers []*peer) []*peer {
+// skipCallers removes the peers that need no call because they call this node, and the
+// reply already carries its digest: live peers with a lower name whose last call is at
+// most one and a half cycles old.
+func (m *Members) skipCallers(now time.Time, cycle time.Duration, peers []*peer) []*peer {
 	return slices.DeleteFunc(slices.Clone(peers), func(p *peer) bool {
-		calls := !p.called.IsZero() && now.Sub(p.called) < turn+turn/2
-		return calls && p.state == Alive && p.misses == 0 && p.vm < m.opts.VM
+		calls := !p.lastCall.IsZero() && now.Sub(p.lastCall) < cycle+cycle/2
+		return calls && p.state == Alive && p.missedCalls == 0 && p.vm < m.opts.VM
 	})
 }
 
-// lose gives up a silent peer.
-func (m *Members) lose(p *peer) {
-	m.change(p, Gone)
+// markGone moves a silent peer to Gone, or removes it if it is delisted.
+func (m *Members) markGone(p *peer) {
+	m.setState(p, Gone)
 	if p.delisted {
-		m.out = append(m.out, PeerGone{p.vm, Delisted})
+		m.commands = append(m.commands, PeerGone{p.vm, Delisted})
 		m.remove(p)
 		return
 	}
-	m.out = append(m.out, PeerGone{p.vm, Silent})
+	m.commands = append(m.commands, PeerGone{p.vm, Silent})
 	if p.listed {
 		p.address = p.listedAddress
 	}
 }
 
-// sendInZone sends to peers of the zone: first to those whose last call got
-// no reply, so that a failure is soon certain, then to the rest in rotation.
+// sendInZone sends to peers of the node's zone. Peers that did not reply to the last
+// call come first, so that a failure is detected soon; the others follow in rotation.
 func (m *Members) sendInZone(now time.Time) {
-	var doubtful, rest []*peer
+	var unconfirmed, rest []*peer
 	for _, vm := range m.order {
 		p := m.peers[vm]
 		if p.zone != m.opts.Zone || p.state == Gone {
 			continue
 		}
-		if p.state == Alive && p.misses > 0 && len(doubtful) < m.opts.Fanout/2 {
-			doubtful = append(doubtful, p)
+		if p.state == Alive && p.missedCalls > 0 && len(unconfirmed) < m.opts.Fanout/2 {
+			unconfirmed = append(unconfirmed, p)
 			continue
 		}
 		rest = append(rest, p)
 	}
-	m.send(doubtful)
-	turned := rotate(rest, &m.inZone, m.opts.Fanout-len(doubtful))
-	m.send(m.spare(now, m.turn(), turned))
+	m.send(unconfirmed)
+	next := rotate(rest, &m.zoneCursor, m.opts.Fanout-len(unconfirmed))
+	m.send(m.skipCallers(now, m.zoneCycle(), next))
 }
 
-// sendAcross sends to the linked peers of other zones.
-func (m *Members) sendAcross(now time.Time) {
-	turned := rotate(m.links(), &m.across, m.opts.CrossZoneFanout)
-	m.send(m.spare(now, m.turnAcross(), turned))
+// sendCrossZone sends to the linked peers of other zones in rotation.
+func (m *Members) sendCrossZone(now time.Time) {
+	next := rotate(m.links(), &m.crossZoneCursor, m.opts.CrossZoneFanout)
+	m.send(m.skipCallers(now, m.crossZoneCycle(), next))
 }
 
-// probeSilent sends to one peer that is Gone, in rotation.
-func (m *Members) probeSilent() {
-	var silent []*peer
+// probeGone sends to one Gone peer, in rotation.
+func (m *Members) probeGone() {
+	var gone []*peer
 	for _, vm := range m.order {
 		if p := m.peers[vm]; p.state == Gone {
-			silent = append(silent, p)
+			gone = append(gone, p)
 		}
 	}
-	m.send(rotate(silent, &m.silent, 1))
+	m.send(rotate(gone, &m.goneCursor, 1))
 }
 
-// probeSeed sends to one seed that is no known peer's address.
+// probeSeed sends to one seed whose address no known peer has, in rotation.
 func (m *Members) probeSeed() {
-	if m.rounds%seedRounds != 0 && m.anyAlive() {
+	if m.rounds%seedProbeRounds != 0 && m.anyAlive() {
 		return
 	}
-	var free []string
+	var unknown []string
 	for _, seed := range m.seeds {
 		if !m.hasAddress(seed) {
-			free = append(free, seed)
+			unknown = append(unknown, seed)
 		}
 	}
-	for _, seed := range rotate(free, &m.seeding, 1) {
-		m.out = append(m.out, Send{Address: seed})
+	for _, seed := range rotate(unknown, &m.seedCursor, 1) {
+		m.commands = append(m.commands, Send{Address: seed})
 	}
 }
 
-// anyAlive reports whether any peer is heard from.
+// anyAlive reports whether any peer is alive.
 func (m *Members) anyAlive() bool {
 	for _, p := range m.peers {
 		if p.state == Alive {
@@ -157,7 +160,7 @@
 	return false
 }
 
-// hasAddress reports whether an address is a peer's.
+// hasAddress reports whether a peer has the given address.
 func (m *Members) hasAddress(address string) bool {
 	for _, p := range m.peers {
 		if p.address == address {
@@ -167,29 +170,29 @@
 	return false
 }
 
-// send adds a command for each peer with an address.
+// send adds a Send command for each peer whose address is known.
 func (m *Members) send(peers []*peer) {
 	for _, p := range peers {
 		if p.address != "" {
-			m.out = append(m.out, Send{VM: p.vm, Address: p.address})
+			m.commands = append(m.commands, Send{VM: p.vm, Address: p.address})
 		}
 	}
 }
 
-// rotate takes up to count items, from a place that moves on by as many.
-func rotate[T any](items []T, place *int, count int) []T {
+// rotate returns up to count items, starting at the cursor, and advances the cursor.
+func rotate[T any](items []T, cursor *int, count int) []T {
 	if len(items) <= count {
 		return items
 	}
 	out := make([]T, 0, count)
 	for i := range count {
-		out = append(out, items[(*place+i)%len(items)])
+		out = append(out, items[(*cursor+i)%len(items)])
 	}
-	*place = (*place + count) % len(items)
+	*cursor = (*cursor + count) % len(items)
 	return out
 }
 
-// links are the peers of other zones to hold links to, by zone.
+// links returns the peers of other zones that get digests, grouped by zone.
 func (m *Members) links() []*peer {
 	byZone := make(map[ids.Zone][]*peer)
 	var zones []ids.Zone
@@ -206,16 +209,17 @@
 	slices.Sort(zones)
 	var out []*peer
 	for _, zone := range zones {
-		out = append(out, m.chosen(byZone[zone], len(zones))...)
+		out = append(out, m.highestRanked(byZone[zone], len(zones))...)
 	}
 	return out
 }
 
-// chosen gives the peers of one of some zones that rank highest for this node.
-func (m *Members) chosen(peers []*peer, zones int) []*peer {
+// highestRanked returns the peers of one zone that rank highest for this node. zones is
+// the number of other zones that share MaxCrossZoneLinks.
+func (m *Members) highestRanked(peers []*peer, zones int) []*peer {
 	slices.SortFunc(peers, func(a, b *peer) int {
 		return byRank(m.opts.VM, string(a.vm), string(b.vm))
 	})
-	part := max(m.opts.MaxCrossZoneLinks/zones, 1)
-	return peers[:min(len(peers), m.opts.LinksPerZone, part)]
+	share := max(m.opts.MaxCrossZoneLinks/zones, 1)
+	return peers[:min(len(peers), m.opts.LinksPerZone, share)]
 }
