--- a/adapter/relay/packed.go
+++ b/adapter/relay/packed.go
@@ -9,18 +9,18 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// Packed is a configuration as it goes from node to node: its JSON, compressed. Its
-// sender makes it once for all who ask.
+// Packed is a configuration as nodes send it to each other: compressed JSON. The sender
+// encodes it once for all peers.
 //
-// Many nodes ask the same few, whose links are thin: sent as it is, one with a thousand
-// routes would take seconds to reach all.
+// Many nodes fetch the configuration from a few that have slow links. Uncompressed, one
+// with a thousand routes would take seconds to reach all nodes.
 type Packed []byte
 
-// maxUnpacked bounds what a packed configuration may grow to, in bytes. The largest that
-// the platform's store takes has one MB.
-const maxUnpacked = 16 << 20
+// maxUnpackedBytes limits the size of an unpacked configuration. The platform's store
+// accepts at most 1 MB.
+const maxUnpackedBytes = 16 << 20
 
-// Pack packs a configuration.
+// Pack encodes and compresses a configuration.
 func Pack(c *routing.Config) (Packed, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -40,18 +40,18 @@
 	return out.Bytes(), nil
 }
 
-// UnpackError tells that a peer's configuration cannot be read.
+// UnpackError reports that a peer's configuration cannot be decoded.
 type UnpackError struct{ Cause error }
 
 // Error implements error.
 func (e *UnpackError) Error() string { return "packed configuration: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnpackError) Unwrap() error { return e.Cause }
 
-// Unpack gives the configuration. The error is an *UnpackError.
+// Unpack decodes the configuration. The error is an *UnpackError.
 func (p Packed) Unpack() (*routing.Config, error) {
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p)), maxUnpacked))
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p)), maxUnpackedBytes))
 	if err != nil {
 		return nil, &UnpackError{err}
 	}
--- a/adapter/relay/packed_test.go
+++ b/adapter/relay/packed_test.go
@@ -15,17 +15,16 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// On a fleet of 295 nodes the word that an upstream leaves had once come after more than the
-// 4 s allowed, and a configuration too. On a day on which both come in the same seconds, with
-// 1,400 more routes, the configuration was in force on the last node 3.8 s after the first,
-// and while the store turned a third of the nodes away the word of leaving took 4.4 s and a
-// configuration 7.5 s. By the configuration lines the first nodes of each zone had it after
-// 0.1 s; the others waited at two of these for 0.9 s and more and then all asked the store,
-// among the last one of those two. The cause: each of 57 askers of a node with a link of
-// 20 Mbit/s and a fifth of a core was sent 354 kB of JSON, made anew for each. With 38 kB,
-// made once, the same day took 1.6 s, and 1.0 s and 1.8 s beside the store's trouble.
+// These tests guard against a large configuration that delays every update. In a fleet
+// of 295 nodes, 57 nodes fetch from a peer with a link of 20 Mbit/s and a fifth of a CPU
+// core. With 1,400 more routes each of them got 354 kB of JSON, encoded anew for each. A
+// configuration took 3.8 s to reach the last node. While the store also refused a third
+// of the nodes, it took 7.5 s, and the removal of an upstream took 4.4 s, where 4 s is
+// allowed. Nodes that waited for a peer for 0.9 s or more all fell back to the store.
+// With 38 kB, encoded once, these times were 1.6 s, 1.8 s and 1.0 s.
 
-// manyRoutes makes a configuration with names that are drawn, as the operator's.
+// manyRoutes returns a configuration of n routes with random names, which compress as
+// badly as real ones.
 func manyRoutes(n int) *routing.Config {
 	r := rand.New(rand.NewPCG(7, 7))
 	word := func(letters int) string {
@@ -46,12 +45,13 @@
 	return c
 }
 
-// A configuration must be in force within 2 s, over two nodes and their links.
-func TestLargeConfigurationFitsAThinLink(t *testing.T) {
+// A configuration must reach every node within 2 s, through up to two other nodes and
+// their links.
+func TestLargeConfigurationFitsASlowLink(t *testing.T) {
 	const (
-		routes = 1400
-		askers = 57
-		// link is in bytes a second; one of the two nodes may take one.
+		routes  = 1400
+		callers = 57
+		// link is in bytes per second. A transfer may take one second of the two.
 		link = 20e6 / 8
 	)
 	packed, err := Pack(manyRoutes(routes))
@@ -62,8 +62,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if most := link / askers; float64(len(text)) > most {
-		t.Errorf("%d bytes for each asker, want at most %.0f", len(text), most)
+	if most := link / callers; float64(len(text)) > most {
+		t.Errorf("%d bytes for each caller, want at most %.0f", len(text), most)
 	}
 }
 
@@ -82,13 +82,13 @@
 	}
 }
 
-// What cannot be read is told as such, and nothing is put in force.
-func TestSpoiltPackedConfigurationIsAnError(t *testing.T) {
+// A configuration that cannot be decoded must be reported as an error and not be used.
+func TestCorruptPackedConfigurationIsAnError(t *testing.T) {
 	packed, err := Pack(manyRoutes(30))
 	if err != nil {
 		t.Fatal(err)
 	}
-	huge, err := Pack(&routing.Config{Routes: []routing.Route{{Name: strings.Repeat("x", maxUnpacked)}}})
+	huge, err := Pack(&routing.Config{Routes: []routing.Route{{Name: strings.Repeat("x", maxUnpackedBytes)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,25 +97,25 @@
 			t.Errorf("%s: %v, %v", name, c, err)
 		}
 	}
-	address := serve(t, &shelf{packed: packed[:len(packed)/2]})
-	if news, err := Fetch(t.Context(), address, UpdateRequest{}); !errors.As(err, new(*CallError)) || news.Config != nil {
-		t.Errorf("%+v, %v", news, err)
+	address := serve(t, &fakeSource{packed: packed[:len(packed)/2]})
+	if update, err := Fetch(t.Context(), address, UpdateRequest{}); !errors.As(err, new(*CallError)) || update.Config != nil {
+		t.Errorf("%+v, %v", update, err)
 	}
 }
 
-// Nodes of two editions of the program tell each other configurations.
-func TestConfigurationIsTakenPackedOrNot(t *testing.T) {
+// Nodes with different versions of the program must accept each other's configurations.
+func TestConfigurationIsAcceptedPackedOrNot(t *testing.T) {
 	want := manyRoutes(3)
 	packed, err := Pack(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, s := range map[string]*shelf{"packed": {packed: packed}, "plain": {config: *want}} {
-		news, err := Fetch(t.Context(), serve(t, s), UpdateRequest{})
+	for name, s := range map[string]*fakeSource{"packed": {packed: packed}, "plain": {config: *want}} {
+		update, err := Fetch(t.Context(), serve(t, s), UpdateRequest{})
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if diff := cmp.Diff(want, news.Config, cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(want, update.Config, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(name, fmt.Sprint(diff))
 		}
 	}
--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay hands the newest configuration and directory from node to node:
-// to nodes that the platform's store rejects while it serves others, and to
-// the many nodes of a fleet from the few that watch the store for them.
+// Package relay transfers the newest configuration and directory of upstreams between
+// nodes: from the few nodes that watch the platform's store to all others, and to nodes
+// that the store refuses while it serves others.
 //
-// Both documents carry versions and only go forward, so a peer that is itself
-// behind does no harm. Calls are JSON-RPC over TCP.
+// Both documents have versions that only increase, so an outdated peer does no harm.
+// Calls are JSON-RPC 2.0 over TCP.
 package relay
 
 import (
@@ -25,118 +25,123 @@
 )
 
 const (
-	// methodNews asks a node for what is newer than the asker's.
-	methodNews = "news"
-	// methodVerdict tells a node of requests that crash upstreams.
+	// methodUpdate fetches what is newer than the caller's state.
+	methodUpdate = "news"
+	// methodVerdict reports requests that crash upstreams.
 	methodVerdict = "verdict"
 )
 
-// Bounds of calls.
+// Timeouts of calls.
 const (
-	// callTimeout bounds a whole call, the connection included, beside the wait that the
-	// asker allows: a large configuration takes a thin link so long.
+	// callTimeout limits a call, including the connection, in addition to the wait that
+	// the caller allows. A large configuration takes that long on a slow link.
 	callTimeout = time.Second
-	// MaxWait is the longest wait of an answer.
+	// MaxWait is the longest time that a peer holds a call open for an update.
 	MaxWait = 5 * time.Second
-	// dialTimeout bounds the connection, so that one dead peer costs little.
+	// dialTimeout limits connecting, so that an unreachable peer costs little time.
 	dialTimeout = 150 * time.Millisecond
 )
 
-// UpdateRequest tells what the asker has.
+// UpdateRequest describes the caller's state, so that the peer returns only what is
+// newer.
 type UpdateRequest struct {
-	// ConfigVersion is the version of its configuration, 0 for none.
+	// ConfigVersion is the version of the caller's configuration, or 0 for none.
 	ConfigVersion int64 `json:"config_version"`
-	// Revision is that of its directory.
+	// Revision is the revision of the caller's directory.
 	Revision int64 `json:"revision"`
-	// Base is what it last took over from the peer it asks; zero for nothing.
+	// Base is the state of the peer's directory that the caller last took over, or zero
+	// for none.
 	Base Base `json:"base,omitzero"`
-	// WaitMs is how long the answer may wait for something newer, in ms; 0 for
-	// not at all.
+	// WaitMs is how long the peer may wait for something newer, in milliseconds. 0 means
+	// that it answers at once.
 	WaitMs int64 `json:"wait_ms,omitempty"`
-	// Want is what the asker waits for.
+	// Want is the part that the caller waits for.
 	Want Want `json:"want,omitempty"`
-	// Members is its list of the fleet's nodes.
+	// Members is the version of the caller's list of nodes.
 	Members MemberListVersion `json:"members,omitzero"`
-	// AcceptsPacked tells that the asker reads packed configurations.
+	// AcceptsPacked is true if the caller can decode a packed configuration.
 	AcceptsPacked bool `json:"unpacks,omitempty"`
 }
 
-// MemberListVersion names a list of the fleet's nodes.
+// MemberListVersion identifies a list of the fleet's nodes.
 type MemberListVersion struct {
-	// Revision is the store's as of which the list holds.
+	// Revision is the revision of the store at which the list was read.
 	Revision int64 `json:"revision"`
-	// Digest is equal for equal lists.
+	// Digest is a hash of the list's content.
 	Digest uint64 `json:"digest"`
 }
 
-// Base names a state of one process's directory, so that only what changed
-// since needs to be told.
+// Base identifies a state of one process's directory, so that an update can contain only
+// the changes since then.
 type Base struct {
-	// Process is the process, unique across restarts.
+	// Process identifies the process. It differs after a restart.
 	Process string `json:"holder"`
-	// Mark counts its changes.
+	// Mark is the number of changes of the process's directory so far.
 	Mark uint64 `json:"mark"`
 }
 
-// Want is a part of the news.
+// Want selects a part of an update.
 type Want string
 
-// Parts of the news; the empty Want is both.
+// Parts of an update. The empty Want selects both.
 const (
 	WantConfig    Want = "config"
 	WantUpstreams Want = "upstreams"
 )
 
-// Update is what a node has that is newer.
+// Update is the part of a node's state that is newer than the caller's.
 type Update struct {
-	// Config is nil where the asker's is as new. It goes over the wire as Packed to those
-	// that read it so.
+	// Config is nil if the caller's configuration is as new. Packed replaces it in the
+	// message if the caller accepts it.
 	Config *routing.Config `json:"config,omitempty"`
 	Packed Packed          `json:"packed,omitempty"`
-	// ConfigRevision is the store's revision up to which changes of the
-	// configuration are known.
+	// ConfigRevision is the store's revision up to which the node knows all changes of
+	// the configuration.
 	ConfigRevision int64 `json:"config_revision,omitempty"`
-	// Upstreams are those that changed since the asker's revision, as of
-	// Revision; not set where the asker's is as new. Where the asker's Base was
-	// known, they are those that changed since, and Gone names those that went;
-	// else Present names all that are there.
+	// Upstreams holds the upstreams that changed since the caller's revision, as of
+	// Revision. Revision is 0 if the caller's directory is as new. If the peer knows the
+	// caller's Base, Delta is set, Upstreams holds the changes since that state, and
+	// Gone names the removed upstreams. Otherwise Present names all upstreams that
+	// exist.
 	Upstreams []directory.Upstream `json:"upstreams,omitempty"`
 	Delta     bool                 `json:"delta,omitempty"`
 	Gone      []ids.Upstream       `json:"gone,omitempty"`
 	Present   []ids.Upstream       `json:"present,omitempty"`
 	Revision  int64                `json:"revision,omitempty"`
-	// Base is the state that the asker has after it took these.
+	// Base is the state that the caller has after it applied the update.
 	Base Base `json:"base,omitzero"`
-	// Members is the list of the fleet's nodes as of MembersRevision; not set where
-	// the asker's is the same, or newer.
+	// Members is the list of the fleet's nodes as of MembersRevision. It is nil if the
+	// caller's list is the same or newer.
 	Members         []roster.Member `json:"members,omitempty"`
 	MembersRevision int64           `json:"members_revision,omitempty"`
-	// AgeMs is how long ago the store last answered the node, or the one that it
-	// learned this from, in ms. Hops counts the nodes between it and the store.
+	// AgeMs is the time in milliseconds since the store last answered the node, or the
+	// node from which this state came. Hops is the number of nodes between this one and
+	// the store.
 	AgeMs int64 `json:"age_ms"`
 	Hops  int   `json:"hops,omitempty"`
-	// Disconnected tells that the node's last call to the store failed, or that no peer of
-	// its own has news of it: it knows nothing newer until that ends.
+	// Disconnected is true if the node's last call to the store failed, or none of its
+	// own peers is fresh. The node then cannot get anything newer until this ends.
 	Disconnected bool `json:"lost,omitempty"`
 }
 
-// RecordAge notes how long ago the store last answered about a part of the news, and
-// the hops over which that is known; the worst of all parts holds.
-func (n *Update) RecordAge(age time.Duration, hops int) {
-	n.AgeMs = max(n.AgeMs, age.Milliseconds())
-	n.Hops = max(n.Hops, hops)
+// RecordAge sets the age and hops of the update to the highest of its parts. age is the
+// time since the store last answered for one part, and hops its distance from the store.
+func (u *Update) RecordAge(age time.Duration, hops int) {
+	u.AgeMs = max(u.AgeMs, age.Milliseconds())
+	u.Hops = max(u.Hops, hops)
 }
 
-// Source answers peers. Any goroutine may call it.
+// Source provides the node's state to peers. Its methods may be called from any
+// goroutine.
 type Source interface {
-	// UpdateSince gives what is newer than the asker's, and waits for it as long as
-	// the asker allows.
-	UpdateSince(ctx context.Context, have UpdateRequest) Update
-	// ApplyVerdict takes a peer's verdict.
+	// UpdateSince returns what is newer than the caller's state. It waits for an update
+	// as long as the request allows.
+	UpdateSince(ctx context.Context, req UpdateRequest) Update
+	// ApplyVerdict applies a verdict of a peer.
 	ApplyVerdict(v quarantine.Verdict)
 }
 
-// Serve answers peers until l is closed, whose error it gives.
+// Serve answers peers until l is closed, and returns the error of Accept.
 func Serve(ctx context.Context, l net.Listener, source Source) error {
 	for {
 		conn, err := l.Accept()
@@ -148,30 +153,30 @@
 			continue
 		}
 		stream := jsonrpc2.NewBufferedStream(conn, jsonrpc2.VarintObjectCodec{})
-		jsonrpc2.NewConn(ctx, stream, jsonrpc2.HandlerWithError(answer(source)), jsonrpc2.SetLogger(quiet))
+		jsonrpc2.NewConn(ctx, stream, jsonrpc2.HandlerWithError(handler(source)), jsonrpc2.SetLogger(discardLogger))
 	}
 }
 
-// quiet takes what the library logs of answers that could not be sent. Askers that
-// left see that themselves, and a node writes nothing but JSON lines.
-var quiet = log.New(io.Discard, "", 0)
+// discardLogger drops the library's messages about answers that could not be sent. The
+// caller notices that itself, and a node must write nothing but JSON lines.
+var discardLogger = log.New(io.Discard, "", 0)
 
-// answer handles one call.
-func answer(source Source) func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
+// handler returns a function that answers one call from source.
+func handler(source Source) func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 	return func(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 		switch {
 		case r.Params == nil:
-		case r.Method == methodNews:
-			var have UpdateRequest
-			if err := json.Unmarshal(*r.Params, &have); err != nil {
-				return nil, invalid(err)
+		case r.Method == methodUpdate:
+			var req UpdateRequest
+			if err := json.Unmarshal(*r.Params, &req); err != nil {
+				return nil, invalidParams(err)
 			}
-			have.WaitMs = min(have.WaitMs, MaxWait.Milliseconds())
-			return source.UpdateSince(ctx, have), nil
+			req.WaitMs = min(req.WaitMs, MaxWait.Milliseconds())
+			return source.UpdateSince(ctx, req), nil
 		case r.Method == methodVerdict:
 			var v quarantine.Verdict
 			if err := json.Unmarshal(*r.Params, &v); err != nil {
-				return nil, invalid(err)
+				return nil, invalidParams(err)
 			}
 			source.ApplyVerdict(v)
 			return nil, nil
@@ -180,12 +185,12 @@
 	}
 }
 
-// invalid is the answer to parameters that cannot be read.
-func invalid(err error) error {
+// invalidParams returns the error for parameters that cannot be decoded.
+func invalidParams(err error) error {
 	return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 }
 
-// CallError tells that a peer did not answer.
+// CallError reports a call to a peer that failed.
 type CallError struct {
 	Peer  string
 	Cause error
@@ -194,24 +199,24 @@
 // Error implements error.
 func (e *CallError) Error() string { return "peer " + e.Peer + ": " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Fetch asks the peer at an address for its news. The error is a *CallError.
-func Fetch(ctx context.Context, peer string, have UpdateRequest) (Update, error) {
-	var news Update
-	have.AcceptsPacked = true
-	err := call(ctx, peer, callTimeout+time.Duration(have.WaitMs)*time.Millisecond, methodNews, have, &news)
-	if err == nil && news.Packed != nil {
-		news.Config, err = news.Packed.Unpack()
+// Fetch returns the update of the peer at an address. The error is a *CallError.
+func Fetch(ctx context.Context, peer string, req UpdateRequest) (Update, error) {
+	var update Update
+	req.AcceptsPacked = true
+	err := call(ctx, peer, callTimeout+time.Duration(req.WaitMs)*time.Millisecond, methodUpdate, req, &update)
+	if err == nil && update.Packed != nil {
+		update.Config, err = update.Packed.Unpack()
 	}
 	if err != nil {
 		return Update{}, &CallError{peer, err}
 	}
-	return news, nil
+	return update, nil
 }
 
-// SendVerdict tells the peer at an address of a verdict. The error is a *CallError.
+// SendVerdict sends a verdict to the peer at an address. The error is a *CallError.
 func SendVerdict(ctx context.Context, peer string, v quarantine.Verdict) error {
 	if err := call(ctx, peer, callTimeout, methodVerdict, v, nil); err != nil {
 		return &CallError{peer, err}
@@ -219,45 +224,46 @@
 	return nil
 }
 
-// call makes one call over a connection of its own.
-func call(ctx context.Context, peer string, within time.Duration, method string, params, result any) error {
-	limit, done := context.WithTimeout(ctx, within)
-	defer done()
+// call makes one call on a new connection. result receives the answer.
+func call(ctx context.Context, peer string, timeout time.Duration, method string, params, result any) error {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
 	dialer := net.Dialer{Timeout: dialTimeout, Control: upconn.SetUserTimeout}
-	conn, err := dialer.DialContext(limit, "tcp", peer)
+	conn, err := dialer.DialContext(callCtx, "tcp", peer)
 	if err != nil {
 		return err
 	}
-	guarded := &guardedConn{Conn: conn, silence: within - callTimeout + roster.PeerReadTimeout}
-	stream := jsonrpc2.NewBufferedStream(guarded, jsonrpc2.VarintObjectCodec{})
-	rpc := jsonrpc2.NewConn(limit, stream, jsonrpc2.HandlerWithError(answer(nothing{})), jsonrpc2.SetLogger(quiet))
+	timed := &readTimeoutConn{Conn: conn, timeout: timeout - callTimeout + roster.PeerReadTimeout}
+	stream := jsonrpc2.NewBufferedStream(timed, jsonrpc2.VarintObjectCodec{})
+	rpc := jsonrpc2.NewConn(callCtx, stream, jsonrpc2.HandlerWithError(handler(emptySource{})), jsonrpc2.SetLogger(discardLogger))
 	defer rpc.Close()
-	return rpc.Call(limit, method, params, result)
+	return rpc.Call(callCtx, method, params, result)
 }
 
-// guardedConn ends reads on which nothing comes for a while, so that a peer that stands
-// still is left soon, and one that sends much is not.
-type guardedConn struct {
+// readTimeoutConn ends reads when no data arrives for a while. A frozen peer times out
+// soon, while a peer that is still sending a large answer does not.
+type readTimeoutConn struct {
 	net.Conn
-	// silence is how long the next bytes may take.
-	silence time.Duration
+	// timeout is the maximum wait of the next read.
+	timeout time.Duration
 }
 
 // Read implements net.Conn.
-func (c *guardedConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.silence)); err != nil {
+func (c *readTimeoutConn) Read(p []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.silence = roster.PeerReadTimeout
+	c.timeout = roster.PeerReadTimeout
 	return n, err
 }
 
-// nothing answers a peer that asks back, which none does.
-type nothing struct{}
+// emptySource answers calls that a peer makes over the caller's connection. No peer
+// makes such calls.
+type emptySource struct{}
 
 // UpdateSince implements Source.
-func (nothing) UpdateSince(context.Context, UpdateRequest) Update { return Update{} }
+func (emptySource) UpdateSince(context.Context, UpdateRequest) Update { return Update{} }
 
 // ApplyVerdict implements Source.
-func (nothing) ApplyVerdict(quarantine.Verdict) {}
+func (emptySource) ApplyVerdict(quarantine.Verdict) {}
--- a/adapter/relay/relay_test.go
+++ b/adapter/relay/relay_test.go
@@ -18,32 +18,32 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// shelf is a Source with one of each.
-type shelf struct {
+// fakeSource is a Source with fixed contents.
+type fakeSource struct {
 	config routing.Config
-	// packed is told to those that read it.
-	packed Packed
-	list   []directory.Upstream
-	judged chan quarantine.Verdict
+	// packed is sent to callers that accept it.
+	packed   Packed
+	list     []directory.Upstream
+	verdicts chan quarantine.Verdict
 }
 
-func (s *shelf) ApplyVerdict(v quarantine.Verdict) { s.judged <- v }
+func (s *fakeSource) ApplyVerdict(v quarantine.Verdict) { s.verdicts <- v }
 
-func (s *shelf) UpdateSince(_ context.Context, have UpdateRequest) Update {
-	var n Update
-	if s.config.Version > have.ConfigVersion {
-		n.Config = &s.config
+func (s *fakeSource) UpdateSince(_ context.Context, req UpdateRequest) Update {
+	var u Update
+	if s.config.Version > req.ConfigVersion {
+		u.Config = &s.config
 	}
-	if have.AcceptsPacked {
-		n.Packed = s.packed
+	if req.AcceptsPacked {
+		u.Packed = s.packed
 	}
-	if have.Revision < 30 {
-		n.Upstreams, n.Revision = s.list, 30
+	if req.Revision < 30 {
+		u.Upstreams, u.Revision = s.list, 30
 	}
-	return n
+	return u
 }
 
-// listen opens a socket for the time of the test.
+// listen returns a listener that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,9 +61,9 @@
 	return l.Addr().String()
 }
 
-func TestNewsGoOverWhole(t *testing.T) {
+func TestUpdateIsTransferredCompletely(t *testing.T) {
 	rank := 2
-	s := &shelf{
+	s := &fakeSource{
 		config: routing.Config{
 			Version:  12,
 			Routes:   []routing.Route{{Name: "r", Host: "h", PathPrefix: "/", Splits: []routing.Split{{Service: "s", Weight: 1}}}},
@@ -73,27 +73,27 @@
 		list: []directory.Upstream{{ID: ids.Instance{Upstream: "u"}, Service: "s", Address: "1.2.3.4:5", Layers: layered.Range{From: 1, To: 3}, Revision: 7, Leaving: true}},
 	}
 	address := serve(t, s)
-	news, err := Fetch(t.Context(), address, UpdateRequest{ConfigVersion: 11, Revision: 29})
+	update, err := Fetch(t.Context(), address, UpdateRequest{ConfigVersion: 11, Revision: 29})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(Update{Config: &s.config, Upstreams: s.list, Revision: 30}, news); diff != "" {
+	if diff := cmp.Diff(Update{Config: &s.config, Upstreams: s.list, Revision: 30}, update); diff != "" {
 		t.Error(diff)
 	}
-	news, err = Fetch(t.Context(), address, UpdateRequest{ConfigVersion: 12, Revision: 30})
-	if err != nil || news.Config != nil || news.Revision != 0 {
-		t.Errorf("to one that has all: %+v, %v", news, err)
+	update, err = Fetch(t.Context(), address, UpdateRequest{ConfigVersion: 12, Revision: 30})
+	if err != nil || update.Config != nil || update.Revision != 0 {
+		t.Errorf("to a caller that is up to date: %+v, %v", update, err)
 	}
 }
 
-func TestVerdictsAreTold(t *testing.T) {
-	s := &shelf{judged: make(chan quarantine.Verdict, 1)}
+func TestVerdictsAreDelivered(t *testing.T) {
+	s := &fakeSource{verdicts: make(chan quarantine.Verdict, 1)}
 	want := quarantine.Verdict{Fingerprint: "f", For: 5 * time.Second}
 	if err := SendVerdict(t.Context(), serve(t, s), want); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-s.judged; got != want {
-		t.Errorf("told %+v", got)
+	if got := <-s.verdicts; got != want {
+		t.Errorf("delivered %+v", got)
 	}
 }
 
@@ -110,22 +110,23 @@
 	}
 }
 
-// drip relays connections to an address, answers in so many pieces with pauses between.
-func drip(t *testing.T, to string, pieces int, pause time.Duration) string {
+// slowProxy forwards one connection to an address and delivers the answer in the given
+// number of pieces, with a pause before each.
+func slowProxy(t *testing.T, to string, pieces int, pause time.Duration) string {
 	t.Helper()
 	l := listen(t)
 	go func() {
-		asker, err := l.Accept()
+		caller, err := l.Accept()
 		if err != nil {
 			return
 		}
-		defer func() { _ = asker.Close() }()
+		defer func() { _ = caller.Close() }()
 		peer, err := net.Dial("tcp", to)
 		if err != nil {
 			return
 		}
 		defer func() { _ = peer.Close() }()
-		go func() { _, _ = io.Copy(peer, asker) }()
+		go func() { _, _ = io.Copy(peer, caller) }()
 		answer := make([]byte, 1<<20)
 		n, err := peer.Read(answer)
 		if err != nil {
@@ -134,37 +135,37 @@
 		size := n/pieces + 1
 		for from := 0; from < n; from += size {
 			time.Sleep(pause)
-			if _, err := asker.Write(answer[from:min(from+size, n)]); err != nil {
+			if _, err := caller.Write(answer[from:min(from+size, n)]); err != nil {
 				return
 			}
 		}
-		// The asker ends the connection.
+		// The caller closes the connection.
 		_, _ = io.Copy(io.Discard, peer)
 	}()
 	return l.Addr().String()
 }
 
-// A node waits for a peer with a thin link, whose answer comes in pieces, longer than for
-// one that stands still.
-func TestPeerThatStandsStillIsLeftAndOneThatSendsIsNot(t *testing.T) {
-	s := &shelf{config: routing.Config{Version: 12}}
-	thin := drip(t, serve(t, s), 5, 150*time.Millisecond)
+// A peer on a slow link, whose answer arrives in pieces, must get more time than a
+// frozen one.
+func TestFrozenPeerTimesOutAndSlowPeerDoesNot(t *testing.T) {
+	s := &fakeSource{config: routing.Config{Version: 12}}
+	slow := slowProxy(t, serve(t, s), 5, 150*time.Millisecond)
 	began := time.Now()
-	if news, err := Fetch(t.Context(), thin, UpdateRequest{}); err != nil || news.Config == nil {
-		t.Errorf("%+v, %v", news, err)
+	if update, err := Fetch(t.Context(), slow, UpdateRequest{}); err != nil || update.Config == nil {
+		t.Errorf("%+v, %v", update, err)
 	}
 	if took := time.Since(began); took < 2*roster.PeerReadTimeout {
-		t.Errorf("the answer came after %v: the test shows nothing", took)
+		t.Errorf("the answer came after %v: the proxy is too fast for this test", took)
 	}
-	still := listen(t)
+	frozen := listen(t)
 	const wait = 100 * time.Millisecond
 	began = time.Now()
-	_, err := Fetch(t.Context(), still.Addr().String(), UpdateRequest{WaitMs: wait.Milliseconds()})
+	_, err := Fetch(t.Context(), frozen.Addr().String(), UpdateRequest{WaitMs: wait.Milliseconds()})
 	var silent *CallError
 	if !errors.As(err, &silent) {
 		t.Errorf("error %v", err)
 	}
 	if took := time.Since(began); took < wait+roster.PeerReadTimeout || took > wait+2*roster.PeerReadTimeout {
-		t.Errorf("left after %v", took)
+		t.Errorf("timed out after %v", took)
 	}
 }
