--- a/adapter/peer/bases.go
+++ b/adapter/peer/bases.go
@@ -8,67 +8,74 @@
 	"mimosaarch.example/core/peerapi"
 )
 
-// ownState is what the node last told of itself. It is not changed once made.
-type ownState struct {
-	// digest is whole; update tells it against base.
-	digest, update peerapi.Digest
-	// base is an earlier digest, or this one.
+// localDigest is the newest digest of this node, in full and as a delta. It is
+// immutable.
+type localDigest struct {
+	// digest is the full digest. delta is the same digest relative to base.
+	digest, delta peerapi.Digest
+	// base is the full digest that delta refers to: an earlier digest or this
+	// one. It is nil before the first round.
 	base *peerapi.Digest
 }
 
-// When a digest becomes the base of those after it.
+// Rules for when a digest becomes the base of the digests after it.
 const (
-	// baseRounds is how many rounds a base serves.
-	baseRounds = 240
-	// besideLeast and besidePart bound what may stand beside the figures: this
-	// many entries, and one of besidePart of the entries.
-	besideLeast = 8
-	besidePart  = 4
+	// maxBaseRounds is the number of rounds after which a base is replaced.
+	maxBaseRounds = 240
+	// A delta holds in full the entries that its base lacks. If it holds more
+	// of them than deltaSlackEntries plus a deltaEntriesDivisor-th of the
+	// digest's entries, the digest becomes a new base.
+	deltaSlackEntries   = 8
+	deltaEntriesDivisor = 4
 )
 
-// newOwnState takes the digest of a round, by the base of the last where that
-// still serves.
-func newOwnState(digest peerapi.Digest, last *ownState) *ownState {
-	out := &ownState{digest: digest, base: last.base}
-	if out.base != nil && digest.Seq-out.base.Seq < baseRounds {
-		out.update = digest.Against(out.base)
-		if entries(&out.update) <= besideLeast+entries(&digest)/besidePart {
+// newLocalDigest returns the digest of a round together with its delta. It
+// keeps the base of the last round as long as that base is recent and the delta
+// is small.
+func newLocalDigest(digest peerapi.Digest, last *localDigest) *localDigest {
+	out := &localDigest{digest: digest, base: last.base}
+	if out.base != nil && digest.Seq-out.base.Seq < maxBaseRounds {
+		out.delta = digest.Against(out.base)
+		if countEntries(&out.delta) <= deltaSlackEntries+countEntries(&digest)/deltaEntriesDivisor {
 			return out
 		}
 	}
 	out.base = &out.digest
-	out.update = digest.Against(out.base)
+	out.delta = digest.Against(out.base)
 	return out
 }
 
-// entries counts the parts of a digest that figures can stand for.
-func entries(d *peerapi.Digest) int { return len(d.InFlight) + len(d.Usage) + len(d.Loads) }
+// countEntries counts the entries of a digest that a delta can replace by
+// figures.
+func countEntries(d *peerapi.Digest) int { return len(d.InFlight) + len(d.Usage) + len(d.Loads) }
 
-// to gives the digest for a peer that holds the base of the given Seq; 0 means
-// none.
-func (s *ownState) to(have uint64) peerapi.Digest {
-	if have == 0 || s.base == nil {
+// forPeer returns the digest to send to a peer that holds the base with the
+// sequence number heldSeq: the full digest if heldSeq is 0, the delta if the
+// peer holds the current base, otherwise the delta together with its base.
+func (s *localDigest) forPeer(heldSeq uint64) peerapi.Digest {
+	if heldSeq == 0 || s.base == nil {
 		return s.digest
 	}
-	out := s.update
-	if have != s.base.Seq {
+	out := s.delta
+	if heldSeq != s.base.Seq {
 		out.BaseDigest = s.base
 	}
 	return out
 }
 
-// maxBases bounds the peers whose base is kept.
+// maxBases is the number of peers whose base is kept.
 const maxBases = 1024
 
-// bases holds the whole digest of each peer that its next may refer to. Any goroutine may use it.
-type bases struct {
+// baseStore holds, for each peer, the full digest that its next delta may refer
+// to. It is safe for concurrent use.
+type baseStore struct {
 	mu   sync.Mutex
 	byVM map[ids.VM]peerapi.Digest
 }
 
-func newBases() *bases { return &bases{byVM: make(map[ids.VM]peerapi.Digest)} }
+func newBaseStore() *baseStore { return &baseStore{byVM: make(map[ids.VM]peerapi.Digest)} }
 
-// unknownBaseError refuses a digest whose base is not held.
+// unknownBaseError reports a delta whose base is not stored here.
 type unknownBaseError struct {
 	VM   ids.VM
 	Base uint64
@@ -79,17 +86,17 @@
 	return fmt.Sprintf("digest %d of %s, the base of this one, is not held", e.Base, e.VM)
 }
 
-// whole gives a peer's digest as a whole one, and keeps a new base. The error
-// is an *unknownBaseError or a *peerapi.InvalidError. The digest must be valid.
-func (b *bases) whole(d peerapi.Digest) (peerapi.Digest, error) {
+// expand returns a peer's digest in full and stores any base that it carries. d
+// must be valid. The error is an *unknownBaseError or a *peerapi.InvalidError.
+func (b *baseStore) expand(d peerapi.Digest) (peerapi.Digest, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if d.Base == 0 {
-		b.keep(d)
+		b.put(d)
 		return d, nil
 	}
 	if d.BaseDigest != nil {
-		b.keep(*d.BaseDigest)
+		b.put(*d.BaseDigest)
 	}
 	base, held := b.byVM[d.VM]
 	if !held || base.Boot != d.Boot || base.Seq != d.Base {
@@ -98,10 +105,10 @@
 	return d.Whole(&base)
 }
 
-// keep notes a base in place of the one held, which may be the newer: the
-// sender refers to the base that it sent last. Where there is no room another
-// peer's is dropped; that peer then sends it again.
-func (b *bases) keep(d peerapi.Digest) {
+// put replaces the stored base of a peer, even by an older one, because the
+// sender refers to the base that it sent last. If the store is full it drops
+// another peer's base; that peer then sends its base again.
+func (b *baseStore) put(d peerapi.Digest) {
 	if _, known := b.byVM[d.VM]; !known && len(b.byVM) >= maxBases {
 		for vm := range b.byVM {
 			delete(b.byVM, vm)
@@ -111,8 +118,9 @@
 	b.byVM[d.VM] = d
 }
 
-// of gives the Seq of the base held of a boot of a peer; 0 means none.
-func (b *bases) of(vm ids.VM, boot string) uint64 {
+// seqOf returns the sequence number of the base stored for a VM if that base is
+// from the given boot, or 0.
+func (b *baseStore) seqOf(vm ids.VM, boot string) uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if base, held := b.byVM[vm]; held && base.Boot == boot {
--- a/adapter/peer/claim.go
+++ b/adapter/peer/claim.go
@@ -13,54 +13,58 @@
 	"mimosaarch.example/decide/member"
 )
 
-// Counters of claims.
+// Counters of claim operations.
 const (
-	// ClaimsSent counts operations on keys handed to peers, and
-	// ClaimsReceived those taken from peers.
+	// ClaimsSent counts operations forwarded to peers, and ClaimsReceived those
+	// received from peers.
 	ClaimsSent     Counter = "peer_claims_sent"
 	ClaimsReceived Counter = "peer_claims_received"
-	// ClaimsNoClock counts operations refused for want of the clock; each
-	// connection begins with one.
+	// ClaimsNoClock counts received operations that were refused because they
+	// did not carry a valid reading of this node's clock. The first operation
+	// on each connection is one of them.
 	ClaimsNoClock Counter = "peer_claims_no_clock"
-	// ClaimsNotPreferred counts operations refused since another VM is
-	// preferred here.
+	// ClaimsNotPreferred counts received operations that were refused because
+	// too many other VMs rank higher for the shard, or because this node does
+	// not commit claims.
 	ClaimsNotPreferred Counter = "peer_claims_not_preferred"
 )
 
 const (
-	// avoidRefusing and avoidSilent are how long a VM gets no operations
-	// after it refused one, or gave no answer.
-	avoidRefusing = 500 * time.Millisecond
-	avoidSilent   = 2 * time.Second
-	// acceptRanks is how many of the first VMs by rank take a shard's
-	// operations: where the first is known here to be in trouble, or is
-	// believed to be by another VM, the next is asked.
-	acceptRanks = 3
-	// freshConn is the part of the idle timeout, one in so many, after which
-	// a connection is not used again: its other end may be about to close it.
-	freshConn = 2
+	// refusedBackoff and unansweredBackoff are how long a VM is not preferred
+	// after it refused an operation or left one unanswered.
+	refusedBackoff    = 500 * time.Millisecond
+	unansweredBackoff = 2 * time.Second
+	// maxServingRanks is the number of highest-ranked VMs that accept
+	// operations on a shard. A sender that considers the first VM unhealthy
+	// asks the next one, so more than one VM must accept.
+	maxServingRanks = 3
+	// connReuseDivisor divides the idle timeout: a connection idle for longer
+	// than that share is not reused, because the peer may be about to close it.
+	connReuseDivisor = 2
 )
 
-// ClaimForwarder hands operations on idempotency keys to the VMs that are preferred
-// for their shards. It implements claims.Peers. Each VM asked has a connection
-// of its own: the calls wait for the platform, and digests must not wait with
-// them. Any goroutine may call its methods.
+// ClaimForwarder forwards operations on idempotency keys to the VMs preferred
+// for their shards. It implements claims.Peers. It has a separate connection to
+// each VM, because claim calls wait for the platform and must not delay
+// digests. It is safe for concurrent use.
 type ClaimForwarder struct {
-	service *Service
-	ctx     context.Context
-	mu      sync.Mutex
-	conns   map[string]*claimConn
-	avoid   map[ids.VM]time.Time
+	service    *Service
+	ctx        context.Context
+	mu         sync.Mutex
+	conns      map[string]*claimConn
+	avoidUntil map[ids.VM]time.Time
 }
 
-// NewClaimForwarder makes a Claims whose connections end with ctx.
+// NewClaimForwarder returns a ClaimForwarder whose connections are closed when
+// ctx ends.
 func NewClaimForwarder(ctx context.Context, s *Service) *ClaimForwarder {
-	return &ClaimForwarder{service: s, ctx: ctx, conns: make(map[string]*claimConn), avoid: make(map[ids.VM]time.Time)}
+	return &ClaimForwarder{service: s, ctx: ctx, conns: make(map[string]*claimConn), avoidUntil: make(map[ids.VM]time.Time)}
 }
 
-// Preferred implements claims.Peers: the VM of the highest rank for a shard,
-// by rendezvous hash, among this one and those that are heard from, or are
-// listed and not known to be in trouble.
+// Preferred implements claims.Peers. It returns the VM with the highest
+// rendezvous hash for a shard, among this VM and the peers that are able to
+// commit claims and are not being avoided. The result is false if that is this
+// VM.
 func (c *ClaimForwarder) Preferred(shard int) (ids.VM, bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -68,7 +72,7 @@
 	own := c.service.opts.VM
 	best, most := own, claimRank(shard, own)
 	for _, p := range c.service.Peers() {
-		if !commits(p) || now.Before(c.avoid[p.VM]) {
+		if !canCommit(p) || now.Before(c.avoidUntil[p.VM]) {
 			continue
 		}
 		if rank := claimRank(shard, p.VM); rank > most {
@@ -78,73 +82,79 @@
 	return best, best != own
 }
 
-// commits reports whether a peer can be relied on to commit claims.
-func commits(p member.Peer) bool {
-	heard := p.State == member.Alive || p.State == member.Candidate && p.Listed
-	return heard && !p.Draining && p.Address != ""
+// canCommit reports whether a peer is a candidate for committing claims: it is
+// alive, or listed by the platform and not known to be failing, and it is not
+// draining.
+func canCommit(p member.Peer) bool {
+	healthy := p.State == member.Alive || p.State == member.Candidate && p.Listed
+	return healthy && !p.Draining && p.Address != ""
 }
 
-// claimRank is a VM's weight for a shard.
+// claimRank returns the rendezvous hash of a VM for a shard.
 func claimRank(shard int, vm ids.VM) uint64 {
 	data := make([]byte, 0, len(vm)+2)
 	data = append(data, byte(shard>>8), byte(shard))
 	return xxhash.Sum64(append(data, vm...))
 }
 
-// takesClaims reports whether this VM is among the first for a shard.
-func (s *Service) takesClaims(shard int) bool {
+// servesShard reports whether this VM is among the maxServingRanks
+// highest-ranked VMs of a shard.
+func (s *Service) servesShard(shard int) bool {
 	own := claimRank(shard, s.opts.VM)
-	above := 0
+	higherRanked := 0
 	for _, p := range s.Peers() {
-		if commits(p) && claimRank(shard, p.VM) > own {
-			above++
+		if canCommit(p) && claimRank(shard, p.VM) > own {
+			higherRanked++
 		}
 	}
-	return above < acceptRanks
+	return higherRanked < maxServingRanks
 }
 
-// Forward implements claims.Peers.
+// Forward implements claims.Peers. It avoids the VM for a while if the VM
+// refused or did not answer.
 func (c *ClaimForwarder) Forward(ctx context.Context, f claim.Forward) claim.ForwardAnswer {
 	answer := c.forward(ctx, f)
 	switch answer.Kind {
 	case claim.ForwardRefused:
-		c.shun(f.VM, avoidRefusing)
+		c.avoid(f.VM, refusedBackoff)
 	case claim.ForwardUncertain:
-		c.shun(f.VM, avoidSilent)
+		c.avoid(f.VM, unansweredBackoff)
 	}
 	return answer
 }
 
-// forward hands an operation to a VM.
+// forward sends an operation to a VM. If the VM refuses it only for lack of a
+// clock reading, forward sends it once more with the clock from the reply.
 func (c *ClaimForwarder) forward(ctx context.Context, f claim.Forward) claim.ForwardAnswer {
 	refused := claim.ForwardAnswer{Kind: claim.ForwardRefused}
 	conn := c.conn(f.VM)
-	if conn == nil || !conn.wait(ctx) {
+	if conn == nil || !conn.waitOpen(ctx) {
 		return refused
 	}
 	c.service.opts.Count(ClaimsSent, 1)
-	reply, answer := conn.ask(ctx, c.service, f)
+	reply, answer := conn.call(ctx, c.service, f)
 	if reply.State == peerapi.ClaimNoClock {
-		_, answer = conn.ask(ctx, c.service, f)
+		_, answer = conn.call(ctx, c.service, f)
 	}
 	return answer
 }
 
-// shun passes over a VM for a time.
-func (c *ClaimForwarder) shun(vm ids.VM, d time.Duration) {
+// avoid excludes a VM from Preferred for a duration, and forgets the VMs whose
+// time has passed.
+func (c *ClaimForwarder) avoid(vm ids.VM, d time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for other, until := range c.avoid {
+	for other, until := range c.avoidUntil {
 		if !now.Before(until) {
-			delete(c.avoid, other)
+			delete(c.avoidUntil, other)
 		}
 	}
-	c.avoid[vm] = now.Add(d)
+	c.avoidUntil[vm] = now.Add(d)
 }
 
-// conn gives the connection to a VM, newly opened if need be; nil when no
-// address of it is known.
+// conn returns the connection to a VM and opens it if needed. It returns nil if
+// the address of the VM is not known. It also closes unusable connections.
 func (c *ClaimForwarder) conn(vm ids.VM) *claimConn {
 	c.service.mu.Lock()
 	peer, known := c.service.members.Peer(vm)
@@ -156,7 +166,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, k := range c.conns {
-		if !k.usable(now, c.service.opts.IdleTimeout/freshConn) {
+		if !k.usable(now, c.service.opts.IdleTimeout/connReuseDivisor) {
 			k.close()
 			delete(c.conns, address)
 		}
@@ -167,6 +177,6 @@
 		c.conns[peer.Address] = k
 		go k.open(c.ctx, c.service, peer.Address)
 	}
-	k.used = now
+	k.lastUsed = now
 	return k
 }
--- a/adapter/peer/claim_bench_test.go
+++ b/adapter/peer/claim_bench_test.go
@@ -8,7 +8,8 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// BenchmarkPreferred names the VM preferred for a shard.
+// BenchmarkPreferred measures the choice of the preferred VM for a shard in
+// fleets of two sizes.
 func BenchmarkPreferred(b *testing.B) {
 	for _, count := range []int{9, 390} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
--- a/adapter/peer/claim_conn.go
+++ b/adapter/peer/claim_conn.go
@@ -12,21 +12,23 @@
 	"mimosaarch.example/decide/claim"
 )
 
-// claimConn is a connection for claims.
+// claimConn is a connection used only for claim operations.
 type claimConn struct {
-	// used is when it was last used; guarded by the Claims.
-	used time.Time
-	// opened is closed once rpc is set, or will not be.
+	// lastUsed is guarded by the ClaimForwarder's mutex.
+	lastUsed time.Time
+	// opened is closed after the dial, whether or not it succeeded; rpc is nil
+	// if it failed.
 	opened chan struct{}
 	rpc    *jsonrpc2.Conn
 
 	mu sync.Mutex
-	// clock is the peer's as of its last reply, which came at heard.
-	clock int64
-	heard time.Time
+	// clock is the peer's clock reading, in nanoseconds, from its last reply.
+	// clockReadAt is when that reply arrived, by this node's clock.
+	clock       int64
+	clockReadAt time.Time
 }
 
-// open opens the connection, in bounded time.
+// open dials the peer and sets rpc on success.
 func (k *claimConn) open(ctx context.Context, s *Service, address string) {
 	defer close(k.opened)
 	if conn, err := s.dial(ctx, address); err == nil {
@@ -34,8 +36,9 @@
 	}
 }
 
-// wait waits until the connection is open; false when it can't be.
-func (k *claimConn) wait(ctx context.Context) bool {
+// waitOpen waits for the dial to end and reports whether the connection is
+// open.
+func (k *claimConn) waitOpen(ctx context.Context) bool {
 	select {
 	case <-k.opened:
 		return k.rpc != nil && ctx.Err() == nil
@@ -44,14 +47,15 @@
 	}
 }
 
-// usable reports whether the connection may be used, or may become so.
+// usable reports whether the connection is being dialed, or is open and was
+// used within the idle time.
 func (k *claimConn) usable(now time.Time, idle time.Duration) bool {
 	select {
 	case <-k.opened:
 	default:
 		return true
 	}
-	if k.rpc == nil || now.Sub(k.used) >= idle {
+	if k.rpc == nil || now.Sub(k.lastUsed) >= idle {
 		return false
 	}
 	select {
@@ -69,10 +73,12 @@
 	}
 }
 
-// ask makes one call. Only an answer of the peer proves anything.
-func (k *claimConn) ask(ctx context.Context, s *Service, f claim.Forward) (peerapi.ClaimReply, claim.ForwardAnswer) {
+// call sends one operation and returns the reply. Only an answer from the peer
+// proves that the operation was refused; after any other error the result is
+// uncertain.
+func (k *claimConn) call(ctx context.Context, s *Service, f claim.Forward) (peerapi.ClaimReply, claim.ForwardAnswer) {
 	message := encodeClaim(f)
-	k.stamp(&message, f.Until)
+	k.setTimes(&message, f.Until)
 	var reply peerapi.ClaimReply
 	err := s.call(ctx, k.rpc, peerapi.MethodClaim, &message, &reply)
 	var refused *jsonrpc2.Error
@@ -82,29 +88,31 @@
 	case err != nil:
 		return peerapi.ClaimReply{}, claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
-	k.note(reply.ClockNs)
+	k.recordClock(reply.ClockNs)
 	return reply, decodeClaimReply(f.Op, reply)
 }
 
-// stamp adds the peer's clock and the time left. A clock that is too old is
-// left out; the peer then tells it anew.
-func (k *claimConn) stamp(message *peerapi.Claim, until time.Time) {
+// setTimes sets the remaining time and the peer's clock reading. It omits a
+// reading older than MaxClockAge; the peer then refuses the operation and
+// replies with a new reading.
+func (k *claimConn) setTimes(message *peerapi.Claim, until time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
 	message.RemainingNs = max(int64(until.Sub(now)), 0)
-	if age := now.Sub(k.heard); k.clock > 0 && age < peerapi.MaxClockAge {
+	if age := now.Sub(k.clockReadAt); k.clock > 0 && age < peerapi.MaxClockAge {
 		message.ClockNs = k.clock
 		message.ClockAgeNs = int64(age)
 	}
 }
 
-// note keeps the peer's clock. An earlier one may come later.
-func (k *claimConn) note(clock int64) {
+// recordClock stores the peer's clock reading. Replies can arrive out of order,
+// so it ignores an earlier reading.
+func (k *claimConn) recordClock(clock int64) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if clock > k.clock {
-		k.clock, k.heard = clock, now
+		k.clock, k.clockReadAt = clock, now
 	}
 }
--- a/adapter/peer/claim_serve.go
+++ b/adapter/peer/claim_serve.go
@@ -11,30 +11,31 @@
 	"mimosaarch.example/decide/router"
 )
 
-// ClaimServer is a Source that commits operations on keys for peers. Without
-// it they are refused.
+// ClaimServer is implemented by a Source that commits claim operations for
+// peers. Without it the Service refuses those operations.
 type ClaimServer interface {
-	// ServeClaim commits an operation of a shard and waits for what came of
-	// it. The operation's Deadline is the end of the time that the peer gave.
-	// Any goroutine calls it.
+	// ServeClaim commits an operation on a shard and returns the result.
+	// op.Deadline is when the time allowed by the peer ends, by this node's
+	// clock. It is called from any goroutine.
 	ServeClaim(ctx context.Context, shard int, op claim.Op) claim.ForwardAnswer
 }
 
-// clockStart is the zero of the clock that replies tell.
+// clockStart is the origin of the clock that claim replies carry.
 var clockStart = time.Now()
 
-// clockNow is the clock that replies tell, from 1.
+// clockNow returns the time since clockStart in nanoseconds, plus 1, because 0
+// stands for no reading in messages.
 func clockNow() int64 { return int64(time.Since(clockStart)) + 1 }
 
-// claim answers a call for a claim, in a goroutine of its own, which ends
-// with the time that the peer gave; false when the call is another.
-func (h *dispatcher) claim(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) bool {
+// handleClaim handles a claim call and reports whether req is one. The
+// operation itself is committed in its own goroutine.
+func (h *dispatcher) handleClaim(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) bool {
 	if req.Method != peerapi.MethodClaim || req.Notif {
 		return false
 	}
 	var m peerapi.Claim
-	if err := h.read(req, &m); err != nil {
-		_ = conn.ReplyWithError(ctx, req.ID, refusal(err))
+	if err := h.readParams(req, &m); err != nil {
+		_ = conn.ReplyWithError(ctx, req.ID, rpcError(err))
 		return true
 	}
 	h.service.opts.Count(ClaimsReceived, 1)
@@ -44,7 +45,7 @@
 	case !known:
 		h.service.opts.Count(ClaimsNoClock, 1)
 		h.replyClaim(ctx, conn, req, peerapi.ClaimReply{State: peerapi.ClaimNoClock})
-	case !ok || !h.service.takesClaims(m.Shard):
+	case !ok || !h.service.servesShard(m.Shard):
 		h.service.opts.Count(ClaimsNotPreferred, 1)
 		h.replyClaim(ctx, conn, req, peerapi.ClaimReply{State: peerapi.ClaimRefused})
 	default:
@@ -53,38 +54,40 @@
 	return true
 }
 
-// serveClaim commits an operation and replies.
+// serveClaim commits an operation and replies with the result.
 func (h *dispatcher) serveClaim(
 	ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, server ClaimServer, shard int, op claim.Op,
 ) {
-	// The Committer answers by the Deadline; the rest is for its goroutine.
-	limit, done := context.WithDeadline(ctx, op.Deadline.Add(h.service.opts.CallTimeout))
-	defer done()
-	h.replyClaim(limit, conn, req, encodeClaimReply(server.ServeClaim(limit, shard, op)))
+	// The claims.Committer answers by the deadline. The additional time lets
+	// its goroutine deliver that answer.
+	callCtx, cancel := context.WithDeadline(ctx, op.Deadline.Add(h.service.opts.CallTimeout))
+	defer cancel()
+	h.replyClaim(callCtx, conn, req, encodeClaimReply(server.ServeClaim(callCtx, shard, op)))
 }
 
-// replyClaim replies with the clock. A reply that can't be written ends the
-// connection.
+// replyClaim sends a reply with this node's current clock reading. It ignores a
+// write error, because that ends the connection.
 func (h *dispatcher) replyClaim(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, reply peerapi.ClaimReply) {
 	reply.ClockNs = clockNow()
 	_ = conn.Reply(ctx, req.ID, reply)
 }
 
-// decodeClaimOp converts a message. Its Deadline is no later than the end of the
-// sender's time, whatever the message's way took: the clock that it brings was
-// read before the sender heard of it. It is false when the clock is missing.
+// decodeClaimOp converts a claim message to an operation. It returns false if
+// the message has no valid clock reading. The sender received the reading
+// before it sent the message, so a deadline computed from the reading is never
+// later than the sender's, however long the message was in transit.
 func decodeClaimOp(m peerapi.Claim) (claim.Op, bool) {
 	if m.ClockNs == 0 || m.ClockNs > clockNow() {
 		return claim.Op{}, false
 	}
-	since := time.Duration(m.ClockAgeNs + m.RemainingNs)
-	since -= since / peerapi.ClockDrift
+	sinceClock := time.Duration(m.ClockAgeNs + m.RemainingNs)
+	sinceClock -= sinceClock / peerapi.ClockDrift
 	op := claim.Op{
 		Kind:      claimKinds[m.Kind],
 		Record:    decodeClaimRecord(m.Record),
 		Nonce:     m.Nonce,
 		Retention: time.Duration(m.RetentionNs),
-		Deadline:  clockStart.Add(time.Duration(m.ClockNs-1) + since),
+		Deadline:  clockStart.Add(time.Duration(m.ClockNs-1) + sinceClock),
 	}
 	if m.Over != nil {
 		over := decodeClaimRecord(*m.Over)
@@ -93,14 +96,14 @@
 	return op, true
 }
 
-// claimKinds are the kinds of operations by their names.
+// claimKinds maps the names on the wire to operation kinds.
 var claimKinds = map[string]claim.Kind{
 	peerapi.ClaimTake:    claim.Claim,
 	peerapi.ClaimRelease: claim.Release,
 	peerapi.ClaimSettle:  claim.Settle,
 }
 
-// encodeClaim converts an operation to hand over.
+// encodeClaim converts a forwarded operation to a message, without its times.
 func encodeClaim(f claim.Forward) peerapi.Claim {
 	m := peerapi.Claim{
 		Shard:       f.Shard,
@@ -120,7 +123,7 @@
 	return m
 }
 
-// encodeClaimReply converts what came of an operation.
+// encodeClaimReply converts the result of an operation to a reply.
 func encodeClaimReply(a claim.ForwardAnswer) peerapi.ClaimReply {
 	switch {
 	case a.Kind == claim.ForwardRefused:
@@ -134,7 +137,7 @@
 	return peerapi.ClaimReply{State: peerapi.ClaimDone}
 }
 
-// decodeClaimReply converts a reply.
+// decodeClaimReply converts a reply to the result of an operation.
 func decodeClaimReply(op claim.Op, r peerapi.ClaimReply) claim.ForwardAnswer {
 	switch {
 	case r.State == peerapi.ClaimRefused, r.State == peerapi.ClaimNoClock:
@@ -147,7 +150,7 @@
 	return claim.ForwardAnswer{Kind: claim.ForwardDone, Result: router.ClaimTaken, Prior: decodeClaimRecord(*r.Prior)}
 }
 
-// encodeClaimRecord converts a record to tell a peer.
+// encodeClaimRecord converts a record to its form on the wire.
 func encodeClaimRecord(r router.ClaimRecord) peerapi.ClaimRecord {
 	return peerapi.ClaimRecord{
 		Account:     r.Account,
@@ -162,7 +165,7 @@
 	}
 }
 
-// decodeClaimRecord converts a record that a peer told.
+// decodeClaimRecord converts a record from its form on the wire.
 func decodeClaimRecord(r peerapi.ClaimRecord) router.ClaimRecord {
 	return router.ClaimRecord{
 		Account:     r.Account,
--- a/adapter/peer/claim_test.go
+++ b/adapter/peer/claim_test.go
@@ -14,7 +14,7 @@
 	"mimosaarch.example/decide/router"
 )
 
-// claimNode is a node that serves claims.
+// claimNode is a testNode that commits claims with a function of the test.
 type claimNode struct {
 	*testNode
 	serve func(ctx context.Context, shard int, op claim.Op) claim.ForwardAnswer
@@ -24,17 +24,18 @@
 	return n.serve(ctx, shard, op)
 }
 
-// claimPair starts a node and one that serves its claims.
+// claimPair starts node b, which commits claims with serve, and node a. It
+// returns a and its ClaimForwarder once the nodes have exchanged digests.
 func claimPair(t *testing.T, serve func(context.Context, int, claim.Op) claim.ForwardAnswer) (*testNode, *ClaimForwarder) {
 	b := start(t, "b", "z1", func(o *Options) { o.Source = claimNode{o.Source.(*testNode), serve} })
-	a := seeded(t, "a", "z1", b, nil)
-	a.from(t, "b")
-	b.from(t, "a")
+	a := startWithSeed(t, "a", "z1", b, nil)
+	a.digestFrom(t, "b")
+	b.digestFrom(t, "a")
 	return a, NewClaimForwarder(t.Context(), a.Service)
 }
 
-// forwardTo makes a Forward of a Claim.
-func forwardTo(vm ids.VM, left time.Duration) claim.Forward {
+// newForward returns a Forward of a claim that must end within the given time.
+func newForward(vm ids.VM, left time.Duration) claim.Forward {
 	record := router.ClaimRecord{
 		Account: "acc", Key: "k", Fingerprint: "f", Request: "r", VM: "a", Upstream: "u",
 		Attempt: 2, Epoch: "e", State: router.ClaimHeld,
@@ -45,8 +46,8 @@
 	return claim.Forward{ID: 1, VM: vm, Shard: 7, Op: op, Until: time.Now().Add(left)}
 }
 
-// within bounds a call by its Forward's time.
-func within(t *testing.T, c *ClaimForwarder, f claim.Forward) claim.ForwardAnswer {
+// forwardUntil calls Forward with a context that ends at f.Until.
+func forwardUntil(t *testing.T, c *ClaimForwarder, f claim.Forward) claim.ForwardAnswer {
 	ctx, cancel := context.WithDeadline(t.Context(), f.Until)
 	defer cancel()
 	return c.Forward(ctx, f)
@@ -69,15 +70,15 @@
 	})
 	for name, want := range answers {
 		next = want
-		f := forwardTo("b", 5*time.Second)
-		if diff := cmp.Diff(want, within(t, claims, f)); diff != "" {
+		f := newForward("b", 5*time.Second)
+		if diff := cmp.Diff(want, forwardUntil(t, claims, f)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 		if got.Deadline.After(f.Until) {
-			t.Errorf("the peer has until %v, %v after the sender", got.Deadline, got.Deadline.Sub(f.Until))
+			t.Errorf("the peer's deadline is %v, %v after the sender's", got.Deadline, got.Deadline.Sub(f.Until))
 		}
 		if got.Deadline.Before(f.Until.Add(-time.Second)) {
-			t.Errorf("the peer has %v less than the sender gave", f.Until.Sub(got.Deadline))
+			t.Errorf("the peer's deadline is %v before the sender's", f.Until.Sub(got.Deadline))
 		}
 		got.Deadline = time.Time{}
 		if diff := cmp.Diff(fmt.Sprintf("%+v", f.Op.Record), fmt.Sprintf("%+v", got.Record)); diff != "" {
@@ -88,7 +89,7 @@
 		}
 	}
 	if sent := a.count(ClaimsSent); sent != int64(len(answers)) {
-		t.Errorf("%d sent", sent)
+		t.Errorf("%d operations sent", sent)
 	}
 }
 
@@ -102,7 +103,7 @@
 	})
 	answers := make(chan claim.ForwardAnswer, 2)
 	for range 2 {
-		go func() { answers <- within(t, claims, forwardTo("b", 5*time.Second)) }()
+		go func() { answers <- forwardUntil(t, claims, newForward("b", 5*time.Second)) }()
 	}
 	<-both
 	<-both
@@ -114,28 +115,29 @@
 	}
 }
 
-func TestMessageThatWaitedIsLate(t *testing.T) {
-	m := encodeClaim(forwardTo("b", time.Second))
+func TestDelayedClaimKeepsDeadlineOfSender(t *testing.T) {
+	m := encodeClaim(newForward("b", time.Second))
 	m.ClockNs, m.ClockAgeNs, m.RemainingNs = clockNow(), int64(time.Second), int64(100*time.Millisecond)
 	op, ok := decodeClaimOp(m)
 	if !ok {
-		t.Fatal("no clock")
+		t.Fatal("the clock was not accepted")
 	}
-	// The message was sent a second after the clock was read. However late it
-	// is taken, its time ends 1.1 s after that, less the drift.
+	// The message was sent a second after the clock reading, with 100 ms left.
+	// However late it is decoded, its deadline is 1.1 s after the reading, less
+	// the allowance for clock drift.
 	begin := clockStart.Add(time.Duration(m.ClockNs - 1))
 	if got := op.Deadline.Sub(begin); got > 1100*time.Millisecond || got < 1098*time.Millisecond {
-		t.Errorf("its time ends %v after the clock was read", got)
+		t.Errorf("the deadline is %v after the clock reading", got)
 	}
 	for _, clock := range []int64{0, clockNow() + int64(time.Hour)} {
 		m.ClockNs = clock
 		if _, ok := decodeClaimOp(m); ok {
-			t.Errorf("clock %d was taken", clock)
+			t.Errorf("clock %d was accepted", clock)
 		}
 	}
 }
 
-func TestSilentOrUnknownVMIsPassedOver(t *testing.T) {
+func TestSilentOrUnknownVMIsAvoided(t *testing.T) {
 	hang := make(chan struct{})
 	defer close(hang)
 	_, claims := claimPair(t, func(context.Context, int, claim.Op) claim.ForwardAnswer {
@@ -148,28 +150,28 @@
 			break
 		}
 	}
-	if got := within(t, claims, forwardTo("b", 100*time.Millisecond)); got.Kind != claim.ForwardUncertain {
+	if got := forwardUntil(t, claims, newForward("b", 100*time.Millisecond)); got.Kind != claim.ForwardUncertain {
 		t.Errorf("silent VM: got %+v", got)
 	}
 	if vm, ok := claims.Preferred(shard); ok {
-		t.Errorf("%s is preferred though it was silent", vm)
+		t.Errorf("%s is preferred though it did not answer", vm)
 	}
-	if got := within(t, claims, forwardTo("x", time.Second)); got.Kind != claim.ForwardRefused {
+	if got := forwardUntil(t, claims, newForward("x", time.Second)); got.Kind != claim.ForwardRefused {
 		t.Errorf("unknown VM: got %+v", got)
 	}
 }
 
 func TestNodeWithoutServerRefuses(t *testing.T) {
 	b := start(t, "b", "z1", nil)
-	a := seeded(t, "a", "z1", b, nil)
-	a.from(t, "b")
+	a := startWithSeed(t, "a", "z1", b, nil)
+	a.digestFrom(t, "b")
 	claims := NewClaimForwarder(t.Context(), a.Service)
-	if got := within(t, claims, forwardTo("b", 5*time.Second)); got.Kind != claim.ForwardRefused {
+	if got := forwardUntil(t, claims, newForward("b", 5*time.Second)); got.Kind != claim.ForwardRefused {
 		t.Errorf("got %+v", got)
 	}
 }
 
-func TestPreferredIsSharedAndSpread(t *testing.T) {
+func TestNodesAgreeOnPreferredAndShareShards(t *testing.T) {
 	var list []platformapi.VM
 	var services []*ClaimForwarder
 	const count = 9
@@ -197,7 +199,7 @@
 			if got != vm || other != (got != ids.VM(list[i].ID)) {
 				t.Fatalf("%s names %s (another: %v) for shard %d, others %s", list[i].ID, got, other, shard, vm)
 			}
-			if !other && !c.service.takesClaims(shard) {
+			if !other && !c.service.servesShard(shard) {
 				t.Fatalf("%s does not take its shard %d", got, shard)
 			}
 		}
@@ -209,11 +211,11 @@
 	}
 	takers := 0
 	for _, c := range services {
-		if c.service.takesClaims(0) {
+		if c.service.servesShard(0) {
 			takers++
 		}
 	}
-	if takers != acceptRanks {
-		t.Errorf("%d VMs take shard 0, want %d", takers, acceptRanks)
+	if takers != maxServingRanks {
+		t.Errorf("%d VMs take shard 0, want %d", takers, maxServingRanks)
 	}
 }
--- a/adapter/peer/codec.go
+++ b/adapter/peer/codec.go
@@ -15,20 +15,22 @@
 	"mimosaarch.example/core/peerapi"
 )
 
-// codec frames messages by their length and compresses each. What was sent
-// before on the connection, up to historySize, serves as the dictionary, so
-// that a message much like the last costs little. Nothing but this history is
-// kept between two messages. One codec serves one connection.
+// codec frames each message by its length and compresses it. It uses the last
+// historyBytes of plain text sent on the connection as the compression
+// dictionary, so that a message similar to the previous ones takes few bytes.
+// It keeps no other state between messages. One codec serves one connection.
 type codec struct {
-	// wrote and read are the ends of the plain bytes of either direction. The
-	// stream writes one message at a time and reads one at a time.
-	wrote, read []byte
-	// invalid is told of bytes that are no message; may be nil.
-	invalid func()
+	// writeHistory and readHistory are the last plain bytes written and read.
+	// They need no lock: the stream writes one message at a time and reads one
+	// at a time.
+	writeHistory, readHistory []byte
+	// onMalformed is called for each message that cannot be decoded. It may be
+	// nil.
+	onMalformed func()
 }
 
-// historySize is the most plain bytes that are kept for either direction.
-const historySize = 4 << 10
+// historyBytes is the most plain bytes that are kept for each direction.
+const historyBytes = 4 << 10
 
 // WriteObject implements jsonrpc2.ObjectCodec.
 func (c *codec) WriteObject(stream io.Writer, v any) error {
@@ -39,59 +41,61 @@
 	if len(plain) > peerapi.MaxMessage {
 		return &peerapi.OversizeError{Field: "message", Size: len(plain), Limit: peerapi.MaxMessage}
 	}
-	var packed bytes.Buffer
-	if err := flate.StatelessDeflate(&packed, plain, true, c.wrote); err != nil {
+	var compressed bytes.Buffer
+	if err := flate.StatelessDeflate(&compressed, plain, true, c.writeHistory); err != nil {
 		return err
 	}
-	c.wrote = remember(c.wrote, plain)
+	c.writeHistory = appendHistory(c.writeHistory, plain)
 	var head [binary.MaxVarintLen64]byte
-	size := binary.PutUvarint(head[:], uint64(packed.Len()))
+	size := binary.PutUvarint(head[:], uint64(compressed.Len()))
 	if _, err := stream.Write(head[:size]); err != nil {
 		return err
 	}
-	_, err = stream.Write(packed.Bytes())
+	_, err = stream.Write(compressed.Bytes())
 	return err
 }
 
-// ReadObject implements jsonrpc2.ObjectCodec. A message above the bound,
-// packed or plain, is refused with an *OversizeError before it is held.
+// ReadObject implements jsonrpc2.ObjectCodec. It rejects a message above
+// peerapi.MaxMessage, compressed or plain, with an *OversizeError before it
+// buffers the message whole.
 func (c *codec) ReadObject(stream *bufio.Reader, v any) error {
 	err := c.readObject(stream, v)
-	if c.invalid != nil && outOfForm(err) {
-		c.invalid()
+	if c.onMalformed != nil && isMalformed(err) {
+		c.onMalformed()
 	}
 	return err
 }
 
-// outOfForm tells bytes that are no message from a connection that ended.
-func outOfForm(err error) bool {
-	var broken net.Error
+// isMalformed reports whether err is caused by invalid bytes rather than by the
+// end or failure of the connection.
+func isMalformed(err error) bool {
+	var netErr net.Error
 	ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed)
-	return err != nil && !ended && !errors.As(err, &broken)
+	return err != nil && !ended && !errors.As(err, &netErr)
 }
 
-// readObject reads one message.
+// readObject reads and decodes one message.
 func (c *codec) readObject(stream *bufio.Reader, v any) error {
 	size, err := binary.ReadUvarint(stream)
 	if err != nil {
 		return err
 	}
 	if size > peerapi.MaxMessage {
-		return &peerapi.OversizeError{Field: "message", Size: int(min(size, maxInt)), Limit: peerapi.MaxMessage}
+		return &peerapi.OversizeError{Field: "message", Size: int(min(size, maxReportedBytes)), Limit: peerapi.MaxMessage}
 	}
-	plain, err := unpack(io.LimitReader(stream, int64(size)), c.read)
+	plain, err := decompress(io.LimitReader(stream, int64(size)), c.readHistory)
 	if err != nil {
 		return err
 	}
-	c.read = remember(c.read, plain)
+	c.readHistory = appendHistory(c.readHistory, plain)
 	if own, ok := v.(json.Unmarshaler); ok {
 		return own.UnmarshalJSON(plain)
 	}
 	return json.Unmarshal(plain, v)
 }
 
-// marshal encodes a value. Where the value does so itself its result is taken
-// as it is, without a second pass over it.
+// marshal encodes a value as JSON. It calls MarshalJSON directly where the
+// value has it, because json.Marshal would parse and compact that result again.
 func marshal(v any) ([]byte, error) {
 	if own, ok := v.(json.Marshaler); ok {
 		return own.MarshalJSON()
@@ -99,17 +103,19 @@
 	return json.Marshal(v)
 }
 
-// maxInt bounds the size that an OversizeError tells.
-const maxInt = 1<<31 - 1
+// maxReportedBytes bounds the size in an OversizeError, so that it fits an int
+// on any platform.
+const maxReportedBytes = 1<<31 - 1
 
-// inflaters holds idle decompressors.
+// inflaters pools decompressors.
 var inflaters = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 
-// unpack decompresses one message, and takes all of packed.
-func unpack(packed io.Reader, history []byte) ([]byte, error) {
+// decompress decompresses one message with history as its dictionary. It reads
+// compressed to its end and rejects trailing bytes.
+func decompress(compressed io.Reader, history []byte) ([]byte, error) {
 	inflater := inflaters.Get().(io.Reader)
 	defer inflaters.Put(inflater)
-	source := bufio.NewReaderSize(packed, packedBuffer)
+	source := bufio.NewReaderSize(compressed, compressedReadBytes)
 	if err := inflater.(flate.Resetter).Reset(source, history); err != nil {
 		return nil, err
 	}
@@ -121,21 +127,21 @@
 	if n > peerapi.MaxMessage {
 		return nil, &peerapi.OversizeError{Field: "message", Size: int(n), Limit: peerapi.MaxMessage}
 	}
-	if rest, _ := io.Copy(io.Discard, source); rest > 0 {
+	if trailing, _ := io.Copy(io.Discard, source); trailing > 0 {
 		return nil, &peerapi.InvalidError{Field: "message", Detail: "bytes after its end"}
 	}
 	return plain.Bytes(), nil
 }
 
-// packedBuffer is how much of a packed message is read at once.
-const packedBuffer = 512
+// compressedReadBytes is the buffer size for reading a compressed message.
+const compressedReadBytes = 512
 
-// remember adds a message to a history and keeps its end.
-func remember(history, plain []byte) []byte {
-	if len(plain) >= historySize {
-		return append(history[:0], plain[len(plain)-historySize:]...)
+// appendHistory appends a message to a history and keeps the last historyBytes.
+func appendHistory(history, plain []byte) []byte {
+	if len(plain) >= historyBytes {
+		return append(history[:0], plain[len(plain)-historyBytes:]...)
 	}
-	keep := min(len(history), historySize-len(plain))
+	keep := min(len(history), historyBytes-len(plain))
 	history = append(history[:0], history[len(history)-keep:]...)
 	return append(history, plain...)
 }
--- a/adapter/peer/codec_test.go
+++ b/adapter/peer/codec_test.go
@@ -14,8 +14,8 @@
 	"mimosaarch.example/core/peerapi"
 )
 
-// packed makes a message of plain bytes as it stands on the wire.
-func packed(t *testing.T, plain []byte) []byte {
+// frame returns plain compressed and framed as a message on the wire.
+func frame(t *testing.T, plain []byte) []byte {
 	t.Helper()
 	var body bytes.Buffer
 	if err := flate.StatelessDeflate(&body, plain, true, nil); err != nil {
@@ -24,11 +24,11 @@
 	return append(binary.AppendUvarint(nil, uint64(body.Len())), body.Bytes()...)
 }
 
-func TestCodecUsesWhatWentBefore(t *testing.T) {
+func TestCodecCompressesWithHistory(t *testing.T) {
 	var wire bytes.Buffer
 	writer, reader := new(codec), new(codec)
 	stream := bufio.NewReader(&wire)
-	sizes := []int{100, 3, historySize - 1, historySize, 3 * historySize, 100}
+	sizes := []int{100, 3, historyBytes - 1, historyBytes, 3 * historyBytes, 100}
 	for i, size := range sizes {
 		text := strings.Repeat("0123456789abcdef ", size)[:size]
 		for range 2 {
@@ -39,16 +39,16 @@
 			if err := reader.ReadObject(stream, &got); err != nil || got != text {
 				t.Fatalf("message %d: %d bytes, %v", i, len(got), err)
 			}
-			if len(writer.wrote) > historySize || !bytes.Equal(writer.wrote, reader.read) {
-				t.Fatalf("message %d: histories of %d and %d bytes", i, len(writer.wrote), len(reader.read))
+			if len(writer.writeHistory) > historyBytes || !bytes.Equal(writer.writeHistory, reader.readHistory) {
+				t.Fatalf("message %d: histories of %d and %d bytes", i, len(writer.writeHistory), len(reader.readHistory))
 			}
 		}
 	}
-	message, err := json.Marshal(busy(1))
+	message, err := json.Marshal(testDigest(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	alone := len(packed(t, message))
+	alone := len(frame(t, message))
 	_ = writer.WriteObject(&wire, json.RawMessage(message))
 	wire.Reset()
 	_ = writer.WriteObject(&wire, json.RawMessage(message))
@@ -59,23 +59,23 @@
 
 func TestCodecRefuses(t *testing.T) {
 	spaces := bytes.Repeat([]byte(" "), peerapi.MaxMessage+1)
-	bomb := packed(t, bytes.Repeat(spaces, 4))
+	bomb := frame(t, bytes.Repeat(spaces, 4))
 	if len(bomb) > peerapi.MaxMessage/100 {
 		t.Fatalf("the bomb has %d bytes", len(bomb))
 	}
 	var oversize *peerapi.OversizeError
 	var invalid *peerapi.InvalidError
-	// It must not be unpacked beyond the bound.
+	// The decoder must stop one byte above the limit.
 	if err := read(bomb); !errors.As(err, &oversize) || oversize.Size != peerapi.MaxMessage+1 {
 		t.Errorf("bomb: %v", err)
 	}
-	if err := read(packed(t, spaces[1:])); errors.As(err, &oversize) {
+	if err := read(frame(t, spaces[1:])); errors.As(err, &oversize) {
 		t.Errorf("at the bound: %v", err)
 	}
 	if err := read([]byte{3, 0xff, 0xff, 0xff}); !errors.As(err, &invalid) {
 		t.Errorf("no deflate: %v", err)
 	}
-	good := packed(t, []byte("1"))
+	good := frame(t, []byte("1"))
 	trailing := append([]byte{good[0] + 1}, append(bytes.Clone(good[1:]), 0)...)
 	if err := read(trailing); !errors.As(err, &invalid) {
 		t.Errorf("trailing byte: %v", err)
@@ -88,7 +88,7 @@
 	}
 }
 
-// read decodes one message.
+// read decodes one framed message.
 func read(message []byte) error {
 	return new(codec).ReadObject(bufio.NewReader(bytes.NewReader(message)), new(any))
 }
--- a/adapter/peer/wire_test.go
+++ b/adapter/peer/conn_test.go
@@ -16,7 +16,7 @@
 	"mimosaarch.example/core/peerapi"
 )
 
-// issue makes an identity.
+// issue returns a new identity signed by ca.
 func issue(t *testing.T, ca *identity.CA, validity time.Duration) *identity.Identity {
 	t.Helper()
 	id, err := ca.Identity("node", validity)
@@ -26,7 +26,8 @@
 	return id
 }
 
-// listenSilent accepts connections and never answers.
+// listenSilent listens on a port, never accepts, and returns the address. The
+// kernel still completes the handshakes of clients.
 func listenSilent(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,23 +57,24 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			server := start(t, "a", "z1", func(o *Options) { o.TLS = c.server })
-			client := seeded(t, "b", "z1", server, c.client)
+			client := startWithSeed(t, "b", "z1", server, c.client)
 			refusals := func() int64 { return client.count(HandshakesFailed) + client.count(DigestsMissed) }
-			client.until(t, "refused", func() bool { return refusals() > 2 })
-			server.until(t, "refused", func() bool { return server.count(HandshakesFailed) > 0 })
+			client.waitFor(t, "a refusal", func() bool { return refusals() > 2 })
+			server.waitFor(t, "a refusal", func() bool { return server.count(HandshakesFailed) > 0 })
 			if client.count(DigestsSent) > 0 || server.count(DigestsAccepted) > 0 {
-				t.Fatal("a digest went through")
+				t.Fatal("a digest was exchanged")
 			}
 		})
 	}
 }
 
-// mixed shows one identity's certificate but trusts as another does, so that
-// only the other side can refuse.
-func mixed(shown, trusts *identity.Identity) *identity.Identity {
-	out := &identity.Identity{Server: trusts.Server.Clone(), Client: trusts.Client.Clone()}
-	out.Server.Certificates = shown.Server.Certificates
-	out.Client.Certificates = shown.Client.Certificates
+// mixed returns an identity with the certificate of one identity and the
+// trusted authorities of another, so that only the other side can refuse the
+// handshake.
+func mixed(presented, trusted *identity.Identity) *identity.Identity {
+	out := &identity.Identity{Server: trusted.Server.Clone(), Client: trusted.Client.Clone()}
+	out.Server.Certificates = presented.Server.Certificates
+	out.Client.Certificates = presented.Client.Certificates
 	return out
 }
 
@@ -82,8 +84,8 @@
 		t.Fatal(err)
 	}
 	server := start(t, "a", "z1", func(o *Options) { o.TLS = issue(t, ca, time.Hour) })
-	seeded(t, "b", "z1", server, nil)
-	server.until(t, "refused", func() bool { return server.count(HandshakesFailed) > 0 })
+	startWithSeed(t, "b", "z1", server, nil)
+	server.waitFor(t, "a refusal", func() bool { return server.count(HandshakesFailed) > 0 })
 }
 
 // connect opens a JSON-RPC connection to a node.
@@ -121,7 +123,7 @@
 		}
 	}
 	if got := n.count(MessagesInvalid); got != int64(len(cases)) || len(n.Peers()) != 0 {
-		t.Fatalf("%d counted, %d peers", got, len(n.Peers()))
+		t.Fatalf("%d messages counted as invalid, %d peers", got, len(n.Peers()))
 	}
 	good := peerapi.Digest{VM: "x", Zone: "z1", Boot: "b", Seq: 1, Address: "127.0.0.1:1"}
 	for range 2 {
@@ -129,8 +131,8 @@
 			t.Fatal(err)
 		}
 	}
-	n.from(t, "x")
-	n.until(t, "the repeat is refused", func() bool { return n.count(DigestsStale) == 1 })
+	n.digestFrom(t, "x")
+	n.waitFor(t, "refusal of the repeated digest", func() bool { return n.count(DigestsStale) == 1 })
 }
 
 func TestOversizedMessageEndsTheConnection(t *testing.T) {
@@ -169,5 +171,5 @@
 	if err := connect(t, n).Call(t.Context(), peerapi.MethodDigest, digest, nil); err == nil {
 		t.Fatal("a second connection was served")
 	}
-	n.until(t, "refused", func() bool { return n.count(LinksRefused) > 0 })
+	n.waitFor(t, "a refusal", func() bool { return n.count(LinksRefused) > 0 })
 }
--- a/adapter/peer/convert.go
+++ b/adapter/peer/convert.go
@@ -11,19 +11,19 @@
 	"mimosaarch.example/decide/router"
 )
 
-// EncodeUsage converts demand to tell peers.
+// EncodeUsage converts the demand per account to its form on the wire.
 func EncodeUsage(usage []limit.AccountUsage) []peerapi.AccountUsage {
-	return convert(usage, func(u limit.AccountUsage) peerapi.AccountUsage { return peerapi.AccountUsage(u) })
+	return mapSlice(usage, func(u limit.AccountUsage) peerapi.AccountUsage { return peerapi.AccountUsage(u) })
 }
 
-// DecodeUsage converts demand that a peer told.
+// DecodeUsage converts the demand per account from its form on the wire.
 func DecodeUsage(usage []peerapi.AccountUsage) []limit.AccountUsage {
-	return convert(usage, func(u peerapi.AccountUsage) limit.AccountUsage { return limit.AccountUsage(u) })
+	return mapSlice(usage, func(u peerapi.AccountUsage) limit.AccountUsage { return limit.AccountUsage(u) })
 }
 
-// EncodeQuarantineEvents converts evidence to tell peers.
+// EncodeQuarantineEvents converts quarantine events to their form on the wire.
 func EncodeQuarantineEvents(events []quarantine.Event) []peerapi.QuarantineEvent {
-	return convert(events, func(e quarantine.Event) peerapi.QuarantineEvent {
+	return mapSlice(events, func(e quarantine.Event) peerapi.QuarantineEvent {
 		return peerapi.QuarantineEvent{
 			Kind:        string(e.Kind),
 			Upstream:    e.Upstream,
@@ -34,9 +34,10 @@
 	})
 }
 
-// DecodeQuarantineEvents converts evidence that a peer told.
+// DecodeQuarantineEvents converts quarantine events from their form on the
+// wire.
 func DecodeQuarantineEvents(events []peerapi.QuarantineEvent) []quarantine.Event {
-	return convert(events, func(e peerapi.QuarantineEvent) quarantine.Event {
+	return mapSlice(events, func(e peerapi.QuarantineEvent) quarantine.Event {
 		return quarantine.Event{
 			Kind:        quarantine.Kind(e.Kind),
 			Upstream:    e.Upstream,
@@ -47,9 +48,10 @@
 	})
 }
 
-// DecodeDecisions converts steps that a peer told at now.
+// DecodeDecisions converts recorded decisions from their form on the wire.
+// Their ages are subtracted from now to get times by the local clock.
 func DecodeDecisions(steps []peerapi.Decision, now time.Time) []router.Decision {
-	return convert(steps, func(d peerapi.Decision) router.Decision {
+	return mapSlice(steps, func(d peerapi.Decision) router.Decision {
 		return router.Decision{
 			At:      now.Add(-time.Duration(d.AgeNs)),
 			ID:      d.ID,
@@ -65,9 +67,10 @@
 	})
 }
 
-// encodeDecisions converts steps to tell a peer at now.
+// encodeDecisions converts recorded decisions to their form on the wire, with
+// their ages at now. It cuts each Detail to peerapi.MaxText bytes.
 func encodeDecisions(steps []router.Decision, now time.Time) []peerapi.Decision {
-	return convert(steps, func(d router.Decision) peerapi.Decision {
+	return mapSlice(steps, func(d router.Decision) peerapi.Decision {
 		return peerapi.Decision{
 			AgeNs:   int64(now.Sub(d.At)),
 			ID:      d.ID,
@@ -83,21 +86,21 @@
 	})
 }
 
-// encodeSummary converts a summary to tell a peer.
+// encodeSummary converts a configuration summary to its form on the wire.
 func encodeSummary(summary []configorder.KeyVersion) []peerapi.KeyVersion {
-	return convert(summary, func(kv configorder.KeyVersion) peerapi.KeyVersion { return peerapi.KeyVersion(kv) })
+	return mapSlice(summary, func(kv configorder.KeyVersion) peerapi.KeyVersion { return peerapi.KeyVersion(kv) })
 }
 
-// decodeSummary converts a summary that a peer told.
+// decodeSummary converts a configuration summary from its form on the wire.
 func decodeSummary(summary []peerapi.KeyVersion) []configorder.KeyVersion {
-	return convert(summary, func(kv peerapi.KeyVersion) configorder.KeyVersion { return configorder.KeyVersion(kv) })
+	return mapSlice(summary, func(kv peerapi.KeyVersion) configorder.KeyVersion { return configorder.KeyVersion(kv) })
 }
 
-// convert converts each item.
-func convert[A, B any](items []A, one func(A) B) []B {
+// mapSlice returns the results of convert for each item.
+func mapSlice[A, B any](items []A, convert func(A) B) []B {
 	out := make([]B, 0, len(items))
 	for _, item := range items {
-		out = append(out, one(item))
+		out = append(out, convert(item))
 	}
 	return out
 }
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -12,66 +12,69 @@
 	"mimosaarch.example/decide/member"
 )
 
-// dispatcher answers the calls of a connection, one at a time.
+// dispatcher handles the calls that arrive on a connection, one at a time
+// except for claims.
 type dispatcher struct{ service *Service }
 
 // Handle implements jsonrpc2.Handler.
 func (h *dispatcher) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
-	if h.claim(ctx, conn, req) {
+	if h.handleClaim(ctx, conn, req) {
 		return
 	}
-	result, err := h.answer(ctx, conn, req)
+	result, err := h.dispatch(ctx, conn, req)
 	if req.Notif {
 		return
 	}
-	limit, done := context.WithTimeout(ctx, h.service.opts.CallTimeout)
-	defer done()
-	// A reply that can't be written ends the connection; the caller then
-	// knows as much as the error could tell it.
+	callCtx, cancel := context.WithTimeout(ctx, h.service.opts.CallTimeout)
+	defer cancel()
+	// A write error is ignored: it ends the connection, which tells the
+	// caller as much as the error would.
 	if err != nil {
-		_ = conn.ReplyWithError(limit, req.ID, refusal(err))
+		_ = conn.ReplyWithError(callCtx, req.ID, rpcError(err))
 		return
 	}
-	_ = conn.Reply(limit, req.ID, result)
+	_ = conn.Reply(callCtx, req.ID, result)
 }
 
-// answer carries out one call.
-func (h *dispatcher) answer(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
-	limit, done := context.WithTimeout(ctx, h.service.opts.CallTimeout)
-	defer done()
+// dispatch runs the handler of a call and returns its result.
+func (h *dispatcher) dispatch(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
+	callCtx, cancel := context.WithTimeout(ctx, h.service.opts.CallTimeout)
+	defer cancel()
 	switch req.Method {
 	case peerapi.MethodDigest:
-		return h.digest(conn, req)
+		return h.handleDigest(conn, req)
 	case peerapi.MethodPull:
-		return h.pull(limit, req)
+		return h.handlePull(callCtx, req)
 	case peerapi.MethodVMs:
-		return h.vms(req)
+		return h.handleVMs(req)
 	case peerapi.MethodExplain:
-		return h.explain(req)
+		return h.handleExplain(req)
 	}
 	h.service.opts.Count(MessagesInvalid, 1)
 	return nil, &unknownMethodError{Method: req.Method}
 }
 
-// unknownMethodError refuses a call that the protocol does not have.
+// unknownMethodError reports a call of a method that the protocol does not
+// have.
 type unknownMethodError struct{ Method string }
 
 // Error implements error.
 func (e *unknownMethodError) Error() string { return "no method " + e.Method }
 
-// refusal gives the error that goes to the caller.
-func refusal(err error) *jsonrpc2.Error {
+// rpcError converts an error to the JSON-RPC error sent to the caller. Errors
+// without a code of their own get peerapi.CodeUnavailable.
+func rpcError(err error) *jsonrpc2.Error {
 	var unknown *unknownMethodError
 	var invalid *peerapi.InvalidError
 	var oversize *peerapi.OversizeError
-	var unbased *unknownBaseError
+	var unknownBase *unknownBaseError
 	code := peerapi.CodeUnavailable
 	switch {
 	case errors.As(err, &unknown):
 		code = peerapi.CodeUnknownMethod
 	case errors.As(err, &invalid), errors.As(err, &oversize):
 		code = peerapi.CodeInvalid
-	case errors.As(err, &unbased):
+	case errors.As(err, &unknownBase):
 		code = peerapi.CodeUnknownBase
 	case errors.As(err, new(*busyError)):
 		code = peerapi.CodeBusy
@@ -79,18 +82,18 @@
 	return &jsonrpc2.Error{Code: int64(code), Message: err.Error()}
 }
 
-// busyError refuses a message for want of room.
+// busyError reports a message that was refused because the event ring is full.
 type busyError struct{ Cause error }
 
 // Error implements error.
 func (e *busyError) Error() string { return e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *busyError) Unwrap() error { return e.Cause }
 
-// read decodes and checks a call's message.
-func (h *dispatcher) read(req *jsonrpc2.Request, into reply) error {
-	err := h.decode(req, into)
+// readParams decodes and validates the parameters of a call.
+func (h *dispatcher) readParams(req *jsonrpc2.Request, into validator) error {
+	err := h.decodeParams(req, into)
 	if err == nil {
 		err = into.Validate()
 	}
@@ -100,8 +103,8 @@
 	return err
 }
 
-// decode decodes a call's message.
-func (h *dispatcher) decode(req *jsonrpc2.Request, into any) error {
+// decodeParams decodes the parameters of a call.
+func (h *dispatcher) decodeParams(req *jsonrpc2.Request, into any) error {
 	if req.Params == nil {
 		return &peerapi.InvalidError{Field: "params", Detail: "missing"}
 	}
@@ -111,27 +114,29 @@
 	return nil
 }
 
-// digest takes a peer's digest.
-func (h *dispatcher) digest(conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
+// handleDigest passes a peer's digest to the loop and replies with this node's
+// own.
+func (h *dispatcher) handleDigest(conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	var d peerapi.Digest
-	if err := h.read(req, &d); err != nil {
+	if err := h.readParams(req, &d); err != nil {
 		return nil, err
 	}
-	whole, err := h.service.bases.whole(d)
+	whole, err := h.service.bases.expand(d)
 	if err != nil {
 		h.service.opts.Count(DigestsUnknownBase, 1)
 		return nil, err
 	}
-	if err := h.service.events.Offer(received{digest: whole, conn: conn, called: true}); err != nil {
+	if err := h.service.events.Offer(digestReceived{digest: whole, conn: conn, called: true}); err != nil {
 		h.service.opts.Count(MessagesDropped, 1)
 		return nil, &busyError{Cause: err}
 	}
-	return h.service.reply(d), nil
+	return h.service.digestReply(d), nil
 }
 
-// reply tells a peer who took its digest.
-func (s *Service) reply(to peerapi.Digest) peerapi.DigestReply {
-	state := s.own.Load()
+// digestReply returns the reply to a peer's digest. It carries the known peers
+// if that peer has no list of VMs yet.
+func (s *Service) digestReply(to peerapi.Digest) peerapi.DigestReply {
+	state := s.local.Load()
 	own := &state.digest
 	out := peerapi.DigestReply{
 		VM:             s.opts.VM,
@@ -140,20 +145,21 @@
 		ConfigDigest:   own.ConfigDigest,
 		ConfigRevision: own.ConfigRevision,
 		VMsRevision:    s.vms.Load().Revision,
-		Have:           s.bases.of(to.VM, to.Boot),
+		Have:           s.bases.seqOf(to.VM, to.Boot),
 	}
 	if own.Seq > 0 {
-		digest := state.to(to.Have)
+		digest := state.forPeer(to.Have)
 		out.Digest = &digest
 	}
 	if to.VMsRevision == 0 {
-		out.Known = s.known()
+		out.Known = s.alivePeers()
 	}
 	return out
 }
 
-// known lists peers heard from, for a peer that has no list of VMs.
-func (s *Service) known() []peerapi.Known {
+// alivePeers returns up to peerapi.MaxKnown live peers, for a peer that has no
+// list of VMs.
+func (s *Service) alivePeers() []peerapi.Known {
 	var out []peerapi.Known
 	for _, p := range s.Peers() {
 		if p.State == member.Alive && len(out) < peerapi.MaxKnown {
@@ -163,10 +169,11 @@
 	return out
 }
 
-// pull gives configuration that a peer lacks.
-func (h *dispatcher) pull(ctx context.Context, req *jsonrpc2.Request) (any, error) {
+// handlePull returns the configuration objects that are newer here than at the
+// peer.
+func (h *dispatcher) handlePull(ctx context.Context, req *jsonrpc2.Request) (any, error) {
 	var p peerapi.Pull
-	if err := h.read(req, &p); err != nil {
+	if err := h.readParams(req, &p); err != nil {
 		return nil, err
 	}
 	if h.service.opts.Feed == nil {
@@ -179,10 +186,10 @@
 	return peerapi.PullReply{Objects: objects[:min(len(objects), peerapi.MaxObjects)]}, nil
 }
 
-// vms gives the list of VMs if it is newer than the peer's.
-func (h *dispatcher) vms(req *jsonrpc2.Request) (any, error) {
+// handleVMs returns the list of VMs if it is newer than the peer's.
+func (h *dispatcher) handleVMs(req *jsonrpc2.Request) (any, error) {
 	var v peerapi.VMs
-	if err := h.read(req, &v); err != nil {
+	if err := h.readParams(req, &v); err != nil {
 		return nil, err
 	}
 	list := h.service.vms.Load()
@@ -192,10 +199,11 @@
 	return peerapi.VMsReply{List: *list}, nil
 }
 
-// explain gives the newest steps recorded of a request.
-func (h *dispatcher) explain(req *jsonrpc2.Request) (any, error) {
+// handleExplain returns the newest decisions recorded for a request, at most
+// peerapi.MaxDecisions.
+func (h *dispatcher) handleExplain(req *jsonrpc2.Request) (any, error) {
 	var e peerapi.Explain
-	if err := h.read(req, &e); err != nil {
+	if err := h.readParams(req, &e); err != nil {
 		return nil, err
 	}
 	steps := h.service.opts.Source.Explain(e.ID)
--- a/adapter/peer/errors.go
+++ b/adapter/peer/errors.go
@@ -6,7 +6,7 @@
 	"mimosaarch.example/core/ids"
 )
 
-// ListenError tells that the address could not be listened on.
+// ListenError reports that the Service could not listen on its address.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -17,14 +17,14 @@
 	return fmt.Sprintf("listen for peers on %s: %v", e.Address, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// DialError tells that no connection to a peer could be opened.
+// DialError reports that no connection to a peer could be opened.
 type DialError struct {
 	Address string
-	// Handshake is true when the connection was opened but the certificates
-	// were not accepted.
+	// Handshake is true if the TCP connection was opened but the TLS handshake
+	// failed.
 	Handshake bool
 	Cause     error
 }
@@ -34,23 +34,25 @@
 	return fmt.Sprintf("connect to peer %s: %v", e.Address, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// CallError tells that a call to a peer brought no valid reply.
+// CallError reports that a call to a peer failed or returned an invalid reply.
 type CallError struct {
 	Method string
 	Cause  error
 }
 
 // Error implements error.
-func (e *CallError) Error() string { return fmt.Sprintf("call %s of peer: %v", e.Method, e.Cause) }
+func (e *CallError) Error() string { return fmt.Sprintf("call peer method %s: %v", e.Method, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// UnknownPeerError tells that no address of a VM is known.
+// UnknownPeerError reports that the address of a VM is not known.
 type UnknownPeerError struct{ VM ids.VM }
 
 // Error implements error.
-func (e *UnknownPeerError) Error() string { return fmt.Sprintf("no address of peer %s", e.VM) }
+func (e *UnknownPeerError) Error() string {
+	return fmt.Sprintf("address of peer %s is not known", e.VM)
+}
--- a/adapter/peer/identity/ca.go
+++ b/adapter/peer/identity/ca.go
@@ -13,42 +13,48 @@
 	"time"
 )
 
-// CA is a certificate authority held in memory, for demonstrations and tests.
+// CA is a certificate authority whose key is only in memory. It is for
+// demonstrations and tests.
 type CA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// IssueError tells that a certificate could not be made.
+// IssueError reports that a certificate could not be created.
 type IssueError struct {
 	Name  string
 	Cause error
 }
 
 // Error implements error.
-func (e *IssueError) Error() string { return fmt.Sprintf("certificate of %s: %v", e.Name, e.Cause) }
+func (e *IssueError) Error() string {
+	return fmt.Sprintf("create certificate for %s: %v", e.Name, e.Cause)
+}
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *IssueError) Unwrap() error { return e.Cause }
 
-// PEM is a certificate and its key as PEM texts.
+// PEM is a certificate and its private key, both PEM-encoded.
 type PEM struct{ Cert, Key []byte }
 
-// Validity of certificates: from skew before now.
+// Parameters of certificates.
 const (
 	caValidity = 10 * 365 * 24 * time.Hour
-	skew       = time.Hour
+	// clockSkew is how long before its creation a certificate becomes valid.
+	clockSkew = time.Hour
+	// serialBits is the size of the random serial numbers.
 	serialBits = 127
 )
 
-// NewCA makes an authority. The error is a *MakeError.
+// NewCA returns a CA with a new key and a self-signed certificate that is valid
+// for 10 years. The error is an *IssueError.
 func NewCA(name string) (*CA, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, &IssueError{Name: name, Cause: err}
 	}
 	now := time.Now()
-	template, err := newTemplate(name, now.Add(-skew), now.Add(caValidity))
+	template, err := newTemplate(name, now.Add(-clockSkew), now.Add(caValidity))
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +72,8 @@
 	return &CA{cert: cert, key: key}, nil
 }
 
-// newTemplate fills what all certificates have.
+// newTemplate returns the fields that all certificates have, with a random
+// serial number.
 func newTemplate(name string, from, until time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -80,16 +87,16 @@
 	}, nil
 }
 
-// Issue makes a certificate for a node, in force from an hour before now for
-// the given time after now; a negative time makes one that has expired. The
-// error is a *MakeError.
+// Issue creates a key and a certificate for a node. The certificate is valid
+// from an hour before now until validity after now; with a negative validity it
+// has already expired. The error is an *IssueError.
 func (ca *CA) Issue(name string, validity time.Duration) (PEM, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return PEM{}, &IssueError{Name: name, Cause: err}
 	}
 	until := time.Now().Add(validity)
-	template, err := newTemplate(name, until.Add(-validity-skew), until)
+	template, err := newTemplate(name, until.Add(-validity-clockSkew), until)
 	if err != nil {
 		return PEM{}, err
 	}
@@ -109,13 +116,14 @@
 	}, nil
 }
 
-// CertPEM is the authority's own certificate, for the ca file of nodes.
+// CertPEM returns the certificate of the authority in PEM, for the ca file of a
+// node.
 func (ca *CA) CertPEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: ca.cert.Raw})
 }
 
-// Identity issues a certificate as Issue does and makes the settings of a node
-// that trusts this authority.
+// Identity issues a certificate as Issue does and returns the TLS configuration
+// of a node that trusts this authority. The error is an *IssueError.
 func (ca *CA) Identity(name string, validity time.Duration) (*Identity, error) {
 	text, err := ca.Issue(name, validity)
 	if err != nil {
--- a/adapter/peer/identity/identity.go
+++ b/adapter/peer/identity/identity.go
@@ -1,7 +1,7 @@
-// Package identity makes the TLS settings of links between nodes: both sides
-// show a certificate that the fleet's certificate authority has signed. VMs
-// are replaced at any time and are called by IP number, so the names in a
-// certificate are not compared; to be of the fleet is what counts.
+// Package identity builds the TLS configuration for connections between nodes.
+// Both sides present a certificate signed by the certificate authority of the
+// fleet. VMs are replaced at any time and are addressed by IP, so the names in
+// certificates are not verified: any certificate of the fleet is accepted.
 package identity
 
 import (
@@ -12,17 +12,18 @@
 	"time"
 )
 
-// Identity holds the TLS settings of one node.
+// Identity holds the TLS configuration of one node.
 type Identity struct {
 	// Server requires a client certificate of the fleet.
 	Server *tls.Config
-	// Client shows the node's certificate and requires one of the fleet.
+	// Client presents the node's certificate and requires a server certificate
+	// of the fleet.
 	Client *tls.Config
 }
 
-// FileError tells that a file of an identity can't be used.
+// FileError reports that an identity file cannot be read or parsed.
 type FileError struct {
-	// Path is the file's; empty when the identity wasn't read from files.
+	// Path names the file. It is empty if the identity was not read from files.
 	Path  string
 	Cause error
 }
@@ -30,11 +31,11 @@
 // Error implements error.
 func (e *FileError) Error() string { return fmt.Sprintf("identity file %q: %v", e.Path, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NoCertificateError tells that a PEM text holds no certificate, or that the
-// other side showed none.
+// NoCertificateError reports that a PEM file has no certificate, or that the
+// peer presented none.
 type NoCertificateError struct{}
 
 // Error implements error.
@@ -61,8 +62,8 @@
 	return New(roots, cert), nil
 }
 
-// New makes an identity from the fleet's authorities and the node's own
-// certificate.
+// New returns the identity for the trusted authorities of the fleet and the
+// certificate of the node.
 func New(roots *x509.CertPool, cert tls.Certificate) *Identity {
 	return &Identity{
 		Server: &tls.Config{
@@ -76,8 +77,8 @@
 			MinVersion:   tls.VersionTLS13,
 			Certificates: []tls.Certificate{cert},
 			RootCAs:      roots,
-			// The usual check compares a name, which peers don't have;
-			// VerifyConnection checks all else.
+			// The default verification requires a host name, which peers do not
+			// have. VerifyConnection verifies everything else.
 			InsecureSkipVerify: true,
 			VerifyConnection: func(state tls.ConnectionState) error {
 				return verify(state.PeerCertificates, roots, time.Now())
@@ -86,18 +87,19 @@
 	}
 }
 
-// verify checks that a server's certificate is of the fleet and in force.
+// verify checks that a server certificate is signed by the fleet and valid at
+// the given time.
 func verify(certs []*x509.Certificate, roots *x509.CertPool, now time.Time) error {
 	if len(certs) == 0 {
 		return &NoCertificateError{}
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, cert := range certs[1:] {
-		between.AddCert(cert)
+		intermediates.AddCert(cert)
 	}
 	_, err := certs[0].Verify(x509.VerifyOptions{
 		Roots:         roots,
-		Intermediates: between,
+		Intermediates: intermediates,
 		CurrentTime:   now,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
--- a/adapter/peer/identity/identity_test.go
+++ b/adapter/peer/identity/identity_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// files writes an identity's PEM files and gives their paths.
-func files(t *testing.T, ca *CA) (caPath, certPath, keyPath string) {
+// writeFiles issues an identity, writes its PEM files and returns their paths.
+func writeFiles(t *testing.T, ca *CA) (caPath, certPath, keyPath string) {
 	t.Helper()
 	pair, err := ca.Issue("node", time.Hour)
 	if err != nil {
@@ -31,8 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	caPath, certPath, keyPath := files(t, ca)
-	_, _, otherKey := files(t, ca)
+	caPath, certPath, keyPath := writeFiles(t, ca)
+	_, _, otherKey := writeFiles(t, ca)
 	id, err := Load(caPath, certPath, keyPath)
 	if err != nil || len(id.Server.Certificates) != 1 || !id.Client.RootCAs.Equal(id.Server.ClientCAs) {
 		t.Fatalf("%+v, %v", id, err)
--- a/adapter/peer/link.go
+++ b/adapter/peer/link.go
@@ -12,63 +12,66 @@
 	"mimosaarch.example/core/peerapi"
 )
 
-// missesToClose is how many replies may stay away before a link is closed.
-const missesToClose = 2
+// maxMissedReplies is the number of consecutive missed replies after which a
+// link closes its connection.
+const maxMissedReplies = 2
 
-// linkRing is the most digests that wait for a link.
-const linkRing = 1
+// linkQueueCapacity is the most digests that wait in a link. Only the newest
+// one is useful, so it replaces an older one.
+const linkQueueCapacity = 1
 
-// outgoing is a digest to send and when it was made.
+// outgoing is a digest to send and the time it was made.
 type outgoing struct {
-	own  *ownState
-	made time.Time
+	digest *localDigest
+	madeAt time.Time
 }
 
-// link sends digests to one address, in a goroutine of its own.
+// link sends digests to one address from its own goroutine.
 type link struct {
 	service *Service
 	address string
-	waiting chan outgoing
+	queue   chan outgoing
 	stop    context.CancelFunc
-	// used is when the loop last used the link; only the loop touches it.
-	used time.Time
+	// lastUsed is when the loop last queued a digest. Only the loop accesses
+	// it.
+	lastUsed time.Time
 
 	conn *jsonrpc2.Conn
-	// vm and boot are the peer's, as of its last reply, and have is the base
-	// that it holds of this node.
-	vm   ids.VM
-	boot string
-	have uint64
-	// misses counts replies that stayed away in a row, failures connections
-	// that could not be opened.
-	misses, failures int
-	// dialAfter is when the next connection may be opened.
+	// vm and boot identify the peer, and heldBase is the sequence number of the
+	// base that it holds of this node, all as of its last reply.
+	vm       ids.VM
+	boot     string
+	heldBase uint64
+	// missedReplies and dialFailures count consecutive digests without a reply
+	// and consecutive failed dials.
+	missedReplies, dialFailures int
+	// dialAfter is the earliest time of the next dial.
 	dialAfter time.Time
 }
 
-// newLink starts a link.
+// newLink returns a link and starts its goroutine, which ends with ctx.
 func newLink(ctx context.Context, s *Service, address string) *link {
 	ctx, stop := context.WithCancel(ctx)
 	k := &link{
 		service: s,
 		address: address,
-		waiting: make(chan outgoing, linkRing),
+		queue:   make(chan outgoing, linkQueueCapacity),
 		stop:    stop,
 	}
-	s.duties.Go(func() { k.run(ctx) })
+	s.goroutines.Go(func() { k.run(ctx) })
 	return k
 }
 
-// offer puts a digest in the ring; the newest replaces the oldest.
+// offer queues a digest. If the queue is full the oldest digest is dropped.
 func (k *link) offer(out outgoing) {
 	for {
 		select {
-		case k.waiting <- out:
+		case k.queue <- out:
 			return
 		default:
 		}
 		select {
-		case <-k.waiting:
+		case <-k.queue:
 			k.service.opts.Count(DigestsReplaced, 1)
 		default:
 		}
@@ -82,55 +85,57 @@
 		select {
 		case <-ctx.Done():
 			return
-		case out := <-k.waiting:
-			k.deliver(ctx, out)
+		case out := <-k.queue:
+			k.sendDigest(ctx, out)
 		}
 	}
 }
 
-// deliver sends one digest and waits for its reply.
-func (k *link) deliver(ctx context.Context, out outgoing) {
+// sendDigest sends one digest and handles its reply. It drops a digest older
+// than one interval, because the next one is due.
+func (k *link) sendDigest(ctx context.Context, out outgoing) {
 	now := time.Now()
-	if now.Sub(out.made) >= k.service.opts.Interval || !k.connect(ctx, now) {
+	if now.Sub(out.madeAt) >= k.service.opts.Interval || !k.connect(ctx, now) {
 		return
 	}
-	reply, err := k.exchange(ctx, out.own)
-	if unknownBase(err) {
-		// The peer has forgotten what it held.
-		k.have = 0
-		reply, err = k.exchange(ctx, out.own)
+	reply, err := k.exchange(ctx, out.digest)
+	if isUnknownBase(err) {
+		// The peer no longer has the base; send the full digest.
+		k.heldBase = 0
+		reply, err = k.exchange(ctx, out.digest)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		k.miss()
+		k.replyMissed()
 		return
 	}
-	k.vm, k.boot, k.have = reply.VM, reply.Boot, reply.Have
-	k.misses = 0
-	k.failures = 0
+	k.vm, k.boot, k.heldBase = reply.VM, reply.Boot, reply.Have
+	k.missedReplies = 0
+	k.dialFailures = 0
 	k.service.opts.Count(DigestsSent, 1)
-	k.tell(replied{address: k.address, reply: reply, conn: k.conn})
+	k.report(replyReceived{address: k.address, reply: reply, conn: k.conn})
 }
 
-// exchange sends a digest and gives the reply.
-func (k *link) exchange(ctx context.Context, own *ownState) (peerapi.DigestReply, error) {
-	digest := own.to(k.have)
-	digest.Have = k.service.bases.of(k.vm, k.boot)
+// exchange sends a digest and returns the reply.
+func (k *link) exchange(ctx context.Context, own *localDigest) (peerapi.DigestReply, error) {
+	digest := own.forPeer(k.heldBase)
+	digest.Have = k.service.bases.seqOf(k.vm, k.boot)
 	var reply peerapi.DigestReply
 	err := k.service.call(ctx, k.conn, peerapi.MethodDigest, &digest, &reply)
 	return reply, err
 }
 
-// unknownBase reports whether a peer refused a digest since it does not hold
-// its base.
-func unknownBase(err error) bool {
+// isUnknownBase reports whether a peer refused a digest because it does not
+// have the base.
+func isUnknownBase(err error) bool {
 	var refused *jsonrpc2.Error
 	return errors.As(err, &refused) && refused.Code == int64(peerapi.CodeUnknownBase)
 }
 
-// connect opens the connection if needed, and reports whether there is one.
+// connect opens the connection if needed and reports whether it is open. It
+// does not dial before the backoff has passed.
 func (k *link) connect(ctx context.Context, now time.Time) bool {
 	if k.conn != nil {
 		select {
@@ -145,46 +150,48 @@
 	}
 	conn, err := k.service.dial(ctx, k.address)
 	if err != nil {
-		k.failures++
+		k.dialFailures++
 		k.dialAfter = time.Now().Add(k.backoff())
-		k.tell(missed{address: k.address})
+		k.report(digestMissed{address: k.address})
 		return false
 	}
 	k.conn = conn
-	k.misses = 0
+	k.missedReplies = 0
 	return true
 }
 
-// backoff is the pause after a failure: half of a bound that doubles, and a
-// random part of the other half.
+// backoff returns the wait after a failed dial. The bound doubles with each
+// failure up to BackoffMax; the wait is half of the bound plus a random part of
+// the other half.
 func (k *link) backoff() time.Duration {
 	bound := k.service.opts.BackoffMin
-	for i := 1; i < k.failures && bound < k.service.opts.BackoffMax; i++ {
+	for i := 1; i < k.dialFailures && bound < k.service.opts.BackoffMax; i++ {
 		bound *= 2
 	}
 	half := min(bound, k.service.opts.BackoffMax) / 2
 	return half + rand.N(half+1)
 }
 
-// miss counts a reply that stayed away, and closes a silent link.
-func (k *link) miss() {
-	k.misses++
+// replyMissed records a digest without a reply and closes the connection after
+// maxMissedReplies in a row.
+func (k *link) replyMissed() {
+	k.missedReplies++
 	k.service.opts.Count(DigestsMissed, 1)
-	k.tell(missed{address: k.address})
-	if k.misses >= missesToClose {
+	k.report(digestMissed{address: k.address})
+	if k.missedReplies >= maxMissedReplies {
 		k.service.opts.Count(LinksSilent, 1)
 		k.close()
 	}
 }
 
-// tell hands an event to the loop.
-func (k *link) tell(ev event) {
+// report passes an event to the loop, or drops it if the ring is full.
+func (k *link) report(ev event) {
 	if err := k.service.events.Offer(ev); err != nil {
 		k.service.opts.Count(MessagesDropped, 1)
 	}
 }
 
-// close closes the connection.
+// close closes the connection if it is open.
 func (k *link) close() {
 	if k.conn != nil {
 		_ = k.conn.Close()
--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -13,88 +13,94 @@
 	"mimosaarch.example/decide/member"
 )
 
-// event is something for the loop to take.
-type event interface{ take(l *loop, now time.Time) }
+// event is an input of the loop.
+type event interface{ apply(l *loop, now time.Time) }
 
-// received is a peer's digest.
-type received struct {
+// digestReceived is a peer's full digest.
+type digestReceived struct {
 	digest peerapi.Digest
 	conn   *jsonrpc2.Conn
-	// called is true when the peer called, false when it replied.
+	// called is true if the peer sent the digest in a call, false if it came
+	// with the reply to this node's call.
 	called bool
 }
 
-// replied is a peer's reply to a digest.
-type replied struct {
+// replyReceived is a peer's reply to a digest that this node sent to an
+// address.
+type replyReceived struct {
 	address string
 	reply   peerapi.DigestReply
 	conn    *jsonrpc2.Conn
 }
 
-// missed is a digest without reply.
-type missed struct{ address string }
+// digestMissed reports that a digest sent to an address got no reply.
+type digestMissed struct{ address string }
 
-// vmsSeen is a list of VMs; fromPeer tells that the node does not have it.
-type vmsSeen struct {
+// vmListReceived is a list of VMs; fromPeer is true if a peer sent it, false if
+// the platform did.
+type vmListReceived struct {
 	list     platformapi.VMList
 	fromPeer bool
 }
 
-// pausedRounds is how many rounds the loop may miss before it takes it that
-// the process stood still.
-const pausedRounds = 4
+// pauseRounds is the number of intervals that the loop may go without running,
+// in addition to CallTimeout, before it assumes that the process was suspended.
+const pauseRounds = 4
 
-// loop is the goroutine that owns the view of the peers and the links.
+// loop runs in one goroutine, which owns the membership state and the links.
 type loop struct {
 	*Service
 	links map[string]*link
 	seq   uint64
-	// woke is when the loop last ran; distrust is until when digests may
-	// have waited in the machine's buffers while the process stood still.
-	woke, distrust time.Time
+	// lastWake is when the loop last ran. Until distrustUntil, received digests
+	// are dropped: they may have waited in the kernel's socket buffers while
+	// the process was suspended, so their ages are unknown.
+	lastWake, distrustUntil time.Time
 }
 
 func newLoop(s *Service) *loop {
 	return &loop{Service: s, links: make(map[string]*link)}
 }
 
-// run takes events and begins rounds until ctx ends.
+// run handles events and starts a round every interval until ctx ends.
 func (l *loop) run(ctx context.Context) {
 	ticker := time.NewTicker(l.opts.Interval)
 	defer ticker.Stop()
-	l.woke = time.Now()
+	l.lastWake = time.Now()
 	l.round(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case ev := <-l.events.Out():
-			now := l.wake()
-			ev.take(l, now)
+			now := l.detectPause()
+			ev.apply(l, now)
 		case <-ticker.C:
-			l.wake()
+			l.detectPause()
 			l.round(ctx)
 		}
 	}
 }
 
-// wake reads the clock and notices when the process stood still.
-func (l *loop) wake() time.Time {
+// detectPause returns the current time. If the loop has not run for too long it
+// sets distrustUntil.
+func (l *loop) detectPause() time.Time {
 	now := time.Now()
-	if now.Sub(l.woke) > pausedRounds*l.opts.Interval+l.opts.CallTimeout {
-		l.distrust = now.Add(l.opts.Interval)
+	if now.Sub(l.lastWake) > pauseRounds*l.opts.Interval+l.opts.CallTimeout {
+		l.distrustUntil = now.Add(l.opts.Interval)
 	}
-	l.woke = now
+	l.lastWake = now
 	return now
 }
 
-// round sends the node's digest to the peers whose turn it is.
+// round makes this node's digest, sends it to the peers chosen for the round,
+// and closes idle links.
 func (l *loop) round(ctx context.Context) {
 	now := time.Now()
 	l.mu.Lock()
 	commands := l.members.Tick(now)
 	l.mu.Unlock()
-	own, err := l.digest(ctx)
+	own, err := l.makeDigest(ctx)
 	if err != nil {
 		l.opts.Count(DigestsSkipped, 1)
 	}
@@ -103,22 +109,25 @@
 			l.send(ctx, now, send.Address, own)
 		}
 	}
-	l.tell(commands)
+	l.reportGone(commands)
 	l.closeIdle(now)
 }
 
-// digest makes the node's digest of this round.
-func (l *loop) digest(ctx context.Context) (*ownState, error) {
-	limit, done := context.WithTimeout(ctx, l.opts.Interval)
-	defer done()
-	digest, err := l.opts.Source.Digest(limit)
+// makeDigest returns the digest of this round: the part from the Source,
+// without the load reports relayed by other peers, completed with identity,
+// sequence number and revisions. If the Feed fails, the digest keeps the last
+// ConfigDigest.
+func (l *loop) makeDigest(ctx context.Context) (*localDigest, error) {
+	callCtx, cancel := context.WithTimeout(ctx, l.opts.Interval)
+	defer cancel()
+	digest, err := l.opts.Source.Digest(callCtx)
 	if err != nil {
 		return nil, err
 	}
 	digest.Loads = slices.DeleteFunc(digest.Loads, func(load peerapi.Load) bool { return load.Relayed })
-	digest.ConfigDigest = l.own.Load().digest.ConfigDigest
+	digest.ConfigDigest = l.local.Load().digest.ConfigDigest
 	if l.opts.Feed != nil {
-		if sum, err := l.opts.Feed.Digest(limit); err == nil {
+		if sum, err := l.opts.Feed.Digest(callCtx); err == nil {
 			digest.ConfigDigest = sum
 		}
 	}
@@ -129,13 +138,14 @@
 	digest.Seq = l.seq
 	digest.Address = l.opts.Advertise
 	digest.VMsRevision = l.vms.Load().Revision
-	own := newOwnState(digest, l.own.Load())
-	l.own.Store(own)
+	own := newLocalDigest(digest, l.local.Load())
+	l.local.Store(own)
 	return own, digest.Validate()
 }
 
-// send hands a digest to the link to an address.
-func (l *loop) send(ctx context.Context, now time.Time, address string, own *ownState) {
+// send queues a digest on the link to an address and creates the link if
+// needed, within MaxLinks.
+func (l *loop) send(ctx context.Context, now time.Time, address string, own *localDigest) {
 	k := l.links[address]
 	if k == nil {
 		if len(l.links) >= l.opts.MaxLinks {
@@ -145,22 +155,22 @@
 		k = newLink(ctx, l.Service, address)
 		l.links[address] = k
 	}
-	k.used = now
-	k.offer(outgoing{own: own, made: now})
+	k.lastUsed = now
+	k.offer(outgoing{digest: own, madeAt: now})
 }
 
-// closeIdle closes the links that are no longer used.
+// closeIdle closes the links that were not used for IdleTimeout.
 func (l *loop) closeIdle(now time.Time) {
 	for address, k := range l.links {
-		if now.Sub(k.used) >= l.opts.IdleTimeout {
+		if now.Sub(k.lastUsed) >= l.opts.IdleTimeout {
 			k.stop()
 			delete(l.links, address)
 		}
 	}
 }
 
-// tell passes on which peers are gone.
-func (l *loop) tell(commands []member.Command) {
+// reportGone passes each PeerGone command to the Sink.
+func (l *loop) reportGone(commands []member.Command) {
 	for _, command := range commands {
 		if gone, ok := command.(member.PeerGone); ok {
 			l.opts.Sink.PeerGone(gone.VM, gone.Why)
@@ -168,9 +178,11 @@
 	}
 }
 
-// take uses a digest unless it is not new.
-func (ev received) take(l *loop, now time.Time) {
-	if now.Before(l.distrust) {
+// apply updates the membership with a digest, passes the digest to the Sink,
+// and pulls what the peer has newer. It drops digests that are stale or of
+// unknown age.
+func (ev digestReceived) apply(l *loop, now time.Time) {
+	if now.Before(l.distrustUntil) {
 		l.opts.Count(DigestsAfterPause, 1)
 		return
 	}
@@ -187,17 +199,17 @@
 	})
 	l.mu.Unlock()
 	if err != nil {
-		l.refused(err)
+		l.countRefused(err)
 		return
 	}
-	l.tell(commands)
+	l.reportGone(commands)
 	l.opts.Count(DigestsAccepted, 1)
 	l.opts.Sink.PeerDigest(d, now)
-	l.compare(pull{vm: d.VM, conn: ev.conn, config: d.ConfigDigest, vms: d.VMsRevision})
+	l.requestPull(pull{vm: d.VM, conn: ev.conn, configDigest: d.ConfigDigest, vmsRevision: d.VMsRevision})
 }
 
-// refused counts a digest that is not used.
-func (l *loop) refused(err error) {
+// countRefused counts a digest that the membership rejected, by reason.
+func (l *loop) countRefused(err error) {
 	var self *member.SelfError
 	var stale *member.StaleError
 	switch {
@@ -212,8 +224,10 @@
 	}
 }
 
-// take uses a reply, and the digest that may have come with it.
-func (ev replied) take(l *loop, now time.Time) {
+// apply updates the membership with a reply and handles the digest that it may
+// carry. While the node has no list of VMs it learns the peers named in the
+// reply.
+func (ev replyReceived) apply(l *loop, now time.Time) {
 	r := ev.reply
 	l.mu.Lock()
 	commands, use := l.members.Replied(now, ev.address, member.Heard{VM: r.VM, Zone: r.Zone, Boot: r.Boot})
@@ -223,30 +237,31 @@
 		}
 	}
 	l.mu.Unlock()
-	l.tell(commands)
+	l.reportGone(commands)
 	if r.Digest != nil && use {
-		whole, err := l.bases.whole(*r.Digest)
+		whole, err := l.bases.expand(*r.Digest)
 		if err == nil {
-			received{digest: whole, conn: ev.conn}.take(l, now)
+			digestReceived{digest: whole, conn: ev.conn}.apply(l, now)
 			return
 		}
 		l.opts.Count(DigestsUnknownBase, 1)
 	}
 	if r.VM != l.opts.VM {
-		l.compare(pull{vm: r.VM, conn: ev.conn, config: r.ConfigDigest, vms: r.VMsRevision})
+		l.requestPull(pull{vm: r.VM, conn: ev.conn, configDigest: r.ConfigDigest, vmsRevision: r.VMsRevision})
 	}
 }
 
-// take notes that a peer did not answer.
-func (ev missed) take(l *loop, now time.Time) {
+// apply records that the peer at an address did not reply.
+func (ev digestMissed) apply(l *loop, now time.Time) {
 	l.mu.Lock()
 	commands := l.members.Missed(now, ev.address)
 	l.mu.Unlock()
-	l.tell(commands)
+	l.reportGone(commands)
 }
 
-// take uses a list of VMs that is newer than the last.
-func (ev vmsSeen) take(l *loop, now time.Time) {
+// apply updates the membership with a list of VMs if it is newer than the
+// current one, and passes a list from a peer to the Sink.
+func (ev vmListReceived) apply(l *loop, now time.Time) {
 	if ev.list.Revision <= l.vms.Load().Revision {
 		return
 	}
@@ -254,17 +269,18 @@
 	l.mu.Lock()
 	commands := l.members.VMs(now, ev.list)
 	l.mu.Unlock()
-	l.tell(commands)
+	l.reportGone(commands)
 	if ev.fromPeer {
 		l.opts.Count(VMListsPulled, 1)
 		l.opts.Sink.PeerVMs(ev.list)
 	}
 }
 
-// compare asks a peer for news when what it has differs.
-func (l *loop) compare(p pull) {
-	p.wantConfig = l.opts.Feed != nil && p.config != l.own.Load().digest.ConfigDigest
-	p.wantVMs = p.vms > l.vms.Load().Revision
+// requestPull queues a pull from a peer if its configuration differs from the
+// local one or its list of VMs is newer.
+func (l *loop) requestPull(p pull) {
+	p.wantConfig = l.opts.Feed != nil && p.configDigest != l.local.Load().digest.ConfigDigest
+	p.wantVMs = p.vmsRevision > l.vms.Load().Revision
 	if !p.wantConfig && !p.wantVMs {
 		return
 	}
--- a/adapter/peer/options.go
+++ b/adapter/peer/options.go
@@ -1,10 +1,11 @@
-// Package peer joins the nodes of a fleet by JSON-RPC 2.0 over TCP, with
-// mutual TLS where it is set. A Service sends the node's digest to the peers
-// that decide/member names, takes in theirs, and fetches from peers newer
-// configuration and lists of VMs than the node has, so that a node cut off
-// from the platform still gets them.
+// Package peer connects the nodes of a fleet by JSON-RPC 2.0 over TCP, with
+// optional mutual TLS. In each round a Service sends the node's digest to the
+// peers that decide/member chooses, and it receives their digests. It also
+// fetches newer configuration and newer lists of VMs from peers, so that a node
+// that cannot reach the platform still receives them.
 //
-// Each link and each duty is a goroutine; bounded rings join them.
+// Each link, the event loop, the puller and the listener run in their own
+// goroutines and communicate through bounded rings.
 package peer
 
 import (
@@ -21,31 +22,34 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Source gives what the node tells its peers.
+// Source supplies what the node reports to its peers.
 type Source interface {
-	// Digest gives the node's own part of a digest: all but VM, Zone, Boot,
-	// Seq, Address, ConfigDigest and VMsRevision, which the Service sets. It
-	// is called once a round, from one goroutine, and must end with ctx. On
-	// an error nothing is sent in this round.
+	// Digest returns the node's digest without VM, Zone, Boot, Seq, Address,
+	// ConfigDigest and VMsRevision, which the Service sets. It is called once
+	// per round, from one goroutine, and must return when ctx ends. If it
+	// fails, no digest is sent in that round.
 	Digest(ctx context.Context) (peerapi.Digest, error)
-	// Explain gives what the node recorded of a request, oldest first; any
-	// goroutine calls it.
+	// Explain returns the decisions that the node recorded for a request,
+	// oldest first. It is called from any goroutine.
 	Explain(id ids.Request) []router.Decision
 }
 
-// Sink takes what peers tell. One goroutine calls it; it must not wait and
-// must not call the Service.
+// Sink receives what peers report. One goroutine calls it. It must not block
+// and must not call the Service.
 type Sink interface {
-	// PeerDigest takes a peer's digest, received at the given time. Digests
-	// of one boot come in the order they were made.
+	// PeerDigest receives a peer's digest and the time it arrived. Digests of
+	// one boot arrive in the order in which they were made.
 	PeerDigest(d peerapi.Digest, at time.Time)
-	// PeerGone tells that a peer's figures no longer stand, and why.
+	// PeerGone reports that a peer's figures are no longer valid, and why.
 	PeerGone(vm ids.VM, why member.Why)
-	// PeerVMs takes a list of VMs newer than all that the Service has seen.
+	// PeerVMs receives a list of VMs that is newer than any that the Service
+	// has seen.
 	PeerVMs(list platformapi.VMList)
 }
 
-// Feed is the part of configfeed.Feed that a Service needs.
+// Feed is the part of configfeed.Feed that a Service uses. Digest returns a
+// hash of the configuration, Summary the version of each key, Newer the objects
+// that are newer than theirs, up to maxBytes, and Offer submits objects.
 type Feed interface {
 	Digest(ctx context.Context) (uint64, error)
 	Summary(ctx context.Context) ([]configorder.KeyVersion, error)
@@ -53,100 +57,111 @@
 	Offer(objects []platformapi.Object) error
 }
 
-// Counter names a count that Options.Count is told of.
+// Counter is the name of a counter that Options.Count increments.
 type Counter string
 
-// Counters.
+// Counters of a Service.
 const (
-	// BytesSent and BytesReceived count bytes on the wire, TLS included.
+	// BytesSent and BytesReceived count bytes on the wire, including TLS.
 	BytesSent     Counter = "peer_bytes_sent"
 	BytesReceived Counter = "peer_bytes_received"
-	// DigestsSent counts digests that a peer confirmed.
+	// DigestsSent counts digests that a peer acknowledged.
 	DigestsSent Counter = "peer_digests_sent"
-	// DigestsAccepted counts digests handed to the Sink.
+	// DigestsAccepted counts digests passed to the Sink.
 	DigestsAccepted Counter = "peer_digests_taken"
-	// DigestsStale counts digests refused as repeated or older.
+	// DigestsStale counts digests refused because they were repeated or older
+	// than one received before.
 	DigestsStale Counter = "peer_digests_stale"
-	// DigestsUnknownBase counts digests that referred to one not held, so that
-	// they could not be used.
+	// DigestsUnknownBase counts received deltas that could not be used because
+	// their base was not stored.
 	DigestsUnknownBase Counter = "peer_digests_unbased"
-	// DigestsAfterPause counts digests refused since this process had stood
-	// still, so that their ages are not known.
+	// DigestsAfterPause counts digests refused because this process had been
+	// suspended, so that their ages were unknown.
 	DigestsAfterPause Counter = "peer_digests_after_pause"
-	// DigestsReplaced counts digests that a newer one replaced unsent.
+	// DigestsReplaced counts digests that were replaced by a newer one before
+	// they were sent.
 	DigestsReplaced Counter = "peer_digests_replaced"
-	// DigestsMissed counts digests without a reply in time.
+	// DigestsMissed counts digests that got no reply in time.
 	DigestsMissed Counter = "peer_digests_missed"
-	// DigestsSkipped counts rounds in which the Source gave no digest.
+	// DigestsSkipped counts rounds without a valid digest from the Source.
 	DigestsSkipped Counter = "peer_digests_skipped"
-	// MessagesInvalid counts messages refused for their form.
+	// MessagesInvalid counts messages that were malformed or failed validation.
 	MessagesInvalid Counter = "peer_messages_invalid"
-	// MessagesDropped counts messages refused by a full ring.
+	// MessagesDropped counts events and pulls that were dropped because a ring
+	// was full.
 	MessagesDropped Counter = "peer_messages_busy"
-	// VMIDConflicts counts digests of another process under this node's name.
+	// VMIDConflicts counts digests from another process that uses this node's
+	// VM ID.
 	VMIDConflicts Counter = "peer_name_taken"
-	// PeersRefused counts digests of peers beyond the bound.
+	// PeersRefused counts digests refused because the limit of peers is
+	// reached.
 	PeersRefused Counter = "peer_peers_refused"
-	// HandshakesFailed counts connections refused for their certificate, on
-	// either side.
+	// HandshakesFailed counts failed TLS handshakes, as client or server.
 	HandshakesFailed Counter = "peer_handshakes_failed"
-	// DialsFailed counts connections that could not be opened.
+	// DialsFailed counts TCP connections that could not be opened.
 	DialsFailed Counter = "peer_dials_failed"
-	// LinksRefused counts connections and links beyond the bound.
+	// LinksRefused counts links and accepted connections beyond MaxLinks.
 	LinksRefused Counter = "peer_links_refused"
-	// LinksSilent counts links closed since replies stayed away.
+	// LinksSilent counts links whose connection was closed after consecutive
+	// missed replies.
 	LinksSilent Counter = "peer_links_silent"
-	// Pulls counts calls for configuration, ObjectsPulled what they brought.
+	// Pulls counts calls for configuration, and ObjectsPulled the objects that
+	// they returned.
 	Pulls         Counter = "peer_pulls"
 	ObjectsPulled Counter = "peer_objects_pulled"
-	// PullsFailed counts calls for configuration or VMs that failed.
+	// PullsFailed counts failed calls for configuration or lists of VMs.
 	PullsFailed Counter = "peer_pulls_failed"
-	// VMListsPulled counts lists of VMs taken from peers.
+	// VMListsPulled counts newer lists of VMs received from peers.
 	VMListsPulled Counter = "peer_vm_lists_pulled"
 )
 
-// Options set up a Service. VM, Zone, Listen, Source and Sink are required;
-// zero values of the rest stand for the defaults.
+// Options configures a Service. VM, Zone, Listen, Source and Sink are required.
+// Zero values of the other fields stand for their defaults.
 type Options struct {
 	VM   ids.VM
 	Zone ids.Zone
-	// Boot tells this start of the process from others. Default random.
+	// Boot identifies this start of the process. Default random.
 	Boot string
-	// Listen is the IP address and port to take peers' calls on.
+	// Listen is the IP address and port to listen on.
 	Listen string
-	// Advertise is the address peers use. Default the one listened on.
+	// Advertise is the address that peers connect to. Default the address
+	// listened on.
 	Advertise string
-	// Seeds are peers' addresses to start from.
+	// Seeds are addresses of peers to contact first.
 	Seeds []string
-	// Interval is the time between two rounds. Default 250ms.
+	// Interval is the time between rounds. Default 250ms.
 	Interval time.Duration
-	// Members bounds the work of a round; its VM, Zone, Boot, Address and
-	// Interval are set by the Service.
+	// Members limits the work per round. The Service overwrites its VM, Zone,
+	// Boot, Address and Interval.
 	Members member.Options
-	// TLS is the node's identity; nil means plain TCP, for tests on one
-	// machine only.
+	// TLS is the identity of the node. Nil means plain TCP, which is only for
+	// tests on one machine.
 	TLS    *identity.Identity
 	Source Source
 	Sink   Sink
-	// Feed is the node's configuration; nil means that none is exchanged.
+	// Feed is the configuration of the node. If it is nil, no configuration is
+	// exchanged.
 	Feed Feed
-	// Count is told of events; may be nil. Any goroutine calls it.
+	// Count adds n to a counter. It may be nil. It is called from any
+	// goroutine.
 	Count func(counter Counter, n int64)
-	// CallTimeout bounds a call, opening a connection and writing a message.
-	// Default 500ms.
+	// CallTimeout limits each call, dial, TLS handshake and write. Default
+	// 500ms.
 	CallTimeout time.Duration
-	// IdleTimeout closes links and connections not used. Default 30s.
+	// IdleTimeout is the time after which unused links and connections are
+	// closed. Default 30s.
 	IdleTimeout time.Duration
-	// BackoffMin and BackoffMax bound the pause after a connection could not
-	// be opened; it doubles and is spread by half. Default 100ms and 2s.
+	// BackoffMin and BackoffMax limit the wait after a failed dial, which
+	// doubles with each failure and has half of it randomized. Defaults 100ms
+	// and 2s.
 	BackoffMin, BackoffMax time.Duration
-	// PullInterval is the least time between two calls for news to the same
-	// peer. Default 250ms.
+	// PullInterval is the least time between two pulls from the same peer.
+	// Default 250ms.
 	PullInterval time.Duration
-	// MaxLinks bounds the links to peers, and the connections from peers.
-	// Default 512.
+	// MaxLinks limits the links to peers, and separately the connections
+	// accepted from peers. Default 512.
 	MaxLinks int
-	// RingCapacity is the capacity of the ring of events. Default 1024.
+	// RingCapacity is the capacity of the event ring. Default 1024.
 	RingCapacity int
 }
 
@@ -161,7 +176,7 @@
 	DefaultRingCapacity = 1024
 )
 
-// withDefaults fills in unset options.
+// withDefaults returns o with defaults for unset fields.
 func (o Options) withDefaults() Options {
 	o.Interval = cmp.Or(o.Interval, member.DefaultInterval)
 	o.CallTimeout = cmp.Or(o.CallTimeout, DefaultCallTimeout)
--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -10,41 +10,44 @@
 	"mimosaarch.example/core/peerapi"
 )
 
-// pullCapacity is the most peers that wait to be asked for news.
-const pullCapacity = 64
+// pullRingCapacity is the most pulls that wait for the puller.
+const pullRingCapacity = 64
 
-// maxPulled bounds the peers whose last pull is remembered.
-const maxPulled = 4096
+// maxPullStates is the most peers whose last pull is remembered. When it is
+// reached all of them are forgotten.
+const maxPullStates = 4096
 
-// pull is a peer that may have news, and the connection to ask it over.
+// pull is a request to fetch newer configuration or a newer list of VMs from a
+// peer over a connection.
 type pull struct {
 	vm   ids.VM
 	conn *jsonrpc2.Conn
-	// config and vms are what the peer said it has.
-	config              uint64
-	vms                 int64
+	// configDigest and vmsRevision describe what the peer has.
+	configDigest        uint64
+	vmsRevision         int64
 	wantConfig, wantVMs bool
 }
 
-// pulled is what came of the last pull from a peer.
-type pulled struct {
-	at time.Time
-	// theirs and ours are the digests at a pull that brought nothing.
-	theirs, ours uint64
-	nothing      bool
+// pullState is the state of the last pull from a peer.
+type pullState struct {
+	startedAt time.Time
+	// If empty is set, the last pull returned no objects while the
+	// configurations of the peer and of this node had these digests.
+	peerDigest, ownDigest uint64
+	empty                 bool
 }
 
-// puller is the goroutine that fetches news from peers, one call at a time.
+// puller makes the pulls in one goroutine, one call at a time.
 type puller struct {
 	*Service
-	last map[ids.VM]pulled
+	last map[ids.VM]pullState
 }
 
 func newPuller(s *Service) *puller {
-	return &puller{Service: s, last: make(map[ids.VM]pulled)}
+	return &puller{Service: s, last: make(map[ids.VM]pullState)}
 }
 
-// run fetches news until ctx ends.
+// run handles queued pulls until ctx ends.
 func (p *puller) run(ctx context.Context) {
 	for {
 		select {
@@ -56,18 +59,19 @@
 	}
 }
 
-// fetch asks a peer for its news, unless it was asked just before.
+// fetch makes a pull unless the last one from this peer was less than
+// PullInterval ago.
 func (p *puller) fetch(ctx context.Context, job pull) {
 	now := time.Now()
 	last := p.last[job.vm]
-	if now.Sub(last.at) < p.opts.PullInterval {
+	if now.Sub(last.startedAt) < p.opts.PullInterval {
 		return
 	}
-	if len(p.last) >= maxPulled {
+	if len(p.last) >= maxPullStates {
 		clear(p.last)
 	}
-	last.at = now
-	if job.wantVMs && job.vms > p.vms.Load().Revision {
+	last.startedAt = now
+	if job.wantVMs && job.vmsRevision > p.vms.Load().Revision {
 		p.fetchVMs(ctx, job)
 	}
 	if job.wantConfig {
@@ -76,7 +80,7 @@
 	p.last[job.vm] = last
 }
 
-// fetchVMs asks for the list of VMs.
+// fetchVMs requests the list of VMs and passes it to the loop.
 func (p *puller) fetchVMs(ctx context.Context, job pull) {
 	var out peerapi.VMsReply
 	ask := peerapi.VMs{Above: p.vms.Load().Revision}
@@ -84,40 +88,42 @@
 		p.opts.Count(PullsFailed, 1)
 		return
 	}
-	if err := p.events.Offer(vmsSeen{list: out.List, fromPeer: true}); err != nil {
+	if err := p.events.Offer(vmListReceived{list: out.List, fromPeer: true}); err != nil {
 		p.opts.Count(MessagesDropped, 1)
 	}
 }
 
-// fetchConfig asks for configuration. A peer that had nothing newer is not
-// asked again until its configuration or ours has changed.
-func (p *puller) fetchConfig(ctx context.Context, job pull, last pulled) pulled {
-	limit, done := context.WithTimeout(ctx, p.opts.CallTimeout)
-	defer done()
-	ours, err := p.opts.Feed.Digest(limit)
-	if err != nil || ours == job.config {
+// fetchConfig pulls configuration and returns the new state of the peer. It
+// does not ask a peer that had nothing newer again until either configuration
+// has changed.
+func (p *puller) fetchConfig(ctx context.Context, job pull, last pullState) pullState {
+	callCtx, cancel := context.WithTimeout(ctx, p.opts.CallTimeout)
+	defer cancel()
+	ours, err := p.opts.Feed.Digest(callCtx)
+	if err != nil || ours == job.configDigest {
 		return last
 	}
-	if last.nothing && last.theirs == job.config && last.ours == ours {
+	if last.empty && last.peerDigest == job.configDigest && last.ownDigest == ours {
 		return last
 	}
-	last.nothing = false
-	count, err := p.pull(ctx, job.conn)
+	last.empty = false
+	count, err := p.pullObjects(ctx, job.conn)
 	if err != nil {
 		p.opts.Count(PullsFailed, 1)
 		return last
 	}
 	if count == 0 {
-		last.nothing, last.theirs, last.ours = true, job.config, ours
+		last.empty, last.peerDigest, last.ownDigest = true, job.configDigest, ours
 	}
 	return last
 }
 
-// pull fetches objects and hands them to the feed; it gives their count.
-func (p *puller) pull(ctx context.Context, conn *jsonrpc2.Conn) (int, error) {
-	limit, done := context.WithTimeout(ctx, p.opts.CallTimeout)
-	defer done()
-	summary, err := p.opts.Feed.Summary(limit)
+// pullObjects requests the objects newer than the local ones, offers them to
+// the Feed, and returns their number.
+func (p *puller) pullObjects(ctx context.Context, conn *jsonrpc2.Conn) (int, error) {
+	callCtx, cancel := context.WithTimeout(ctx, p.opts.CallTimeout)
+	defer cancel()
+	summary, err := p.opts.Feed.Summary(callCtx)
 	if err != nil {
 		return 0, err
 	}
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -9,44 +9,45 @@
 	"mimosaarch.example/core/every"
 )
 
-// acceptPause is the wait after a connection could not be accepted.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// accept takes peers' connections until ctx ends.
+// accept serves connections from peers, at most MaxLinks at once, until ctx
+// ends.
 func (s *Service) accept(ctx context.Context) {
-	free := make(chan struct{}, s.opts.MaxLinks)
+	slots := make(chan struct{}, s.opts.MaxLinks)
 	for {
 		conn, err := s.listener.Accept()
 		if ctx.Err() != nil {
-			closeAll(conn)
+			closeIfOpen(conn)
 			return
 		}
 		if err != nil {
-			every.Pause(ctx, acceptPause)
+			every.Pause(ctx, acceptRetryDelay)
 			continue
 		}
 		select {
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			s.opts.Count(LinksRefused, 1)
-			closeAll(conn)
+			closeIfOpen(conn)
 			continue
 		}
-		s.duties.Go(func() {
-			defer func() { <-free }()
-			s.serve(ctx, s.newWire(conn))
+		s.goroutines.Go(func() {
+			defer func() { <-slots }()
+			s.serve(ctx, s.newMeteredConn(conn))
 		})
 	}
 }
 
-// closeAll closes a connection, if there is one.
-func closeAll(conn net.Conn) {
+// closeIfOpen closes a connection that is not nil.
+func closeIfOpen(conn net.Conn) {
 	if conn != nil {
 		_ = conn.Close()
 	}
 }
 
-// serve answers one peer's calls until the connection ends.
+// serve handles the calls on one connection until it closes.
 func (s *Service) serve(ctx context.Context, conn net.Conn) {
 	if s.opts.TLS != nil {
 		secure := tls.Server(conn, s.opts.TLS.Server)
@@ -62,9 +63,10 @@
 	<-rpc.DisconnectNotify()
 }
 
-// handshake checks a peer's certificate, in bounded time.
+// handshake performs the TLS handshake, which verifies the peer's certificate,
+// within CallTimeout.
 func (s *Service) handshake(ctx context.Context, conn *tls.Conn) error {
-	limit, done := context.WithTimeout(ctx, s.opts.CallTimeout)
-	defer done()
-	return conn.HandshakeContext(limit)
+	callCtx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
+	defer cancel()
+	return conn.HandshakeContext(callCtx)
 }
--- a/adapter/peer/service.go
+++ b/adapter/peer/service.go
@@ -17,29 +17,31 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Service is a node's part among its peers. Make it with New, and let Run run.
+// Service exchanges digests, configuration and lists of VMs with the peers of a
+// node. Create it with New and start it with Run.
 type Service struct {
 	opts     Options
 	listener net.Listener
 	events   *ring.Ring[event]
 	pulls    *ring.Ring[pull]
 
-	// mu guards members: the loop writes, any goroutine may ask.
+	// mu guards members. Only the loop changes members; any goroutine may read
+	// it.
 	mu      sync.Mutex
 	members *member.Members
 
-	// own is what replies tell of this node.
-	own atomic.Pointer[ownState]
+	// local is the digest of the last round, for replies.
+	local atomic.Pointer[localDigest]
 	// vms is the newest list of VMs.
 	vms atomic.Pointer[platformapi.VMList]
-	// bases are what digests of peers refer to.
-	bases *bases
+	// bases are the digests of peers that their deltas refer to.
+	bases *baseStore
 
-	duties sync.WaitGroup
+	goroutines sync.WaitGroup
 }
 
-// New opens the port; nothing is sent before Run. The error is a
-// *ListenError.
+// New returns a Service that listens on opts.Listen. It sends nothing before
+// Run. The error is a *ListenError.
 func New(opts Options) (*Service, error) {
 	opts = opts.withDefaults()
 	listener, err := net.Listen("tcp", opts.Listen)
@@ -53,17 +55,18 @@
 		opts:     opts,
 		listener: listener,
 		events:   ring.New[event]("peer events", opts.RingCapacity),
-		pulls:    ring.New[pull]("peer pulls", pullCapacity),
+		pulls:    ring.New[pull]("peer pulls", pullRingCapacity),
 		members:  member.New(memberOptions(opts)),
-		bases:    newBases(),
+		bases:    newBaseStore(),
 	}
 	s.members.Seeds(opts.Seeds)
 	s.vms.Store(&platformapi.VMList{})
-	s.own.Store(&ownState{})
+	s.local.Store(&localDigest{})
 	return s, nil
 }
 
-// memberOptions names this node to its view of the others.
+// memberOptions returns the options of the membership state, with this node's
+// identity.
 func memberOptions(opts Options) member.Options {
 	m := opts.Members
 	m.VM = opts.VM
@@ -74,10 +77,10 @@
 	return m
 }
 
-// bootBytes are the random bytes of a boot id.
+// bootBytes is the number of random bytes in a boot ID.
 const bootBytes = 12
 
-// randomBoot draws a boot id.
+// randomBoot returns a random boot ID in hexadecimal.
 func randomBoot() string {
 	var b [bootBytes]byte
 	// crypto/rand.Read never fails.
@@ -85,49 +88,50 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Run works until ctx ends; then it closes the port and all links. It is
-// called once.
+// Run runs the Service until ctx ends; then it closes the listener and all
+// connections. It must be called at most once.
 func (s *Service) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s.duties.Go(func() { s.accept(ctx) })
-	s.duties.Go(func() { newPuller(s).run(ctx) })
+	s.goroutines.Go(func() { s.accept(ctx) })
+	s.goroutines.Go(func() { newPuller(s).run(ctx) })
 	newLoop(s).run(ctx)
 	stop()
 	_ = s.listener.Close()
-	s.duties.Wait()
+	s.goroutines.Wait()
 }
 
-// Close closes the port of a Service that is not run.
+// Close closes the listener of a Service that is never run.
 func (s *Service) Close() { _ = s.listener.Close() }
 
-// Addr is the address listened on. Any goroutine may call it.
+// Addr returns the address listened on. It is safe for concurrent use.
 func (s *Service) Addr() string { return s.listener.Addr().String() }
 
-// SetVMs takes the platform's list; an older one is ignored. Any goroutine may
-// call it. A *ring.FullError means that it was not taken.
+// SetVMs submits the platform's list of VMs. A list that is not newer than the
+// current one is ignored. It returns a *ring.FullError if the event ring is
+// full and the list was dropped. It is safe for concurrent use.
 func (s *Service) SetVMs(list platformapi.VMList) error {
-	return s.events.Offer(vmsSeen{list: list})
+	return s.events.Offer(vmListReceived{list: list})
 }
 
-// Polls reports whether this node asks an upstream for its load. Any goroutine
-// may call it.
+// Polls reports whether this node is the one that polls an upstream for its
+// load report. It is safe for concurrent use.
 func (s *Service) Polls(id ids.Upstream, zone ids.Zone) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Polls(id, zone)
 }
 
-// Peers lists the peers. Any goroutine may call it.
+// Peers returns the known peers. It is safe for concurrent use.
 func (s *Service) Peers() []member.Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.Peers()
 }
 
-// Explain asks a VM what it recorded of a request, over a connection of its
-// own. Any goroutine may call it. Errors: *UnknownPeerError, *DialError,
-// *CallError. Times of the steps are by this node's clock.
+// Explain asks a VM for the decisions that it recorded for a request, over a
+// separate connection. Times in the result are by this node's clock. Errors:
+// *UnknownPeerError, *DialError, *CallError. It is safe for concurrent use.
 func (s *Service) Explain(ctx context.Context, vm ids.VM, id ids.Request) ([]router.Decision, error) {
 	s.mu.Lock()
 	peer, known := s.members.Peer(vm)
--- a/adapter/peer/service_test.go
+++ b/adapter/peer/service_test.go
@@ -17,14 +17,14 @@
 	"mimosaarch.example/decide/router"
 )
 
-// testNode is a Service with what a node would put around it.
+// testNode is a Service together with its Source, Sink and configuration store.
 type testNode struct {
 	*Service
-	digests chan peerapi.Digest
-	gone    chan member.PeerGone
-	lists   chan platformapi.VMList
-	changed chan struct{}
-	failed  error
+	digests   chan peerapi.Digest
+	gone      chan member.PeerGone
+	lists     chan platformapi.VMList
+	changed   chan struct{}
+	digestErr error
 
 	mu     sync.Mutex
 	store  *configorder.Store
@@ -37,7 +37,7 @@
 	return peerapi.Digest{
 		InFlight: map[ids.Upstream]int{"e1": 3},
 		Loads:    []peerapi.Load{{Report: engineapi.LoadReport{Engine: "e1"}}},
-	}, n.failed
+	}, n.digestErr
 }
 
 func (n *testNode) Explain(id ids.Request) []router.Decision {
@@ -50,16 +50,16 @@
 }
 func (n *testNode) PeerVMs(list platformapi.VMList)          { put(n.lists, list) }
 func (n *testNode) Offer(objects []platformapi.Object) error { n.apply(objects...); return nil }
-func (n *testNode) with(do func())                           { n.mu.Lock(); defer n.mu.Unlock(); do() }
+func (n *testNode) locked(do func())                         { n.mu.Lock(); defer n.mu.Unlock(); do() }
 
-func (n *testNode) count(c Counter) (v int64) { n.with(func() { v = n.counts[c] }); return v }
+func (n *testNode) count(c Counter) (v int64) { n.locked(func() { v = n.counts[c] }); return v }
 
-func (n *testNode) sum() (d uint64) { n.with(func() { d = n.store.Digest() }); return d }
+func (n *testNode) sum() (d uint64) { n.locked(func() { d = n.store.Digest() }); return d }
 
-func (n *testNode) version() (v int64) { n.with(func() { v = top(n.store) }); return v }
+func (n *testNode) version() (v int64) { n.locked(func() { v = maxVersion(n.store) }); return v }
 
 func (n *testNode) apply(objects ...platformapi.Object) {
-	n.with(func() {
+	n.locked(func() {
 		for _, object := range objects {
 			_, _ = n.store.Apply(object)
 		}
@@ -67,7 +67,7 @@
 	put(n.changed, struct{}{})
 }
 
-func top(s *configorder.Store) int64 {
+func maxVersion(s *configorder.Store) int64 {
 	var v int64
 	for _, kv := range s.Summary() {
 		v = max(v, kv.Version)
@@ -75,22 +75,22 @@
 	return v
 }
 
-// feed makes the node's store a Feed.
+// feed adapts the store of a testNode to Feed.
 type feed struct{ *testNode }
 
 func (f feed) Digest(context.Context) (uint64, error) { return f.sum(), nil }
 
 func (f feed) Summary(context.Context) (out []configorder.KeyVersion, _ error) {
-	f.with(func() { out = f.store.Summary() })
+	f.locked(func() { out = f.store.Summary() })
 	return out, nil
 }
 
 func (f feed) Newer(_ context.Context, theirs []configorder.KeyVersion, most int) (out []platformapi.Object, _ error) {
-	f.with(func() { out = f.store.Newer(theirs, most) })
+	f.locked(func() { out = f.store.Newer(theirs, most) })
 	return out, nil
 }
 
-// put hands over a value if there is room.
+// put sends v unless the channel is full.
 func put[T any](c chan T, v T) {
 	select {
 	case c <- v:
@@ -98,7 +98,7 @@
 	}
 }
 
-// start runs a node; change may alter its options.
+// start runs a testNode until the test ends. change may alter its options.
 func start(t *testing.T, vm, zone string, change func(*Options)) *testNode {
 	t.Helper()
 	n := &testNode{
@@ -119,7 +119,7 @@
 		Sink:     n,
 		Feed:     feed{n},
 		Count: func(c Counter, v int64) {
-			n.with(func() { n.counts[c] += v })
+			n.locked(func() { n.counts[c] += v })
 			put(n.bump, struct{}{})
 		},
 	}
@@ -139,26 +139,26 @@
 	return n
 }
 
-// seeded starts a node that knows another's address.
-func seeded(t *testing.T, vm, zone string, seed *testNode, id *identity.Identity) *testNode {
+// startWithSeed starts a node that knows the address of seed.
+func startWithSeed(t *testing.T, vm, zone string, seed *testNode, id *identity.Identity) *testNode {
 	return start(t, vm, zone, func(o *Options) { o.Seeds, o.TLS = []string{seed.Addr()}, id })
 }
 
-// until waits for counts to change until a condition holds.
-func (n *testNode) until(t *testing.T, what string, ok func() bool) {
+// waitFor waits until a condition on the counts holds.
+func (n *testNode) waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for !ok() {
 		select {
 		case <-n.bump:
 		case <-limit:
-			n.with(func() { t.Fatalf("never: %s; counts %v", what, n.counts) })
+			n.locked(func() { t.Fatalf("timeout waiting for %s; counts %v", what, n.counts) })
 		}
 	}
 }
 
-// from waits for a digest of a VM.
-func (n *testNode) from(t *testing.T, vm ids.VM) peerapi.Digest {
+// digestFrom waits for a digest of a VM and returns it.
+func (n *testNode) digestFrom(t *testing.T, vm ids.VM) peerapi.Digest {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for {
@@ -189,48 +189,48 @@
 	if err := a.SetVMs(platformapi.VMList{Revision: 4, VMs: []platformapi.VM{{ID: "e1", Role: platformapi.RoleEngine}}}); err != nil {
 		t.Fatal(err)
 	}
-	// b knows one address and has no platform.
-	b := seeded(t, "b", "z1", a, issue(t, ca, time.Hour))
-	first := b.from(t, "a")
-	if second := b.from(t, "a"); first.Boot != second.Boot || second.Seq <= first.Seq || second.InFlight["e1"] != 3 {
+	// b knows only a's address and gets no list of VMs from the platform.
+	b := startWithSeed(t, "b", "z1", a, issue(t, ca, time.Hour))
+	first := b.digestFrom(t, "a")
+	if second := b.digestFrom(t, "a"); first.Boot != second.Boot || second.Seq <= first.Seq || second.InFlight["e1"] != 3 {
 		t.Fatalf("%+v after %+v", second, first)
 	}
-	a.from(t, "b")
-	b.until(t, "configuration from the peer", func() bool { return b.version() == 7 })
+	a.digestFrom(t, "b")
+	b.waitFor(t, "configuration from the peer", func() bool { return b.version() == 7 })
 	if list := <-b.lists; list.Revision != 4 {
 		t.Fatalf("list %+v", list)
 	}
-	// It goes the other way too, though a never was given b's address.
+	// Configuration also passes from b to a, though a was not given b's address.
 	b.apply(object(9))
-	a.until(t, "configuration from the peer", func() bool { return a.version() == 9 })
+	a.waitFor(t, "configuration from the peer", func() bool { return a.version() == 9 })
 	steps, err := a.Service.Explain(t.Context(), "b", "r1")
 	if err != nil || len(steps) != 1 || steps[0].ID != "r1" || steps[0].Step != router.StepSent {
 		t.Fatalf("%v, %v", steps, err)
 	}
 	if a.Polls("e1", "z1") == b.Polls("e1", "z1") {
-		t.Fatal("an engine is not polled by exactly one of two")
+		t.Fatal("the engine is not polled by exactly one of the two nodes")
 	}
 	if a.count(BytesSent) == 0 || b.count(BytesReceived) == 0 {
-		t.Fatalf("bytes not counted: %v", a.counts)
+		t.Fatalf("bytes are not counted: %v", a.counts)
 	}
 	b.stop()
 	if gone := <-a.gone; gone != (member.PeerGone{VM: "b", Why: member.Silent}) {
 		t.Fatalf("%v", gone)
 	}
 	if !a.Polls("e1", "z1") {
-		t.Fatal("nobody polls the engine")
+		t.Fatal("no node polls the engine")
 	}
 }
 
 func TestNodesFindEachOtherWithoutThePlatform(t *testing.T) {
 	a := start(t, "a", "z1", nil)
-	b := seeded(t, "b", "z1", a, nil)
-	c := seeded(t, "c", "z1", a, nil)
-	b.from(t, "c")
-	c.from(t, "b")
+	b := startWithSeed(t, "b", "z1", a, nil)
+	c := startWithSeed(t, "c", "z1", a, nil)
+	b.digestFrom(t, "c")
+	c.digestFrom(t, "b")
 }
 
-func TestOneCallCarriesBothWays(t *testing.T) {
+func TestDigestReplyCarriesDigest(t *testing.T) {
 	n := start(t, "a", "z1", nil)
 	conn := connect(t, n)
 	seq := uint64(0)
@@ -243,7 +243,7 @@
 		}
 		return out.Digest
 	}
-	// There is none before the first round.
+	// Replies carry no digest before the first round.
 	whole := ask("z2")
 	for whole == nil && seq < 10000 {
 		whole = ask("z2")
@@ -254,33 +254,36 @@
 			t.Fatalf("got %v", got)
 		}
 	}
-	b := seeded(t, "b", "z2", n, nil)
-	n.from(t, "b")
-	b.from(t, "a")
+	b := startWithSeed(t, "b", "z2", n, nil)
+	n.digestFrom(t, "b")
+	b.digestFrom(t, "a")
 }
 
+// Digests can wait in socket buffers while the process is suspended. They would
+// look fresh afterwards, so the loop must drop what arrives within one interval
+// of a pause.
 func TestDigestsThatWaitedOutAPauseAreDropped(t *testing.T) {
 	n := start(t, "a", "z1", nil)
 	n.stop()
 	l := newLoop(n.Service)
 	now := time.Now()
-	l.woke = now.Add(-time.Minute)
-	now = l.wake()
-	ev := received{digest: peerapi.Digest{VM: "x", Zone: "z1", Boot: "b", Seq: 1}}
-	ev.take(l, now)
+	l.lastWake = now.Add(-time.Minute)
+	now = l.detectPause()
+	ev := digestReceived{digest: peerapi.Digest{VM: "x", Zone: "z1", Boot: "b", Seq: 1}}
+	ev.apply(l, now)
 	if n.count(DigestsAfterPause) != 1 || len(n.digests) != 0 {
 		t.Fatal("a digest of unknown age was used")
 	}
-	ev.take(l, now.Add(n.opts.Interval))
-	n.from(t, "x")
+	ev.apply(l, now.Add(n.opts.Interval))
+	n.digestFrom(t, "x")
 }
 
 func TestSilentLinkIsClosed(t *testing.T) {
 	silent := listenSilent(t)
 	a := start(t, "a", "z1", func(o *Options) { o.Seeds, o.CallTimeout = []string{silent}, 20*time.Millisecond })
-	a.until(t, "the link is closed", func() bool { return a.count(LinksSilent) > 0 })
-	if missed := a.count(DigestsMissed); missed < missesToClose {
-		t.Fatalf("closed after %d", missed)
+	a.waitFor(t, "a closed link", func() bool { return a.count(LinksSilent) > 0 })
+	if missed := a.count(DigestsMissed); missed < maxMissedReplies {
+		t.Fatalf("closed after %d missed replies", missed)
 	}
 }
 
@@ -288,15 +291,15 @@
 	a := start(t, "a", "z1", nil)
 	b := start(t, "b", "z1", func(o *Options) {
 		o.Seeds = []string{a.Addr()}
-		o.Source.(*testNode).failed = &StoppedSource{}
+		o.Source.(*testNode).digestErr = &StoppedSource{}
 	})
-	b.until(t, "three rounds", func() bool { return b.count(DigestsSkipped) > 2 })
+	b.waitFor(t, "three rounds", func() bool { return b.count(DigestsSkipped) > 2 })
 	if b.count(DigestsSent) > 0 {
 		t.Fatal("a digest was sent")
 	}
 }
 
-// StoppedSource is a Source's failure.
+// StoppedSource is the error of a Source that fails.
 type StoppedSource struct{}
 
 func (*StoppedSource) Error() string { return "stopped" }
@@ -309,10 +312,11 @@
 	}
 }
 
-// relaying is a Source that also has a report of a peer.
-type relaying struct{ *testNode }
+// relayingSource is a Source whose digest also has a load report received from
+// a peer.
+type relayingSource struct{ *testNode }
 
-func (r relaying) Digest(ctx context.Context) (peerapi.Digest, error) {
+func (r relayingSource) Digest(ctx context.Context) (peerapi.Digest, error) {
 	d, err := r.testNode.Digest(ctx)
 	d.Loads = append(d.Loads, peerapi.Load{Report: engineapi.LoadReport{Engine: "e2"}, Relayed: true})
 	return d, err
