--- a/adapter/peer/bases.go
+++ b/adapter/peer/bases.go
@@ -35,13 +35,13 @@
 func newLocalDigest(digest peerapi.Digest, last *localDigest) *localDigest {
 	out := &localDigest{digest: digest, base: last.base}
 	if out.base != nil && digest.Seq-out.base.Seq < maxBaseRounds {
-		out.delta = digest.Against(out.base)
+		out.delta = digest.Delta(out.base)
 		if countEntries(&out.delta) <= deltaSlackEntries+countEntries(&digest)/deltaEntriesDivisor {
 			return out
 		}
 	}
 	out.base = &out.digest
-	out.delta = digest.Against(out.base)
+	out.delta = digest.Delta(out.base)
 	return out
 }
 
@@ -102,7 +102,7 @@
 	if !held || base.Boot != d.Boot || base.Seq != d.Base {
 		return d, &unknownBaseError{VM: d.VM, Base: d.Base}
 	}
-	return d.Whole(&base)
+	return d.Expand(&base)
 }
 
 // put replaces the stored base of a peer, even by an older one, because the
--- a/adapter/peer/claim_serve.go
+++ b/adapter/peer/claim_serve.go
@@ -81,7 +81,7 @@
 		return claim.Op{}, false
 	}
 	sinceClock := time.Duration(m.ClockAgeNs + m.RemainingNs)
-	sinceClock -= sinceClock / peerapi.ClockDrift
+	sinceClock -= sinceClock / peerapi.ClockDriftDivisor
 	op := claim.Op{
 		Kind:      claimKinds[m.Kind],
 		Record:    decodeClaimRecord(m.Record),
@@ -129,7 +129,7 @@
 	case a.Kind == claim.ForwardRefused:
 		return peerapi.ClaimReply{State: peerapi.ClaimRefused}
 	case a.Kind == claim.ForwardUncertain:
-		return peerapi.ClaimReply{State: peerapi.ClaimUnsure}
+		return peerapi.ClaimReply{State: peerapi.ClaimUncertain}
 	case a.Result == router.ClaimTaken:
 		prior := encodeClaimRecord(a.Prior)
 		return peerapi.ClaimReply{State: peerapi.ClaimDone, Prior: &prior}
--- a/adapter/peer/claim_test.go
+++ b/adapter/peer/claim_test.go
@@ -186,7 +186,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		s.members.VMs(time.Now(), platformapi.VMList{Revision: 1, VMs: list})
+		s.members.ApplyVMList(time.Now(), platformapi.VMList{Revision: 1, VMs: list})
 		services = append(services, NewClaimForwarder(t.Context(), s))
 	}
 	shares := make(map[ids.VM]int)
--- a/adapter/peer/codec.go
+++ b/adapter/peer/codec.go
@@ -38,8 +38,8 @@
 	if err != nil {
 		return err
 	}
-	if len(plain) > peerapi.MaxMessage {
-		return &peerapi.OversizeError{Field: "message", Size: len(plain), Limit: peerapi.MaxMessage}
+	if len(plain) > peerapi.MaxMessageBytes {
+		return &peerapi.OversizeError{Field: "message", Size: len(plain), Limit: peerapi.MaxMessageBytes}
 	}
 	var compressed bytes.Buffer
 	if err := flate.StatelessDeflate(&compressed, plain, true, c.writeHistory); err != nil {
@@ -80,8 +80,8 @@
 	if err != nil {
 		return err
 	}
-	if size > peerapi.MaxMessage {
-		return &peerapi.OversizeError{Field: "message", Size: int(min(size, maxReportedBytes)), Limit: peerapi.MaxMessage}
+	if size > peerapi.MaxMessageBytes {
+		return &peerapi.OversizeError{Field: "message", Size: int(min(size, maxReportedBytes)), Limit: peerapi.MaxMessageBytes}
 	}
 	plain, err := decompress(io.LimitReader(stream, int64(size)), c.readHistory)
 	if err != nil {
@@ -120,12 +120,12 @@
 		return nil, err
 	}
 	var plain bytes.Buffer
-	n, err := plain.ReadFrom(io.LimitReader(inflater, peerapi.MaxMessage+1))
+	n, err := plain.ReadFrom(io.LimitReader(inflater, peerapi.MaxMessageBytes+1))
 	if err != nil {
 		return nil, &peerapi.InvalidError{Field: "message", Detail: err.Error()}
 	}
-	if n > peerapi.MaxMessage {
-		return nil, &peerapi.OversizeError{Field: "message", Size: int(n), Limit: peerapi.MaxMessage}
+	if n > peerapi.MaxMessageBytes {
+		return nil, &peerapi.OversizeError{Field: "message", Size: int(n), Limit: peerapi.MaxMessageBytes}
 	}
 	if trailing, _ := io.Copy(io.Discard, source); trailing > 0 {
 		return nil, &peerapi.InvalidError{Field: "message", Detail: "bytes after its end"}
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -145,25 +145,25 @@
 		ConfigDigest:   own.ConfigDigest,
 		ConfigRevision: own.ConfigRevision,
 		VMsRevision:    s.vms.Load().Revision,
-		Have:           s.bases.seqOf(to.VM, to.Boot),
+		HeldBase: s.bases.seqOf(to.VM, to.Boot),
 	}
 	if own.Seq > 0 {
-		digest := state.forPeer(to.Have)
+		digest := state.forPeer(to.HeldBase)
 		out.Digest = &digest
 	}
 	if to.VMsRevision == 0 {
-		out.Known = s.alivePeers()
+		out.KnownPeers = s.alivePeers()
 	}
 	return out
 }
 
 // alivePeers returns up to peerapi.MaxKnown live peers, for a peer that has no
 // list of VMs.
-func (s *Service) alivePeers() []peerapi.Known {
-	var out []peerapi.Known
+func (s *Service) alivePeers() []peerapi.KnownPeer {
+	var out []peerapi.KnownPeer
 	for _, p := range s.Peers() {
-		if p.State == member.Alive && len(out) < peerapi.MaxKnown {
-			out = append(out, peerapi.Known{VM: p.VM, Zone: p.Zone, Address: p.Address})
+		if p.State == member.Alive && len(out) < peerapi.MaxKnownPeers {
+			out = append(out, peerapi.KnownPeer{VM: p.VM, Zone: p.Zone, Address: p.Address})
 		}
 	}
 	return out
@@ -193,7 +193,7 @@
 		return nil, err
 	}
 	list := h.service.vms.Load()
-	if list.Revision <= v.Above || len(list.VMs) > peerapi.MaxVMs {
+	if list.Revision <= v.AfterRevision || len(list.VMs) > peerapi.MaxVMs {
 		return peerapi.VMsReply{}, nil
 	}
 	return peerapi.VMsReply{List: *list}, nil
--- a/adapter/peer/link.go
+++ b/adapter/peer/link.go
@@ -111,7 +111,7 @@
 		k.replyMissed()
 		return
 	}
-	k.vm, k.boot, k.heldBase = reply.VM, reply.Boot, reply.Have
+	k.vm, k.boot, k.heldBase = reply.VM, reply.Boot, reply.HeldBase
 	k.missedReplies = 0
 	k.dialFailures = 0
 	k.service.opts.Count(DigestsSent, 1)
@@ -121,7 +121,7 @@
 // exchange sends a digest and returns the reply.
 func (k *link) exchange(ctx context.Context, own *localDigest) (peerapi.DigestReply, error) {
 	digest := own.forPeer(k.heldBase)
-	digest.Have = k.service.bases.seqOf(k.vm, k.boot)
+	digest.HeldBase = k.service.bases.seqOf(k.vm, k.boot)
 	var reply peerapi.DigestReply
 	err := k.service.call(ctx, k.conn, peerapi.MethodDigest, &digest, &reply)
 	return reply, err
--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -173,7 +173,7 @@
 func (l *loop) reportGone(commands []member.Command) {
 	for _, command := range commands {
 		if gone, ok := command.(member.PeerGone); ok {
-			l.opts.Sink.PeerGone(gone.VM, gone.Why)
+			l.opts.Sink.PeerGone(gone.VM, gone.Reason)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	}
 	d := ev.digest
 	l.mu.Lock()
-	commands, err := l.members.Received(now, member.Heard{
+	commands, err := l.members.DigestReceived(now, member.Sender{
 		VM:       d.VM,
 		Zone:     d.Zone,
 		Boot:     d.Boot,
@@ -230,10 +230,10 @@
 func (ev replyReceived) apply(l *loop, now time.Time) {
 	r := ev.reply
 	l.mu.Lock()
-	commands, use := l.members.Replied(now, ev.address, member.Heard{VM: r.VM, Zone: r.Zone, Boot: r.Boot})
+	commands, use := l.members.ReplyReceived(now, ev.address, member.Sender{VM: r.VM, Zone: r.Zone, Boot: r.Boot})
 	if l.vms.Load().Revision == 0 {
-		for _, k := range r.Known {
-			l.members.Learn(now, k.VM, k.Zone, k.Address)
+		for _, k := range r.KnownPeers {
+			l.members.LearnAddress(now, k.VM, k.Zone, k.Address)
 		}
 	}
 	l.mu.Unlock()
@@ -254,7 +254,7 @@
 // apply records that the peer at an address did not reply.
 func (ev digestMissed) apply(l *loop, now time.Time) {
 	l.mu.Lock()
-	commands := l.members.Missed(now, ev.address)
+	commands := l.members.CallFailed(now, ev.address)
 	l.mu.Unlock()
 	l.reportGone(commands)
 }
@@ -267,7 +267,7 @@
 	}
 	l.vms.Store(&ev.list)
 	l.mu.Lock()
-	commands := l.members.VMs(now, ev.list)
+	commands := l.members.ApplyVMList(now, ev.list)
 	l.mu.Unlock()
 	l.reportGone(commands)
 	if ev.fromPeer {
--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -83,7 +83,7 @@
 // fetchVMs requests the list of VMs and passes it to the loop.
 func (p *puller) fetchVMs(ctx context.Context, job pull) {
 	var out peerapi.VMsReply
-	ask := peerapi.VMs{Above: p.vms.Load().Revision}
+	ask := peerapi.VMs{AfterRevision: p.vms.Load().Revision}
 	if err := p.call(ctx, job.conn, peerapi.MethodVMs, ask, &out); err != nil {
 		p.opts.Count(PullsFailed, 1)
 		return
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -23,7 +23,7 @@
 			return
 		}
 		if err != nil {
-			every.Pause(ctx, acceptRetryDelay)
+			every.Sleep(ctx, acceptRetryDelay)
 			continue
 		}
 		select {
--- a/adapter/peer/service.go
+++ b/adapter/peer/service.go
@@ -59,7 +59,7 @@
 		members:  member.New(memberOptions(opts)),
 		bases:    newBaseStore(),
 	}
-	s.members.Seeds(opts.Seeds)
+	s.members.SetSeeds(opts.Seeds)
 	s.vms.Store(&platformapi.VMList{})
 	s.local.Store(&localDigest{})
 	return s, nil
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -61,23 +61,23 @@
 type Settings struct {
 	VM   ids.VM
 	Zone ids.Zone
-	// Callers, Ready, Peers and Metrics are addresses to listen on. Metrics
+	// CallerAddr, ReadyAddr, PeerAddr and MetricsAddr are addresses to listen on. MetricsAddr
 	// may be empty.
-	Callers, Ready, Peers, Metrics string
+	CallerAddr, ReadyAddr, PeerAddr, MetricsAddr string
 	// ReadyPath and MetricsPath are the paths that answer there.
 	ReadyPath, MetricsPath string
-	// Seeds are peers' addresses to begin with; may be empty.
-	Seeds []string
-	// Budget bounds the fleet's retries.
-	Budget forward.Budget
-	// Grace is the time between the signal to stop and the kill.
-	Grace time.Duration
-	// Lease is the duration of the lease for orders to engines.
-	Lease time.Duration
-	// Fenced tells that engines check the term of orders.
-	Fenced bool
-	// Plan sets up the placement of layers.
-	Plan placement.Options
+	// SeedPeers are peers' addresses to begin with; may be empty.
+	SeedPeers []string
+	// RetryBudget bounds the fleet's retries.
+	RetryBudget forward.Budget
+	// StopGrace is the time between the signal to stop and the kill.
+	StopGrace time.Duration
+	// LeaseDuration is the duration of the lease for orders to engines.
+	LeaseDuration time.Duration
+	// EnginesCheckFence tells that engines check the term of orders.
+	EnginesCheckFence bool
+	// Placement sets up the placement of layers.
+	Placement placement.Options
 	// Seed starts the random sources.
 	Seed uint64
 }
@@ -124,7 +124,7 @@
 	})
 	n.configs = &configs{log: log, news: n.news}
 	n.upstreams = newUpstreams(holder(settings), log, n.news)
-	n.peers = newPeers(settings, &timedMembers{ports.Members, n.metrics.Took}, n, log)
+	n.peers = newPeers(settings, &timedMembers{ports.Members, n.metrics.ObserveDuration}, n, log)
 	n.probe = newProbe(ports.Prober, n.fleet, log, &n.configs.contact, &n.upstreams.contact)
 	n.server = forward.New(forward.Options{
 		Headers:   ports.Headers,
@@ -133,7 +133,7 @@
 		Table:     n.configs.table.Load,
 		View:      n.upstreams.view.Load,
 		Engines:   ports.Engines,
-		Budget:    settings.Budget,
+		Budget:    settings.RetryBudget,
 		Now:       boottime.Now,
 		Log:       log,
 		Metrics:   n.metrics,
@@ -148,12 +148,12 @@
 	n.keeper = leader.New(leader.Options{
 		Lease: lease.Options{
 			Holder:       holder(settings),
-			Duration:     settings.Lease,
-			ReadInterval: settings.Lease / leaseReadPart,
+			Duration:     settings.LeaseDuration,
+			ReadInterval: settings.LeaseDuration / leaseReadPart,
 			StaleReads:   true,
 			Seed:         settings.Seed,
 		},
-		Store:     &timedLease{ports.Lease, n.metrics.Took},
+		Store:     &timedLease{ports.Lease, n.metrics.ObserveDuration},
 		Now:       boottime.Now,
 		Candidate: n.fleet.head,
 		KeepHeld:  true,
@@ -164,8 +164,8 @@
 		View:        n.upstreams.view.Load,
 		Engines:     ports.Engines,
 		Lease:       n.keeper,
-		Plan:        settings.Plan,
-		ChecksFence: settings.Fenced,
+		Plan:        settings.Placement,
+		ChecksFence: settings.EnginesCheckFence,
 		Now:         boottime.Now,
 		Log:         log,
 		Count:       n.metrics.Add,
@@ -218,14 +218,14 @@
 	}
 }
 
-// News implements relay.Source.
-func (n *Node) News(ctx context.Context, have relay.Have) relay.News {
+// UpdateSince implements relay.Source.
+func (n *Node) UpdateSince(ctx context.Context, have relay.UpdateRequest) relay.Update {
 	timer := time.NewTimer(time.Duration(have.WaitMs) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		changed := n.news.next()
 		news := n.newsFor(have)
-		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Lost || have.WaitMs <= 0 {
+		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Disconnected || have.WaitMs <= 0 {
 			return news
 		}
 		select {
@@ -239,22 +239,22 @@
 }
 
 // newsFor gives what is newer than a peer's now.
-func (n *Node) newsFor(have relay.Have) relay.News {
-	news := relay.News{ConfigRevision: n.configs.revision.Load()}
+func (n *Node) newsFor(have relay.UpdateRequest) relay.Update {
+	news := relay.Update{ConfigRevision: n.configs.revision.Load()}
 	n.fleet.tell(&news, have.Members)
 	now := boottime.Now()
 	if have.Want != relay.WantUpstreams {
-		news.Sighted(n.configs.age(now))
-		news.Lost = n.configs.lost.Load()
+		news.RecordAge(n.configs.age(now))
+		news.Disconnected = n.configs.lost.Load()
 		if newest := n.configs.newest.Load(); newest != nil && newest.config.Version > have.ConfigVersion {
-			newest.tell(&news, have.Unpacks)
+			newest.tell(&news, have.AcceptsPacked)
 		}
 	}
 	if have.Want == relay.WantConfig {
 		return news
 	}
-	news.Sighted(n.upstreams.age(now))
-	news.Lost = news.Lost || n.upstreams.lost.Load()
+	news.RecordAge(n.upstreams.age(now))
+	news.Disconnected = news.Disconnected || n.upstreams.lost.Load()
 	n.upstreams.tell(&news, have)
 	return news
 }
@@ -266,16 +266,16 @@
 
 // listen opens all sockets, so that a node that cannot serve does not start.
 func (n *Node) listen(ctx context.Context) (*listeners, error) {
-	config := net.ListenConfig{Control: upconn.GuardSilence, KeepAlive: -1}
+	config := net.ListenConfig{Control: upconn.SetUserTimeout, KeepAlive: -1}
 	l := &listeners{}
 	for _, one := range []struct {
 		to      *net.Listener
 		address string
 	}{
-		{&l.callers, n.settings.Callers},
-		{&l.ready, n.settings.Ready},
-		{&l.peers, n.settings.Peers},
-		{&l.metrics, n.settings.Metrics},
+		{&l.callers, n.settings.CallerAddr},
+		{&l.ready, n.settings.ReadyAddr},
+		{&l.peers, n.settings.PeerAddr},
+		{&l.metrics, n.settings.MetricsAddr},
 	} {
 		if one.address == "" {
 			continue
@@ -309,7 +309,7 @@
 		return err
 	}
 	n.log.Info().Str("event", "started").Str("vm", string(n.settings.VM)).Str("zone", string(n.settings.Zone)).
-		Str("callers", n.settings.Callers).Send()
+		Str("callers", n.settings.CallerAddr).Send()
 	work, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	n.start(work, l)
