--- a/adapter/claims/bench_test.go
+++ b/adapter/claims/bench_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// benchLatency is how long the benchmark's store takes for each call.
+	// benchLatency is the latency of each call to the benchStore.
 	benchLatency = 2 * time.Millisecond
-	// benchTime is how long claims are offered.
-	benchTime = 3 * time.Second
+	// benchDuration is how long claims are submitted.
+	benchDuration = 3 * time.Second
 )
 
-// BenchmarkFleet offers claims of distinct keys to the Committers of a fleet,
-// in turn, at a steady pace. One iteration is one such run.
+// BenchmarkFleet submits claims of distinct keys to the Committers of a fleet
+// in turn, at a constant rate. One iteration is one run of benchDuration.
 func BenchmarkFleet(b *testing.B) {
 	for _, nodes := range []int{3, 9, 26} {
 		for _, rate := range []int{20, 100, 500} {
@@ -35,7 +35,8 @@
 	}
 }
 
-// BenchmarkFleetSettles is BenchmarkFleet with each claim settled once won.
+// BenchmarkFleetSettles does the same as BenchmarkFleet and settles each claim
+// after it has ended.
 func BenchmarkFleetSettles(b *testing.B) {
 	for _, rate := range []int{20, 100, 500} {
 		b.Run(fmt.Sprintf("nodes=9/rate=%d", rate), func(b *testing.B) {
@@ -46,19 +47,19 @@
 	}
 }
 
-// BenchmarkFleetSameKeys offers claims of the same 2,000 keys to nine
-// Committers, all at once.
+// BenchmarkFleetSameKeys submits claims of the same 2,000 keys to nine
+// Committers at once.
 func BenchmarkFleetSameKeys(b *testing.B) {
 	const nodes, keys = 9, 2000
 	for b.Loop() {
 		store, sink, fleet, stop := startFleet(b, nodes)
-		sink.open.Add(nodes * keys)
+		sink.pending.Add(nodes * keys)
 		for i := range keys {
 			for _, c := range fleet {
 				offerBench(b, c, sink, i, false)
 			}
 		}
-		sink.open.Wait()
+		sink.pending.Wait()
 		stop()
 		store.report(b, keys)
 		sink.report(b)
@@ -66,30 +67,30 @@
 	}
 }
 
-// runFleet is one run; it reports its figures.
+// runFleet runs a fleet once and reports its metrics.
 func runFleet(b *testing.B, nodes, rate int, settles bool) {
 	store, sink, fleet, stop := startFleet(b, nodes)
-	claims := rate * int(benchTime/time.Second)
-	sink.open.Add(claims)
+	claims := rate * int(benchDuration/time.Second)
+	sink.pending.Add(claims)
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	for i := range claims {
 		<-ticker.C
 		offerBench(b, fleet[i%nodes], sink, i, settles)
 	}
 	ticker.Stop()
-	sink.open.Wait()
+	sink.pending.Wait()
 	stop()
 	store.report(b, claims)
 	sink.report(b)
 	if sink.won+sink.failed != claims {
-		b.Errorf("%d of %d claims of new keys found them taken", claims-sink.won-sink.failed, claims)
+		b.Errorf("%d of %d claims of distinct keys found the key taken", claims-sink.won-sink.failed, claims)
 	}
 }
 
-// startFleet starts Committers over a store; stop ends them.
+// startFleet starts Committers that share a store. stop ends them.
 func startFleet(b *testing.B, nodes int) (store *benchStore, sink *benchSink, fleet []*Committer, stop func()) {
 	store = &benchStore{objects: make(map[string]platformapi.Object)}
-	sink = &benchSink{began: make(map[ids.Request]time.Time), then: make(map[ids.Request]func())}
+	sink = &benchSink{startedAt: make(map[ids.Request]time.Time), onEnded: make(map[ids.Request]func())}
 	ctx, cancel := context.WithCancel(b.Context())
 	fleet = benchFleet(store, sink, nodes)
 	var running sync.WaitGroup
@@ -102,7 +103,7 @@
 	}
 }
 
-// offerBench offers the i-th claim.
+// offerBench submits the i-th claim.
 func offerBench(b *testing.B, c *Committer, sink *benchSink, i int, settles bool) {
 	sink.offered++
 	id := ids.Request(fmt.Sprintf("entry-%d-0123456789abcdef-%d", i%26, sink.offered))
@@ -110,22 +111,22 @@
 		Account: "school-17", Key: fmt.Sprintf("booking-%08d", i), Fingerprint: fmt.Sprintf("%064x", i),
 		Request: id, VM: "entry-3", Upstream: "booking-api-2", Attempt: 1,
 	}
-	var then func()
+	var onEnded func()
 	if settles {
-		then = func() {
+		onEnded = func() {
 			if err := c.Offer(router.Settle{ID: id, Record: record}); err != nil {
 				b.Error(err)
 			}
 		}
 	}
-	sink.begin(id, then)
+	sink.start(id, onEnded)
 	if err := c.Offer(router.Claim{ID: id, Record: record}); err != nil {
 		b.Error(err)
 		sink.ClaimEnded(router.ClaimEnded{ID: id, Result: router.ClaimFailed})
 	}
 }
 
-// benchStore is a versioned store in memory, each call of which takes a time.
+// benchStore is a versioned in-memory store with a constant latency.
 type benchStore struct {
 	mu                              sync.Mutex
 	revision                        int64
@@ -160,7 +161,7 @@
 	return s.objects[key], nil
 }
 
-// report gives the calls, and the bytes of the objects for each claim.
+// report reports the number of calls and the stored bytes per claim.
 func (s *benchStore) report(b *testing.B, claims int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,24 +175,25 @@
 	b.ReportMetric(float64(size)/float64(claims), "B/entry")
 }
 
-// benchSink measures how long claims take.
+// benchSink measures the latency of claims.
 type benchSink struct {
-	mu    sync.Mutex
-	began map[ids.Request]time.Time
-	then  map[ids.Request]func()
-	took  []time.Duration
-	open  sync.WaitGroup
-	// offered counts claims; only the one that offers them touches it.
+	mu        sync.Mutex
+	startedAt map[ids.Request]time.Time
+	onEnded   map[ids.Request]func()
+	latencies []time.Duration
+	pending   sync.WaitGroup
+	// offered counts the submitted claims. Only the submitting goroutine
+	// accesses it.
 	offered, won, failed int
 }
 
-// begin notes the start of a claim, and what to do once it is won; nil for
-// nothing.
-func (s *benchSink) begin(id ids.Request, then func()) {
+// start records the start of a claim and a function to call when it has ended.
+// The function may be nil.
+func (s *benchSink) start(id ids.Request, onEnded func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.began[id] = time.Now()
-	s.then[id] = then
+	s.startedAt[id] = time.Now()
+	s.onEnded[id] = onEnded
 }
 
 func (s *benchSink) ClaimEnded(ev router.ClaimEnded) {
@@ -203,27 +205,28 @@
 	case router.ClaimFailed, router.ClaimUncertain:
 		s.failed++
 	}
-	s.took = append(s.took, time.Since(s.began[ev.ID]))
-	if then := s.then[ev.ID]; then != nil {
-		then()
+	s.latencies = append(s.latencies, time.Since(s.startedAt[ev.ID]))
+	if onEnded := s.onEnded[ev.ID]; onEnded != nil {
+		onEnded()
 	}
-	s.open.Done()
+	s.pending.Done()
 }
 
 func (s *benchSink) ClaimReleased(router.ClaimReleased) {}
 
-// report gives the latency and the claims not won.
+// report reports latency percentiles and the number of failed claims.
 func (s *benchSink) report(b *testing.B) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	slices.Sort(s.took)
-	b.ReportMetric(float64(s.took[len(s.took)/2].Microseconds())/1000, "p50-ms")
-	b.ReportMetric(float64(s.took[len(s.took)*95/100].Microseconds())/1000, "p95-ms")
+	slices.Sort(s.latencies)
+	b.ReportMetric(float64(s.latencies[len(s.latencies)/2].Microseconds())/1000, "p50-ms")
+	b.ReportMetric(float64(s.latencies[len(s.latencies)*95/100].Microseconds())/1000, "p95-ms")
 	b.ReportMetric(float64(s.failed), "failed")
 	b.ReportMetric(0, "ns/op")
 }
 
-// benchFleet makes the Committers of a fleet.
+// benchFleet returns the Committers of a fleet, which forward to each other if
+// there is more than one.
 func benchFleet(store *benchStore, sink Sink, nodes int) []*Committer {
 	fleet := make([]*Committer, nodes)
 	for i := range fleet {
--- a/adapter/claims/committer.go
+++ b/adapter/claims/committer.go
@@ -1,6 +1,7 @@
-// Package claims commits the claims of idempotency keys through the platform.
-// One goroutine drives the decisions of decide/claim; a bounded pool makes the
-// platform calls, one at a time for each shard.
+// Package claims commits claims of idempotency keys to the object store of the
+// platform. One goroutine drives a claim.Group, which decides what to read and
+// write. A bounded pool makes the platform calls, at most one at a time per
+// shard.
 package claims
 
 import (
@@ -17,55 +18,60 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Peers reach the VMs that commit the operations of shards.
+// Peers forwards operations to the VMs that commit them.
 type Peers interface {
-	// Preferred gives the VM that is to commit a shard's operations; false
-	// when that is this one, or none can be named. It must not wait.
+	// Preferred returns the VM that should commit a shard's operations. It
+	// returns false if that is this VM or no other VM is available. It must not
+	// block.
 	Preferred(shard int) (ids.VM, bool)
-	// Forward hands an operation to a VM, once at most, and waits for the
-	// answer. The VM must have stopped to try when ctx ends. An answer other
-	// than ForwardUncertain needs proof. Any goroutine calls it.
+	// Forward sends an operation to a VM, at most once, and returns the answer.
+	// The VM must start no more writes of the operation once ctx has ended.
+	// Forward may return an answer other than ForwardUncertain only if it is
+	// proven, for example by a reply of the VM. It is called from any
+	// goroutine.
 	Forward(ctx context.Context, c claim.Forward) claim.ForwardAnswer
 }
 
-// Platform is the part of the platform's client that a Committer needs. The
-// client makes each call at most once.
+// Platform is the part of the platform client that a Committer uses. It must
+// not retry calls.
 type Platform interface {
 	Get(ctx context.Context, key string) (platformapi.Object, error)
 	Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error)
 }
 
-// Sink takes the results. The Committer's goroutine calls it; it must not
-// wait long.
+// Sink receives the results. It is called from the goroutine of the Committer
+// and must not block for long.
 type Sink interface {
 	ClaimEnded(router.ClaimEnded)
 	ClaimReleased(router.ClaimReleased)
 }
 
-// CommandError tells that a command is no Claim, Release or Settle.
+// CommandError reports a command that is not a router.Claim, Release or Settle.
 type CommandError struct{ Command router.Command }
 
 // Error implements error.
-func (e *CommandError) Error() string { return fmt.Sprintf("no claim command: %T", e.Command) }
+func (e *CommandError) Error() string { return fmt.Sprintf("%T is not a claim command", e.Command) }
 
-// StoppedError tells that the Committer takes no more commands.
+// StoppedError reports that the Committer accepts no more commands because it
+// has stopped.
 type StoppedError struct{}
 
 // Error implements error.
-func (e *StoppedError) Error() string { return "the claim committer has stopped" }
+func (e *StoppedError) Error() string { return "claim committer has stopped" }
 
-// Committer commits claims. Make it with New, and let Run run.
+// Committer commits claims, releases and settlements. Create it with New and
+// start it with Run.
 type Committer struct {
 	platform Platform
 	sink     Sink
 	settings Settings
 	shards   int
-	commands *ring.Ring[work]
+	tasks    *ring.Ring[task]
 	stopped  atomic.Bool
 	counts   atomic.Pointer[claim.Counts]
 }
 
-// New makes a Committer.
+// New returns a Committer. Zero fields of settings stand for their defaults.
 func New(platform Platform, sink Sink, settings Settings) *Committer {
 	settings = settings.withDefaults()
 	c := &Committer{
@@ -73,45 +79,46 @@
 		sink:     sink,
 		settings: settings,
 		shards:   claim.New(settings.Claim).Shards(),
-		commands: ring.New[work]("claims", settings.RingCapacity),
+		tasks:    ring.New[task]("claims", settings.RingCapacity),
 	}
 	c.counts.Store(&claim.Counts{})
 	return c
 }
 
-// Offer takes a router.Claim, Release or Settle whose ID is its record's
-// Request. It never waits; any goroutine may call it. Each Claim taken is
-// answered by one ClaimEnded, each Release by one ClaimReleased. Errors, after
-// which the command was not taken: *ring.FullError, *StoppedError,
-// *CommandError.
+// Offer submits a router.Claim, Release or Settle whose ID equals the Request
+// of its record. It does not block and is safe for concurrent use. The Sink
+// receives exactly one ClaimEnded for each accepted Claim and one ClaimReleased
+// for each accepted Release. Errors, all of which mean that the command was not
+// accepted: *ring.FullError, *StoppedError, *CommandError.
 func (c *Committer) Offer(command router.Command) error {
 	if c.stopped.Load() {
 		return &StoppedError{}
 	}
-	op, err := c.op(command)
+	op, err := c.newOp(command)
 	if err != nil {
 		return err
 	}
-	return c.commands.Offer(work{op: op})
+	return c.tasks.Offer(task{op: op})
 }
 
-// work is an operation for the worker. For one of another VM, answer takes
-// the answer; it has room for it.
-type work struct {
+// task is an operation for the worker. For an operation of another VM, answer
+// receives the result; it is buffered so that the worker never blocks on it.
+// Otherwise answer is nil.
+type task struct {
 	op     claim.Op
 	answer chan claim.ForwardAnswer
 }
 
-// Serve commits an operation of another VM and waits for what came of it. The
-// operation's Deadline is the end of the time that the other VM gave, by this
-// VM's clock. Any goroutine may call it.
+// Serve commits an operation of another VM and returns the result. op.Deadline
+// is when the time allowed by the other VM ends, by this VM's clock. If ctx
+// ends first, the result is ForwardUncertain. It is safe for concurrent use.
 func (c *Committer) Serve(ctx context.Context, shard int, op claim.Op) claim.ForwardAnswer {
 	refused := claim.ForwardAnswer{Kind: claim.ForwardRefused}
 	if c.stopped.Load() || claim.ShardOf(op.Record, c.shards) != shard {
 		return refused
 	}
 	answer := make(chan claim.ForwardAnswer, 1)
-	if c.commands.Offer(work{op: op, answer: answer}) != nil {
+	if c.tasks.Offer(task{op: op, answer: answer}) != nil {
 		return refused
 	}
 	select {
@@ -122,8 +129,8 @@
 	}
 }
 
-// op turns a command into an operation.
-func (c *Committer) op(command router.Command) (claim.Op, error) {
+// newOp converts a command to an operation with a random nonce.
+func (c *Committer) newOp(command router.Command) (claim.Op, error) {
 	deadline := time.Now().Add(c.settings.Timeout)
 	switch cmd := command.(type) {
 	case router.Claim:
@@ -143,20 +150,20 @@
 	return claim.Op{}, &CommandError{Command: command}
 }
 
-// Counts tells what was done so far. Any goroutine may call it.
+// Counts returns the counts since New. It is safe for concurrent use.
 func (c *Committer) Counts() claim.Counts { return *c.counts.Load() }
 
-// Run commits claims until ctx ends; then it works on for at most the
-// StopTimeout to finish what it holds. What is left then gets no answer. It
-// is called once.
+// Run commits claims until ctx ends, then continues for at most StopTimeout to
+// finish what it has accepted. Operations still open after that get no result.
+// It must be called at most once.
 func (c *Committer) Run(ctx context.Context) {
-	calls, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	w := newWorker(calls, c)
-	defer w.open.Wait()
+	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	w := newWorker(callCtx, c)
+	defer w.openCalls.Wait()
 	defer cancel()
-	w.serve(ctx.Done())
+	w.run(ctx.Done())
 	c.stopped.Store(true)
-	timeout, done := context.WithTimeout(calls, c.settings.StopTimeout)
+	timeout, done := context.WithTimeout(callCtx, c.settings.StopTimeout)
 	defer done()
 	w.finish(timeout.Done())
 }
--- a/adapter/claims/committer_test.go
+++ b/adapter/claims/committer_test.go
@@ -16,7 +16,7 @@
 	"mimosaarch.example/decide/router"
 )
 
-// fleet is some Committers over one platform, in a bubble of virtual time.
+// fleet is a set of Committers that share one platform, in a synctest bubble.
 type fleet struct {
 	t          *testing.T
 	platform   *fakePlatform
@@ -31,7 +31,7 @@
 	runWith(t, count, func(int, *Settings) {}, test)
 }
 
-// runWith is run with other settings.
+// runWith does the same as run, with changed settings.
 func runWith(t *testing.T, count int, change func(i int, s *Settings), test func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -55,12 +55,12 @@
 	})
 }
 
-// record names a key and its request.
+// record returns a record of a key and a request.
 func record(key, request string) router.ClaimRecord {
 	return router.ClaimRecord{Account: "a", Key: key, Request: ids.Request(request), Attempt: 1}
 }
 
-// offer hands a command to a Committer.
+// offer submits a command to a Committer.
 func (f *fleet) offer(i int, command router.Command) {
 	f.t.Helper()
 	if err := f.committers[i].Offer(command); err != nil {
@@ -68,14 +68,15 @@
 	}
 }
 
-// claim offers a claim.
+// claim submits a claim to a Committer.
 func (f *fleet) claim(i int, key, request string) {
 	f.t.Helper()
 	f.offer(i, router.Claim{ID: ids.Request(request), Record: record(key, request)})
 }
 
-// want fails unless a claim came to a result.
-func (f *fleet) want(i int, request string, want router.ClaimResult) {
+// wantResult fails the test unless the claim of a request has ended with the
+// given result.
+func (f *fleet) wantResult(i int, request string, want router.ClaimResult) {
 	f.t.Helper()
 	r := f.results[i]
 	r.mu.Lock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// advance lets the bubble's virtual time pass.
+// advance advances the virtual time of the bubble.
 func advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
@@ -98,10 +99,10 @@
 		}
 		advance(100 * time.Millisecond)
 		for i := range 200 {
-			f.want(0, fmt.Sprint("r", i), router.ClaimWon)
+			f.wantResult(0, fmt.Sprint("r", i), router.ClaimWon)
 		}
-		if f.platform.writes != 4 || f.platform.widest != 3 {
-			t.Errorf("%d writes, %d calls at once", f.platform.writes, f.platform.widest)
+		if f.platform.writes != 4 || f.platform.maxOpen != 3 {
+			t.Errorf("%d writes, %d concurrent calls", f.platform.writes, f.platform.maxOpen)
 		}
 		if got := f.committers[0].Counts(); got.Won != 200 {
 			t.Errorf("%+v", got)
@@ -130,7 +131,7 @@
 		f.platform.setMode(lossy)
 		f.claim(0, "k", "r")
 		advance(100 * time.Millisecond)
-		f.want(0, "r", router.ClaimWon)
+		f.wantResult(0, "r", router.ClaimWon)
 		if f.platform.writes != 1 {
 			t.Errorf("%d writes", f.platform.writes)
 		}
@@ -142,12 +143,12 @@
 		f.platform.setMode(down)
 		f.claim(0, "k", "r1")
 		advance(defaultTimeout)
-		f.want(0, "r1", router.ClaimFailed)
+		f.wantResult(0, "r1", router.ClaimFailed)
 		f.platform.setMode(up)
 		advance(time.Second)
 		f.claim(0, "k", "r2")
 		advance(100 * time.Millisecond)
-		f.want(0, "r2", router.ClaimWon)
+		f.wantResult(0, "r2", router.ClaimWon)
 	})
 }
 
@@ -161,36 +162,36 @@
 		start := time.Now()
 		f.claim(0, "k", "r1")
 		advance(defaultTimeout)
-		f.want(0, "r1", router.ClaimUncertain)
+		f.wantResult(0, "r1", router.ClaimUncertain)
 		if took := f.results[0].at["r1"].Sub(start); took != defaultTimeout {
-			t.Errorf("took %v", took)
+			t.Errorf("claim ended after %v", took)
 		}
 		if !f.platform.holds("r1", router.ClaimHeld) {
-			t.Fatal("the test means the claim to stand")
+			t.Fatal("the claim was not written before the answer was lost")
 		}
 		f.platform.setMode(up)
 		advance(2 * time.Second)
 		if f.platform.holds("r1", router.ClaimHeld) {
-			t.Error("the claim still stands")
+			t.Error("the claim was not released")
 		}
 	})
 }
 
-func TestReleaseGoesOnByItself(t *testing.T) {
+func TestUnconfirmedReleaseIsRetried(t *testing.T) {
 	run(t, 2, func(t *testing.T, f *fleet) {
 		f.claim(0, "k", "r1")
 		advance(100 * time.Millisecond)
 		f.platform.setMode(down)
 		f.offer(0, router.Release{ID: "r1", Record: record("k", "r1")})
 		advance(defaultTimeout)
-		if confirmed, told := f.results[0].released["r1"]; !told || confirmed {
-			t.Fatalf("told %v, confirmed %v", told, confirmed)
+		if confirmed, reported := f.results[0].released["r1"]; !reported || confirmed {
+			t.Fatalf("reported %v, confirmed %v", reported, confirmed)
 		}
 		f.platform.setMode(up)
 		advance(2 * time.Second)
 		f.claim(1, "k", "r2")
 		advance(100 * time.Millisecond)
-		f.want(1, "r2", router.ClaimWon)
+		f.wantResult(1, "r2", router.ClaimWon)
 		f.offer(1, router.Release{ID: "r2", Record: record("k", "r2")})
 		advance(100 * time.Millisecond)
 		if !f.results[1].released["r2"] {
@@ -233,9 +234,9 @@
 		f.claim(0, "", "r")
 		f.offer(0, router.Release{ID: "r", Record: record("", "r")})
 		advance(time.Millisecond)
-		f.want(0, "r", router.ClaimFailed)
-		if confirmed, told := f.results[0].released["r"]; !told || confirmed {
-			t.Errorf("told %v, confirmed %v", told, confirmed)
+		f.wantResult(0, "r", router.ClaimFailed)
+		if confirmed, reported := f.results[0].released["r"]; !reported || confirmed {
+			t.Errorf("reported %v, confirmed %v", reported, confirmed)
 		}
 	})
 }
--- a/adapter/claims/fake_test.go
+++ b/adapter/claims/fake_test.go
@@ -12,33 +12,33 @@
 	"mimosaarch.example/decide/router"
 )
 
-// mode is how the fakePlatform answers.
+// mode is how the fakePlatform answers calls.
 type mode int
 
 const (
 	up mode = iota
-	// down: no call leaves.
+	// down: calls fail without an effect.
 	down
-	// silent: writes take effect, and no call is answered.
+	// silent: writes take effect, but calls are not answered.
 	silent
-	// lossy: writes take effect, and lose their answers at once.
+	// lossy: writes take effect, but their answers are lost at once.
 	lossy
 )
 
-// testShards is the number of shards in tests.
+// testShards is the number of shards in most tests.
 const testShards = 4
 
-// callTime is how long an answered call takes.
-const callTime = 10 * time.Millisecond
+// callLatency is the latency of an answered call.
+const callLatency = 10 * time.Millisecond
 
-// fakePlatform holds objects in memory.
+// fakePlatform stores objects in memory.
 type fakePlatform struct {
-	mu           sync.Mutex
-	mode         mode
-	revision     int64
-	objects      map[string]platformapi.Object
-	writes       int
-	open, widest int
+	mu            sync.Mutex
+	mode          mode
+	revision      int64
+	objects       map[string]platformapi.Object
+	writes        int
+	open, maxOpen int
 }
 
 func (p *fakePlatform) setMode(m mode) {
@@ -47,13 +47,13 @@
 	p.mode = m
 }
 
-// begin takes the time of a call and gives the mode.
-func (p *fakePlatform) begin() mode {
+// simulateCall waits for the latency of a call and returns the mode at its end.
+func (p *fakePlatform) simulateCall() mode {
 	p.mu.Lock()
 	p.open++
-	p.widest = max(p.widest, p.open)
+	p.maxOpen = max(p.maxOpen, p.open)
 	p.mu.Unlock()
-	<-time.After(callTime)
+	<-time.After(callLatency)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -61,7 +61,7 @@
 }
 
 func (p *fakePlatform) Get(ctx context.Context, key string) (platformapi.Object, error) {
-	switch p.begin() {
+	switch p.simulateCall() {
 	case down:
 		return platformapi.Object{}, &platform.UnavailableError{}
 	case silent:
@@ -78,7 +78,7 @@
 }
 
 func (p *fakePlatform) Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error) {
-	m := p.begin()
+	m := p.simulateCall()
 	if m == down {
 		return platformapi.Object{}, &platform.UnavailableError{}
 	}
@@ -106,7 +106,7 @@
 	return p.objects[key], nil
 }
 
-// holds reports whether any shard holds a claim of a request in a state.
+// holds reports whether the claim of a request is stored in the given state.
 func (p *fakePlatform) holds(request ids.Request, state router.ClaimState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +124,7 @@
 	return false
 }
 
-// results is a Sink that keeps what it gets, and when.
+// results is a Sink that records each result and its time.
 type results struct {
 	mu       sync.Mutex
 	ended    map[ids.Request]router.ClaimEnded
--- a/adapter/claims/peers_test.go
+++ b/adapter/claims/peers_test.go
@@ -13,15 +13,16 @@
 	"mimosaarch.example/decide/router"
 )
 
-// hop is the time of a message from a Committer to another.
-const hop = 500 * time.Microsecond
+// messageLatency is the one-way latency of a message between Committers.
+const messageLatency = 500 * time.Microsecond
 
-// fakePeers joins Committers, of which each is preferred for some shards.
+// fakePeers connects the Committers of a fleet. Each of them is preferred for a
+// part of the shards.
 type fakePeers struct {
 	self  int
 	fleet *[]*Committer
-	// refuse, lose and loseAnswer spoil the messages.
-	refuse, lose, loseAnswer atomic.Bool
+	// refuse, loseRequest and loseAnswer make all forwards fail in that way.
+	refuse, loseRequest, loseAnswer atomic.Bool
 }
 
 func (p *fakePeers) Preferred(shard int) (ids.VM, bool) {
@@ -33,14 +34,14 @@
 	if p.refuse.Load() {
 		return claim.ForwardAnswer{Kind: claim.ForwardRefused}
 	}
-	if p.lose.Load() {
+	if p.loseRequest.Load() {
 		return claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
 	op := c.Op
 	op.Deadline = c.Until
-	<-time.After(hop)
+	<-time.After(messageLatency)
 	answer := (*p.fleet)[c.Shard%len(*p.fleet)].Serve(ctx, c.Shard, op)
-	<-time.After(hop)
+	<-time.After(messageLatency)
 	if p.loseAnswer.Load() {
 		return claim.ForwardAnswer{Kind: claim.ForwardUncertain}
 	}
@@ -62,14 +63,14 @@
 	})
 }
 
-func TestPreferredCommitsForAll(t *testing.T) {
+func TestPreferredVMCommitsForAll(t *testing.T) {
 	withPeers(t, 3, func(t *testing.T, f *fleet, _ []*fakePeers) {
 		for i := range 90 {
 			f.claim(i%3, fmt.Sprint("k", i), fmt.Sprint("r", i))
 		}
 		advance(100 * time.Millisecond)
 		for i := range 90 {
-			f.want(i%3, fmt.Sprint("r", i), router.ClaimWon)
+			f.wantResult(i%3, fmt.Sprint("r", i), router.ClaimWon)
 		}
 		if f.platform.writes != testShards {
 			t.Errorf("%d writes, want one for each shard", f.platform.writes)
@@ -78,7 +79,7 @@
 		f.offer(1, router.Settle{ID: "r1", Record: record("k1", "r1")})
 		advance(defaultTimeout)
 		if f.platform.holds("r0", router.ClaimHeld) || !f.results[0].released["r0"] || !f.platform.holds("r1", router.ClaimDone) {
-			t.Error("a release or a settlement is missing")
+			t.Error("a release or a settlement was not committed")
 		}
 		counts := f.committers[0].Counts()
 		if counts.ForwardsDone == 0 || counts.Served == 0 || counts.ForwardsRefused+counts.ForwardsSilent > 0 {
@@ -87,17 +88,17 @@
 	})
 }
 
-func TestClaimsOutliveTheirPreferredVM(t *testing.T) {
-	spoil := map[string]func(*fakePeers){
+func TestClaimsSurviveFailureOfPreferredVM(t *testing.T) {
+	inject := map[string]func(*fakePeers){
 		"refused":     func(p *fakePeers) { p.refuse.Store(true) },
-		"lost":        func(p *fakePeers) { p.lose.Store(true) },
+		"lost":        func(p *fakePeers) { p.loseRequest.Store(true) },
 		"answer lost": func(p *fakePeers) { p.loseAnswer.Store(true) },
 	}
-	for name, spoil := range spoil {
+	for name, inject := range inject {
 		t.Run(name, func(t *testing.T) {
 			withPeers(t, 2, func(t *testing.T, f *fleet, peers []*fakePeers) {
 				for _, p := range peers {
-					spoil(p)
+					inject(p)
 				}
 				for i := range 20 {
 					f.claim(0, fmt.Sprint("k", i), fmt.Sprint("r", i))
@@ -153,18 +154,18 @@
 	})
 }
 
-func TestCountsAreTold(t *testing.T) {
-	told := make(map[string]int64)
+func TestCountsAreReported(t *testing.T) {
+	reported := make(map[string]int64)
 	change := func(_ int, s *Settings) {
-		s.OnCount = func(name string, n int64) { told[name] += n }
+		s.OnCount = func(name string, n int64) { reported[name] += n }
 	}
 	runWith(t, 1, change, func(t *testing.T, f *fleet) {
 		f.claim(0, "k", "r")
 		advance(100 * time.Millisecond)
 		f.claim(0, "k", "s")
 		advance(100 * time.Millisecond)
-		if told["won"] != 1 || told["taken"] != 1 || told["writes"] != 1 {
-			t.Errorf("told %v, counts %+v", told, f.committers[0].Counts())
+		if reported["won"] != 1 || reported["taken"] != 1 || reported["writes"] != 1 {
+			t.Errorf("reported %v, counts %+v", reported, f.committers[0].Counts())
 		}
 	})
 }
--- a/adapter/claims/settings.go
+++ b/adapter/claims/settings.go
@@ -17,38 +17,40 @@
 	defaultMaxForwards      = 1024
 )
 
-// Settings of a Committer. Zero values stand for the defaults.
+// Settings configures a Committer. Zero values stand for the defaults.
 type Settings struct {
-	// Timeout bounds the wait for a claim, and for the confirmation of a
-	// release, from Offer on. Default 300ms.
+	// Timeout is the longest time from Offer to the result of a claim, or to
+	// the confirmation of a release. Default 300ms.
 	Timeout time.Duration
-	// CallTimeout bounds each call of the platform; it should leave room in
-	// the Deadline to settle a lost answer. Default 150ms.
+	// CallTimeout limits each platform call. It should be well below Timeout,
+	// so that time remains to resolve a write whose answer was lost. Default
+	// 150ms.
 	CallTimeout time.Duration
-	// StopTimeout is how long a stopping Committer works to finish what it
-	// holds. Default 2s.
+	// StopTimeout is how long a stopping Committer continues in order to finish
+	// what it has accepted. Default 2s.
 	StopTimeout time.Duration
-	// RingCapacity is the capacity of the ring of commands. Default 4096.
+	// RingCapacity is the capacity of the ring of operations. Default 4096.
 	RingCapacity int
-	// MaxPlatformCalls bounds the platform calls open at once. Default 16.
+	// MaxPlatformCalls limits the concurrent platform calls. Default 16.
 	MaxPlatformCalls int
-	// Peers commit the operations of the shards for which they are preferred;
-	// nil when this VM commits all its own by itself.
+	// Peers forwards operations to the VMs preferred for their shards. If it is
+	// nil, this VM commits all its operations itself.
 	Peers Peers
-	// MaxForwards bounds the calls to other VMs open at once. Default
-	// 1024.
+	// MaxForwards limits the concurrent calls to other VMs. Default 1024.
 	MaxForwards int
-	// Claim sets the shards, the batching and the retention.
+	// Claim configures the shards, the batching and the retention.
 	Claim claim.Settings
-	// OnProblem is told of objects that can't be used and of commands that
-	// lack a part; may be nil. The Committer's goroutine calls it.
+	// OnProblem is called for objects that cannot be decoded and for commands
+	// with missing fields. It may be nil. It is called from the goroutine of
+	// the Committer.
 	OnProblem func(err error)
-	// OnCount is told, by the names of claim.Counts, what was added to a
-	// count; may be nil. The Committer's goroutine calls it.
+	// OnCount is called with the increment of a count, by its name in
+	// claim.Counts. It may be nil. It is called from the goroutine of the
+	// Committer.
 	OnCount func(name string, n int64)
 }
 
-// withDefaults fills in unset fields.
+// withDefaults returns s with defaults for unset fields.
 func (s Settings) withDefaults() Settings {
 	s.Timeout = defaults.Positive(s.Timeout, defaultTimeout)
 	s.CallTimeout = defaults.Positive(s.CallTimeout, defaultCallTimeout)
--- a/adapter/claims/worker.go
+++ b/adapter/claims/worker.go
@@ -13,64 +13,69 @@
 	"mimosaarch.example/decide/router"
 )
 
-// worker is the goroutine that drives the decisions.
+// worker drives a claim.Group in one goroutine.
 type worker struct {
 	*Committer
 	group *claim.Group
-	// pool makes the calls, forwards those to other VMs; they have no
-	// goroutine while none is open.
-	pool, forwards pond.Pool
-	open           sync.WaitGroup
-	// calls is the context of the calls.
-	calls context.Context
-	// answers has room for one answer from each shard.
+	// callPool runs the platform calls and forwardPool the calls to other VMs.
+	// Both have no goroutines while idle.
+	callPool, forwardPool pond.Pool
+	openCalls             sync.WaitGroup
+	// callCtx is the parent context of all calls.
+	callCtx context.Context
+	// answers has room for one answer per shard, because each shard has at most
+	// one open call.
 	answers chan claim.Answer
-	// forwarded takes the answers of other VMs.
-	forwarded chan forwarded
-	// stopping is true once nothing more is forwarded.
-	stopping bool
-	// serving are the operations of other VMs, by nonce.
-	serving map[string]chan<- claim.ForwardAnswer
+	// forwardResults receives the answers of other VMs.
+	forwardResults chan forwardResult
+	// stopForwarding is set when the Committer stops; from then on nothing is
+	// forwarded.
+	stopForwarding bool
+	// servedAnswers maps the nonces of operations of other VMs to the channels
+	// for their results.
+	servedAnswers map[string]chan<- claim.ForwardAnswer
 }
 
-// forwarded is the answer of another VM.
-type forwarded struct {
+// forwardResult is the answer of another VM to the Forward with the given ID.
+type forwardResult struct {
 	id     uint64
 	answer claim.ForwardAnswer
 }
 
-// newWorker makes the worker of a Committer.
-func newWorker(calls context.Context, c *Committer) *worker {
+// newWorker returns the worker of a Committer.
+func newWorker(callCtx context.Context, c *Committer) *worker {
 	group := claim.New(c.settings.Claim)
 	return &worker{
-		Committer: c,
-		group:     group,
-		pool:      pond.NewPool(c.settings.MaxPlatformCalls),
-		forwards:  pond.NewPool(c.settings.MaxForwards),
-		calls:     calls,
-		answers:   make(chan claim.Answer, group.Shards()),
-		forwarded: make(chan forwarded, c.settings.MaxForwards),
-		serving:   make(map[string]chan<- claim.ForwardAnswer),
+		Committer:      c,
+		group:          group,
+		callPool:       pond.NewPool(c.settings.MaxPlatformCalls),
+		forwardPool:    pond.NewPool(c.settings.MaxForwards),
+		callCtx:        callCtx,
+		answers:        make(chan claim.Answer, group.Shards()),
+		forwardResults: make(chan forwardResult, c.settings.MaxForwards),
+		servedAnswers:  make(map[string]chan<- claim.ForwardAnswer),
 	}
 }
 
-// serve works until stop.
-func (w *worker) serve(stop <-chan struct{}) {
-	for w.step(stop) {
-		w.publish()
+// run handles inputs until stop is closed.
+func (w *worker) run(stop <-chan struct{}) {
+	for w.handleNext(stop) {
+		w.publishCounts()
 	}
 }
 
-// finish works until nothing is left to do, or until stop.
+// finish handles inputs until nothing is pending or stop is closed. It forwards
+// nothing.
 func (w *worker) finish(stop <-chan struct{}) {
-	w.stopping = true
-	for w.group.Pending()+w.commands.Len() > 0 && w.step(stop) {
-		w.publish()
+	w.stopForwarding = true
+	for w.group.Pending()+w.tasks.Len() > 0 && w.handleNext(stop) {
+		w.publishCounts()
 	}
 }
 
-// publish shows the counts to other goroutines, and tells what was added.
-func (w *worker) publish() {
+// publishCounts stores the counts for other goroutines and reports the
+// increments to OnCount.
+func (w *worker) publishCounts() {
 	counts := w.group.Counts()
 	before := w.counts.Swap(&counts)
 	if counts == *before {
@@ -84,27 +89,29 @@
 	})
 }
 
-// step waits for one thing to happen and handles it; false at stop.
-func (w *worker) step(stop <-chan struct{}) bool {
-	wake, cancel := w.wake()
+// handleNext waits for the next input and handles it. It returns false if stop
+// is closed first.
+func (w *worker) handleNext(stop <-chan struct{}) bool {
+	wake, cancel := w.nextTick()
 	defer cancel()
 	select {
-	case next := <-w.commands.Out():
-		w.take(next)
+	case next := <-w.tasks.Out():
+		w.handleTask(next)
 	case answer := <-w.answers:
-		w.do(w.group.Answer(time.Now(), answer))
-	case f := <-w.forwarded:
-		w.do(w.group.ForwardEnded(time.Now(), f.id, f.answer))
+		w.execute(w.group.Answer(time.Now(), answer))
+	case f := <-w.forwardResults:
+		w.execute(w.group.ForwardEnded(time.Now(), f.id, f.answer))
 	case <-wake:
-		w.do(w.group.Tick(time.Now()))
+		w.execute(w.group.Tick(time.Now()))
 	case <-stop:
 		return false
 	}
 	return true
 }
 
-// wake gives a channel that is ready when the next tick is due; nil if none is.
-func (w *worker) wake() (<-chan time.Time, func()) {
+// nextTick returns a channel that fires when the next tick is due, and a
+// function that stops its timer. The channel is nil if no tick is due.
+func (w *worker) nextTick() (<-chan time.Time, func()) {
 	at, ok := w.group.Wake()
 	if !ok {
 		return nil, func() {}
@@ -113,15 +120,16 @@
 	return timer.C, func() { timer.Stop() }
 }
 
-// take hands an operation to the decisions.
-func (w *worker) take(next work) {
+// handleTask submits an operation to the Group. It reports an invalid operation
+// as failed.
+func (w *worker) handleTask(next task) {
 	if next.answer != nil {
-		w.serveOp(next)
+		w.handleServe(next)
 		return
 	}
 	commands, err := w.submit(next.op)
 	if err == nil {
-		w.do(commands)
+		w.execute(commands)
 		return
 	}
 	w.settings.OnProblem(err)
@@ -133,10 +141,10 @@
 	}
 }
 
-// submit hands an operation of this VM to the decisions, to be committed by
-// the preferred VM if there is one.
+// submit submits an operation of this VM to the Group. The preferred VM commits
+// it if there is one.
 func (w *worker) submit(op claim.Op) ([]claim.Command, error) {
-	if w.settings.Peers != nil && !w.stopping {
+	if w.settings.Peers != nil && !w.stopForwarding {
 		if vm, ok := w.settings.Peers.Preferred(w.group.ShardOf(op.Record)); ok {
 			return w.group.Forward(time.Now(), op, vm)
 		}
@@ -144,13 +152,14 @@
 	return w.group.Submit(time.Now(), op)
 }
 
-// serveOp hands an operation of another VM to the decisions. What came too
-// late or came before may have been committed.
-func (w *worker) serveOp(next work) {
+// handleServe submits an operation of another VM to the Group. The answer to an
+// operation that arrived too late or twice is uncertain, because it may have
+// been committed before.
+func (w *worker) handleServe(next task) {
 	commands, err := w.group.Serve(time.Now(), next.op)
 	if err == nil {
-		w.serving[next.op.Nonce] = next.answer
-		w.do(commands)
+		w.servedAnswers[next.op.Nonce] = next.answer
+		w.execute(commands)
 		return
 	}
 	kind := claim.ForwardRefused
@@ -160,40 +169,40 @@
 	next.answer <- claim.ForwardAnswer{Kind: kind}
 }
 
-// served hands on what came of an operation of another VM.
-func (w *worker) served(c claim.Served) {
-	if answer := w.serving[c.Op.Nonce]; answer != nil {
-		delete(w.serving, c.Op.Nonce)
+// finishServed delivers the result of an operation of another VM.
+func (w *worker) finishServed(c claim.Served) {
+	if answer := w.servedAnswers[c.Op.Nonce]; answer != nil {
+		delete(w.servedAnswers, c.Op.Nonce)
 		answer <- c.Answer
 	}
 }
 
-// forward asks another VM. The Group bounds how many wait for the pool, and
-// takes back what gets no answer.
+// forward sends an operation to another VM. The Group limits how many
+// operations wait for the pool, and commits those that get no answer itself.
 func (w *worker) forward(c claim.Forward) {
-	w.open.Add(1)
-	err := w.forwards.Go(func() {
-		defer w.open.Done()
-		ctx, cancel := context.WithDeadline(w.calls, c.Until)
+	w.openCalls.Add(1)
+	err := w.forwardPool.Go(func() {
+		defer w.openCalls.Done()
+		ctx, cancel := context.WithDeadline(w.callCtx, c.Until)
 		defer cancel()
 		select {
-		case w.forwarded <- forwarded{id: c.ID, answer: w.settings.Peers.Forward(ctx, c)}:
-		case <-w.calls.Done():
+		case w.forwardResults <- forwardResult{id: c.ID, answer: w.settings.Peers.Forward(ctx, c)}:
+		case <-w.callCtx.Done():
 		}
 	})
 	if err != nil {
-		w.open.Done()
+		w.openCalls.Done()
 	}
 }
 
-// do carries out commands.
-func (w *worker) do(commands []claim.Command) {
+// execute executes the commands of the Group.
+func (w *worker) execute(commands []claim.Command) {
 	for _, command := range commands {
 		switch c := command.(type) {
 		case claim.Read:
-			w.start(c.Shard, func(ctx context.Context) claim.Answer { return w.read(ctx, c) })
+			w.startCall(c.Shard, func(ctx context.Context) claim.Answer { return w.read(ctx, c) })
 		case claim.Write:
-			w.start(c.Shard, func(ctx context.Context) claim.Answer { return w.write(ctx, c) })
+			w.startCall(c.Shard, func(ctx context.Context) claim.Answer { return w.write(ctx, c) })
 		case claim.Ended:
 			w.sink.ClaimEnded(router.ClaimEnded{ID: c.Op.Record.Request, Result: c.Result, Prior: c.Prior})
 		case claim.Released:
@@ -201,32 +210,32 @@
 		case claim.Forward:
 			w.forward(c)
 		case claim.Served:
-			w.served(c)
+			w.finishServed(c)
 		case claim.InvalidValue:
 			w.settings.OnProblem(c.Err)
 		}
 	}
 }
 
-// start makes a platform call on the pool. Each shard has one call open, so
-// that the pool's queue is bounded by the number of shards.
-func (w *worker) start(shard int, call func(ctx context.Context) claim.Answer) {
-	w.open.Add(1)
-	err := w.pool.Go(func() {
-		defer w.open.Done()
-		ctx, cancel := context.WithTimeout(w.calls, w.settings.CallTimeout)
+// startCall runs a platform call on the pool. Each shard has at most one open
+// call, so the number of shards bounds the queue of the pool.
+func (w *worker) startCall(shard int, call func(ctx context.Context) claim.Answer) {
+	w.openCalls.Add(1)
+	err := w.callPool.Go(func() {
+		defer w.openCalls.Done()
+		ctx, cancel := context.WithTimeout(w.callCtx, w.settings.CallTimeout)
 		defer cancel()
 		answer := call(ctx)
 		answer.Shard = shard
 		w.answers <- answer
 	})
 	if err != nil {
-		w.open.Done()
+		w.openCalls.Done()
 		w.answers <- claim.Answer{Shard: shard, Kind: claim.AnswerFailed}
 	}
 }
 
-// read makes a Read.
+// read executes a Read.
 func (w *worker) read(ctx context.Context, c claim.Read) claim.Answer {
 	object, err := w.platform.Get(ctx, c.Key)
 	var notFound *platform.NotFoundError
@@ -239,7 +248,7 @@
 	return claim.Answer{Kind: claim.AnswerFailed}
 }
 
-// write makes a Write.
+// write executes a Write.
 func (w *worker) write(ctx context.Context, c claim.Write) claim.Answer {
 	object, err := w.platform.Put(ctx, c.Key, c.Value, c.IfMatch)
 	var conflict *platform.ConflictError
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -145,7 +145,7 @@
 		ConfigDigest:   own.ConfigDigest,
 		ConfigRevision: own.ConfigRevision,
 		VMsRevision:    s.vms.Load().Revision,
-		HeldBase: s.bases.seqOf(to.VM, to.Boot),
+		HeldBase:       s.bases.seqOf(to.VM, to.Boot),
 	}
 	if own.Seq > 0 {
 		digest := state.forPeer(to.HeldBase)
