--- a/adapter/call/call.go
+++ b/adapter/call/call.go
@@ -1,7 +1,7 @@
-// Package call holds the data of one request while the node works on it: what
-// the caller asked, the tokens on their way back, and the final answer. The
-// caller-side and upstream-side adapters meet here; the decision loop sees
-// neither bodies nor tokens.
+// Package call holds the data of one request while the node processes it: what
+// the caller asked for, the tokens on their way to the caller, and the final
+// answer. The adapters for callers and for upstreams share a Call; the decision
+// loop sees neither bodies nor tokens.
 package call
 
 import (
@@ -21,61 +21,67 @@
 	DefaultStallAfter = 10 * time.Second
 )
 
-// Options bounds the answer side of a Call. Zero fields take the defaults.
+// Options configures the token buffer of a Call. Zero fields stand for the
+// defaults.
 type Options struct {
-	// Capacity is the most tokens waiting for the caller.
+	// Capacity is the most tokens buffered for the caller. Default 64.
 	Capacity int
-	// StallAfter is how long Push waits for a caller that takes no token.
+	// StallAfter is how long Push waits for room in the buffer before the
+	// caller counts as too slow. Default 10s.
 	StallAfter time.Duration
 }
 
-// PlainCall is one call of a plain service.
+// PlainCall is a request to a plain service, which is an HTTP service that
+// answers with one whole response instead of a stream of tokens.
 type PlainCall struct {
 	Method string
-	// Path is decoded and normalised and starts with "/"; Query is as the
-	// caller wrote it, without "?".
+	// Path is decoded, normalized and starts with "/". Query is as the caller
+	// sent it, without "?".
 	Path, Query string
-	// Header is the pairs of name and value that may pass to the upstream.
+	// Header has the name and value of each header that is passed to the
+	// upstream.
 	Header [][2]string
 	Body   []byte
 }
 
-// PlainAnswer is a plain service's whole answer.
+// PlainAnswer is the whole response of a plain service.
 type PlainAnswer struct {
 	Status int
-	// Header is the pairs of name and value that may pass to the caller.
+	// Header has the name and value of each header that is passed to the
+	// caller.
 	Header [][2]string
 	Body   []byte
 }
 
-// Call is one request. The exported fields are set before it is handed over
-// and never changed after. One goroutine at a time may call Push; any
-// goroutine may call the other methods.
+// Call is one request. The exported fields are set before the Call is shared
+// and do not change afterwards. Only one goroutine at a time may call Push. The
+// other methods are safe for concurrent use.
 type Call struct {
 	ID ids.Request
-	// Chat is a model request with Messages, Model, MaxTokens and Priority
-	// set; nil for a plain call.
+	// Chat is the chat request, with Messages, Model, MaxTokens and Priority
+	// set. It is nil for a plain call.
 	Chat *engineapi.ChatRequest
-	// Plain is a plain call; nil for a model request.
+	// Plain is the request to a plain service. It is nil for a chat request.
 	Plain *PlainCall
-	// Stream tells that the caller wants its tokens as they come.
+	// Stream is true if the caller wants each token as soon as it is generated.
 	Stream bool
 
 	options Options
 	tokens  *ring.Ring[engineapi.Token]
-	// life ends with Finish; reader ends with MarkCallerGone or with life.
-	life, reader  context.Context
-	end, markGone context.CancelFunc
+	// callCtx ends with Finish. callerCtx ends with MarkCallerGone or with
+	// callCtx.
+	callCtx, callerCtx context.Context
+	endCall, endCaller context.CancelFunc
 
-	mu        sync.Mutex
-	delivered []string
-	finish    string
-	answer    *PlainAnswer
-	finished  bool
-	err       *outcome.Error
+	mu           sync.Mutex
+	delivered    []string
+	finishReason string
+	answer       *PlainAnswer
+	finished     bool
+	err          *outcome.Error
 }
 
-// New makes a Call with an empty answer.
+// New returns a Call without tokens or answer.
 func New(id ids.Request, o Options) *Call {
 	if o.Capacity <= 0 {
 		o.Capacity = DefaultCapacity
@@ -83,30 +89,30 @@
 	if o.StallAfter <= 0 {
 		o.StallAfter = DefaultStallAfter
 	}
-	life, end := context.WithCancel(context.Background())
-	reader, leave := context.WithCancel(life)
+	callCtx, endCall := context.WithCancel(context.Background())
+	callerCtx, endCaller := context.WithCancel(callCtx)
 	return &Call{
-		ID:       id,
-		options:  o,
-		tokens:   ring.New[engineapi.Token]("call", o.Capacity),
-		life:     life,
-		end:      end,
-		reader:   reader,
-		markGone: leave,
+		ID:        id,
+		options:   o,
+		tokens:    ring.New[engineapi.Token]("call", o.Capacity),
+		callCtx:   callCtx,
+		endCall:   endCall,
+		callerCtx: callerCtx,
+		endCaller: endCaller,
 	}
 }
 
-// Push hands the next token to the caller's side and notes its text as
-// delivered. It waits for room until ctx ends, the call is finished, or the
-// caller has taken no token for StallAfter. After MarkCallerGone the token is only
-// noted. Errors: *TokenOrderError, *SlowCallerError,
-// *FinishedError, *ring.WaitError when ctx ended; the token then does not
-// count as delivered.
+// Push queues the next token for the caller and records its text as delivered.
+// If the buffer is full it waits until there is room, ctx ends, the call is
+// finished, or StallAfter has passed. After MarkCallerGone it only records the
+// token. On an error the token does not count as delivered. Errors:
+// *TokenOrderError, *SlowCallerError, *FinishedError, and *ring.WaitError if
+// ctx ended.
 func (c *Call) Push(ctx context.Context, t engineapi.Token) error {
-	if err := c.check(t); err != nil {
+	if err := c.checkNext(t); err != nil {
 		return err
 	}
-	if err := c.put(ctx, t); err != nil {
+	if err := c.enqueue(ctx, t); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -115,8 +121,9 @@
 	return nil
 }
 
-// check refuses a token that is not the next one or comes after the end.
-func (c *Call) check(t engineapi.Token) error {
+// checkNext returns an error if the call is finished or t is not the next
+// token.
+func (c *Call) checkNext(t engineapi.Token) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.finished {
@@ -128,22 +135,23 @@
 	return nil
 }
 
-// put offers the token first, since a wait needs timers.
-func (c *Call) put(ctx context.Context, t engineapi.Token) error {
-	if c.reader.Err() != nil || c.tokens.Offer(t) == nil {
+// enqueue queues a token. It first tries without waiting, because a wait needs
+// timers.
+func (c *Call) enqueue(ctx context.Context, t engineapi.Token) error {
+	if c.callerCtx.Err() != nil || c.tokens.Offer(t) == nil {
 		return nil
 	}
 	wait, cancel := context.WithTimeout(ctx, c.options.StallAfter)
 	defer cancel()
-	stop := context.AfterFunc(c.reader, cancel)
+	stop := context.AfterFunc(c.callerCtx, cancel)
 	defer stop()
 	err := c.tokens.Put(wait, t)
 	switch {
 	case err == nil:
 		return nil
-	case c.life.Err() != nil:
+	case c.callCtx.Err() != nil:
 		return &FinishedError{ID: c.ID}
-	case c.reader.Err() != nil:
+	case c.callerCtx.Err() != nil:
 		return nil
 	case ctx.Err() != nil:
 		return err
@@ -152,44 +160,47 @@
 	}
 }
 
-// Tokens gives the channel of delivered tokens, in order. It is never closed:
-// Done tells the end, after which the tokens still in it are to be taken.
+// Tokens returns the channel of the tokens for the caller, in order. The
+// channel is never closed: after Done is closed, the reader takes the tokens
+// still buffered.
 func (c *Call) Tokens() <-chan engineapi.Token { return c.tokens.Out() }
 
-// MarkCallerGone tells that nobody takes tokens any more: the caller went away. Work
-// that goes on all the same is then not held up.
-func (c *Call) MarkCallerGone() { c.markGone() }
+// MarkCallerGone records that the caller has disconnected and nobody reads
+// tokens any more. Push no longer waits for room, so that an attempt that
+// continues is not blocked.
+func (c *Call) MarkCallerGone() { c.endCaller() }
 
-// Delivered gives a copy of the texts delivered so far, over all attempts.
+// Delivered returns a copy of the texts of the tokens delivered so far, over
+// all attempts.
 func (c *Call) Delivered() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.delivered...)
 }
 
-// TokenCount is the number of tokens delivered so far, over all attempts.
+// TokenCount returns the number of tokens delivered so far, over all attempts.
 func (c *Call) TokenCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.delivered)
 }
 
-// SetFinishReason notes why the model stopped, as its end marker said.
+// SetFinishReason records the finish reason from the model's end marker.
 func (c *Call) SetFinishReason(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.finish = reason
+	c.finishReason = reason
 }
 
-// FinishReason gives what SetFinishReason noted; empty when nothing.
+// FinishReason returns the recorded finish reason, or "" if there is none.
 func (c *Call) FinishReason() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.finish
+	return c.finishReason
 }
 
-// SetAnswer notes the whole answer of a plain service. An answer given after
-// Finish is dropped.
+// SetAnswer records the response of a plain service. It has no effect after
+// Finish.
 func (c *Call) SetAnswer(a PlainAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,15 +209,16 @@
 	}
 }
 
-// Answer gives what SetAnswer noted; nil when nothing.
+// Answer returns the recorded response of a plain service, or nil if there is
+// none.
 func (c *Call) Answer() *PlainAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answer
 }
 
-// Finish ends the call; err is nil when the whole answer was delivered. Only
-// the first call counts.
+// Finish ends the call. err is nil if the whole answer was delivered. Only the
+// first call of Finish has an effect.
 func (c *Call) Finish(err *outcome.Error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,13 +227,13 @@
 	}
 	c.finished = true
 	c.err = err
-	c.end()
+	c.endCall()
 }
 
-// Done is closed by Finish.
-func (c *Call) Done() <-chan struct{} { return c.life.Done() }
+// Done returns a channel that is closed by Finish.
+func (c *Call) Done() <-chan struct{} { return c.callCtx.Done() }
 
-// Err gives what Finish was told. Before Done is closed it is nil.
+// Err returns the error passed to Finish, or nil before Finish.
 func (c *Call) Err() *outcome.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/adapter/call/call_test.go
+++ b/adapter/call/call_test.go
@@ -17,7 +17,7 @@
 	return c.Push(ctx, engineapi.Token{Index: index, Text: text})
 }
 
-func TestSlowCallerIsTypedAndLosesNothing(t *testing.T) {
+func TestSlowCallerErrorLosesNoToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("r", Options{Capacity: 1, StallAfter: time.Second})
 		defer c.Finish(nil)
@@ -26,7 +26,7 @@
 		}
 		var slow *SlowCallerError
 		if err := push(c, t.Context(), 1, "b"); !errors.As(err, &slow) {
-			t.Fatalf("push to a slow caller: %v", err)
+			t.Fatalf("push with a full buffer: %v", err)
 		}
 		if diff := cmp.Diff([]string{"a"}, c.Delivered()); diff != "" {
 			t.Fatal(diff)
@@ -50,16 +50,16 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := push(c, ctx, 1, "b"); !errors.Is(err, context.DeadlineExceeded) {
-			t.Fatalf("push past its context: %v", err)
+			t.Fatalf("push after its context ended: %v", err)
 		}
 		before := time.Now()
 		time.AfterFunc(time.Second, func() { c.Finish(outcome.Refuse(outcome.Draining, "", 0)) })
 		var finished *FinishedError
 		if err := push(c, t.Context(), 1, "b"); !errors.As(err, &finished) || time.Since(before) != time.Second {
-			t.Fatalf("push over the end: %v after %v", err, time.Since(before))
+			t.Fatalf("push while the call finished: %v after %v", err, time.Since(before))
 		}
 		if err := push(c, t.Context(), 1, "b"); !errors.As(err, &finished) {
-			t.Fatalf("push after the end: %v", err)
+			t.Fatalf("push after the call finished: %v", err)
 		}
 	})
 }
@@ -75,21 +75,21 @@
 	}
 }
 
-func TestFinishCountsOnce(t *testing.T) {
+func TestOnlyFirstFinishCounts(t *testing.T) {
 	c := New("r", Options{})
 	if c.Err() != nil || c.Answer() != nil {
-		t.Fatal("a new call has an end")
+		t.Fatal("a new call has an error or an answer")
 	}
 	c.Finish(outcome.Refuse(outcome.QueueFull, "", 0))
 	c.Finish(nil)
 	c.SetAnswer(PlainAnswer{Status: 200})
 	<-c.Done()
 	if err := c.Err(); err == nil || err.Reason != outcome.QueueFull || c.Answer() != nil {
-		t.Fatalf("end %v, answer %v", err, c.Answer())
+		t.Fatalf("error %v, answer %v", err, c.Answer())
 	}
 }
 
-func TestWorkGoesOnWhenTheCallerLeft(t *testing.T) {
+func TestPushContinuesWhenCallerIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New("r", Options{Capacity: 1, StallAfter: time.Hour})
 		defer c.Finish(nil)
@@ -101,7 +101,7 @@
 			}
 		}
 		if c.TokenCount() != 5 || time.Since(before) != time.Second {
-			t.Fatalf("%d tokens noted after %v", c.TokenCount(), time.Since(before))
+			t.Fatalf("%d tokens recorded after %v", c.TokenCount(), time.Since(before))
 		}
 	})
 }
--- a/adapter/call/errors.go
+++ b/adapter/call/errors.go
@@ -7,7 +7,7 @@
 	"mimosaarch.example/core/ids"
 )
 
-// TokenOrderError tells that a token other than the next one was pushed.
+// TokenOrderError reports that a token other than the next one was pushed.
 type TokenOrderError struct{ Want, Got int }
 
 // Error implements error.
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("token %d pushed, token %d is next", e.Got, e.Want)
 }
 
-// SlowCallerError tells that the caller took no token for After.
+// SlowCallerError reports that the caller took no token for After.
 type SlowCallerError struct {
 	ID    ids.Request
 	After time.Duration
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("caller of %s took no token for %v", e.ID, e.After)
 }
 
-// FinishedError tells that a token was pushed after the call's end.
+// FinishedError reports that a token was pushed after the call was finished.
 type FinishedError struct{ ID ids.Request }
 
 // Error implements error.
