--- a/adapter/caller/answer.go
+++ b/adapter/caller/answer.go
@@ -13,93 +13,96 @@
 
 // Headers of answers.
 const (
-	// OutcomeHeader is what became of the request; a stream's head has none.
+	// OutcomeHeader holds the outcome of the request. A streamed answer does
+	// not have it, because its head is sent before the outcome is known.
 	OutcomeHeader = "Mimosa-Outcome"
-	// RequestHeader names the request.
+	// RequestHeader holds the ID of the request.
 	RequestHeader = "Mimosa-Request"
 )
 
-// Objects of the chat-completions convention.
+// Object types and roles of the chat-completions API.
 const (
 	objectChunk      = "chat.completion.chunk"
 	objectCompletion = "chat.completion"
 	roleAssistant    = "assistant"
 )
 
-// jsonType is the content type of JSON.
+// jsonType is the media type of JSON.
 const jsonType = "application/json"
 
-// delta is the new part of a streamed message.
+// delta is the new content in a chunk.
 type delta struct {
 	Content *string `json:"content,omitempty"`
 }
 
-// chunkChoice is the one choice of a chunk.
+// chunkChoice is the only choice of a chunk.
 type chunkChoice struct {
 	Index        int     `json:"index"`
 	Delta        delta   `json:"delta"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// note tells, in a whole answer, what became of the request.
-type note struct {
+// summary reports the outcome of a complete answer. It extends the
+// chat-completions API.
+type summary struct {
 	Outcome outcome.Outcome `json:"outcome"`
 	Request ids.Request     `json:"request"`
 	Tokens  int             `json:"tokens"`
 }
 
-// chunk is one event of a streamed answer; the last one has a note.
+// chunk is one event of a streamed answer. Only the final chunk has a summary.
 type chunk struct {
 	ID      ids.Request   `json:"id"`
 	Object  string        `json:"object"`
 	Model   string        `json:"model"`
 	Choices []chunkChoice `json:"choices"`
-	Mimosa  *note         `json:"mimosa,omitempty"`
+	Mimosa  *summary      `json:"mimosa,omitempty"`
 }
 
-// choice is the one choice of a completion.
+// choice is the only choice of a completion.
 type choice struct {
 	Index        int               `json:"index"`
 	Message      engineapi.Message `json:"message"`
 	FinishReason string            `json:"finish_reason"`
 }
 
-// usage counts the tokens generated.
+// usage holds the number of generated tokens.
 type usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// completion is a whole answer that is not streamed.
+// completion is the body of a chat answer that is not streamed.
 type completion struct {
 	ID      ids.Request `json:"id"`
 	Object  string      `json:"object"`
 	Model   string      `json:"model"`
 	Choices []choice    `json:"choices"`
 	Usage   usage       `json:"usage"`
-	Mimosa  note        `json:"mimosa"`
+	Mimosa  summary     `json:"mimosa"`
 }
 
-// newChunk makes a chunk without content.
+// newChunk returns a chunk without content.
 func newChunk(c *call.Call) *chunk {
 	return &chunk{ID: c.ID, Object: objectChunk, Model: c.Chat.Model, Choices: make([]chunkChoice, 1)}
 }
 
-// lastChunk makes the chunk that ends a whole answer.
-func lastChunk(c *call.Call) *chunk {
+// newFinalChunk returns the chunk that ends a complete streamed answer.
+func newFinalChunk(c *call.Call) *chunk {
 	last := newChunk(c)
 	finish := finishReason(c)
 	last.Choices[0].FinishReason = &finish
-	n := newNote(c)
+	n := newSummary(c)
 	last.Mimosa = &n
 	return last
 }
 
-// newNote makes the note of a whole answer.
-func newNote(c *call.Call) note {
-	return note{Outcome: outcome.Complete, Request: c.ID, Tokens: c.TokenCount()}
+// newSummary returns the summary of a complete answer.
+func newSummary(c *call.Call) summary {
+	return summary{Outcome: outcome.Complete, Request: c.ID, Tokens: c.TokenCount()}
 }
 
-// finishReason is why the model stopped.
+// finishReason returns the finish reason of the model, by default
+// engineapi.FinishStop.
 func finishReason(c *call.Call) string {
 	if reason := c.FinishReason(); reason != "" {
 		return reason
@@ -107,7 +110,7 @@
 	return engineapi.FinishStop
 }
 
-// writeCompletion writes a whole chat answer.
+// writeCompletion writes a complete chat answer with the given text.
 func writeCompletion(ctx *fasthttp.RequestCtx, c *call.Call, text string) {
 	message := engineapi.Message{Role: roleAssistant, Content: text}
 	writeJSON(ctx, fasthttp.StatusOK, &completion{
@@ -116,12 +119,13 @@
 		Model:   c.Chat.Model,
 		Choices: []choice{{Message: message, FinishReason: finishReason(c)}},
 		Usage:   usage{CompletionTokens: c.TokenCount()},
-		Mimosa:  newNote(c),
+		Mimosa:  newSummary(c),
 	})
 	setOutcome(ctx, c.ID, outcome.Complete)
 }
 
-// writePlain writes a plain service's whole answer as it came.
+// writePlain writes the answer of a plain service unchanged, or an error if
+// there is none.
 func writePlain(ctx *fasthttp.RequestCtx, c *call.Call) {
 	a := c.Answer()
 	if a == nil {
@@ -137,7 +141,8 @@
 	setOutcome(ctx, c.ID, outcome.Complete)
 }
 
-// writeJSON writes v with a status.
+// writeJSON writes v as JSON with a status. If v cannot be encoded, it writes
+// status 500 and no body.
 func writeJSON(ctx *fasthttp.RequestCtx, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -148,7 +153,7 @@
 	ctx.SetBody(data)
 }
 
-// setOutcome sets the headers that every whole answer has.
+// setOutcome sets the headers of every answer that is not streamed.
 func setOutcome(ctx *fasthttp.RequestCtx, id ids.Request, o outcome.Outcome) {
 	ctx.Response.Header.Set(OutcomeHeader, string(o))
 	ctx.Response.Header.Set(RequestHeader, string(id))
--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -14,14 +14,14 @@
 	"mimosaarch.example/decide/router"
 )
 
-// bytesPerToken estimates the tokens of a prompt.
+// bytesPerToken is the assumed average size of a token, for estimates.
 const bytesPerToken = 4
 
-// maxService is the most bytes of a service's name.
-const maxService = 128
+// maxServiceNameBytes limits the length of a service name.
+const maxServiceNameBytes = 128
 
-// chatBody is the part of a chat-completions request that is used; other
-// fields are ignored.
+// chatBody has the supported fields of a chat-completions request. Other fields
+// are ignored.
 type chatBody struct {
 	Model     string              `json:"model"`
 	Messages  []engineapi.Message `json:"messages"`
@@ -30,37 +30,37 @@
 	Priority  int                 `json:"priority"`
 }
 
-// readChat makes the call of a model request.
-func (x *exchange) readChat(ctx *fasthttp.RequestCtx, arrive *router.RequestArrived) *outcome.Error {
+// parseChat parses the body of a chat request into x.call and arrived.
+func (x *exchange) parseChat(ctx *fasthttp.RequestCtx, arrived *router.RequestArrived) *outcome.Error {
 	var body chatBody
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		return badRequest("body: " + err.Error())
 	}
-	chat, err := x.checkChat(&body)
+	chat, err := x.validateChat(&body)
 	if err != nil {
 		return err
 	}
 	x.call = call.New(x.id, x.server.options.Call)
 	x.call.Chat = chat
 	x.call.Stream = body.Stream
-	arrive.Service = ids.Service(chat.Model)
-	arrive.Priority = chat.Priority
-	arrive.MaxTokens = chat.MaxTokens
-	arrive.PromptTokens = promptTokens(chat.Messages)
-	arrive.PrefixHash = prefixHash(chat)
-	arrive.Fingerprint = fingerprint(ctx, arrive.Service, ChatPath)
+	arrived.Service = ids.Service(chat.Model)
+	arrived.Priority = chat.Priority
+	arrived.MaxTokens = chat.MaxTokens
+	arrived.PromptTokens = estimatePromptTokens(chat.Messages)
+	arrived.PrefixHash = prefixHash(chat)
+	arrived.Fingerprint = fingerprint(ctx, arrived.Service, ChatPath)
 	return nil
 }
 
-// checkChat checks the fields of a chat request.
-func (x *exchange) checkChat(body *chatBody) (*engineapi.ChatRequest, *outcome.Error) {
+// validateChat validates the fields of a chat request and applies defaults.
+func (x *exchange) validateChat(body *chatBody) (*engineapi.ChatRequest, *outcome.Error) {
 	o := &x.server.options
 	tokens := o.DefaultTokens
 	if body.MaxTokens != nil {
 		tokens = *body.MaxTokens
 	}
 	switch {
-	case body.Model == "" || len(body.Model) > maxService:
+	case body.Model == "" || len(body.Model) > maxServiceNameBytes:
 		return nil, badRequest("model: the name is missing or too long")
 	case len(body.Messages) == 0:
 		return nil, badRequest("messages: none given")
@@ -82,8 +82,9 @@
 	}, nil
 }
 
-// promptTokens estimates the work of a prompt.
-func promptTokens(messages []engineapi.Message) int {
+// estimatePromptTokens estimates the number of tokens of a prompt from its
+// size.
+func estimatePromptTokens(messages []engineapi.Message) int {
 	size := 0
 	for _, m := range messages {
 		size += len(m.Role) + len(m.Content)
@@ -91,9 +92,10 @@
 	return size/bytesPerToken + 1
 }
 
-// prefixHash names the prefix that requests of one kind share: the model and
-// the first of several messages, commonly the system's. A lone message has
-// no prefix and gives 0.
+// prefixHash returns a hash of the prompt prefix that similar requests share:
+// the model and the first message, which is usually the system message. It
+// returns 0 if there is only one message, because then there is no shared
+// prefix.
 func prefixHash(chat *engineapi.ChatRequest) uint64 {
 	if len(chat.Messages) < 2 {
 		return 0
--- a/adapter/caller/conn.go
+++ b/adapter/caller/conn.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Bounds of a lingering close.
+// Limits of a lingering close.
 const (
-	lingerFor   = time.Second
-	lingerBytes = 4 << 20
+	lingerTimeout  = time.Second
+	maxLingerBytes = 4 << 20
 )
 
-// listener wraps accepted connections.
+// listener wraps the connections that it accepts in a conn.
 type listener struct {
 	net.Listener
 	writeTimeout time.Duration
@@ -30,27 +30,28 @@
 	return &conn{Conn: c, writeTimeout: l.writeTimeout}, nil
 }
 
-// conn is a caller's connection. Each write has its own deadline, since an
-// answer as a whole may take long.
+// conn is a connection from a caller. It sets a deadline for each write instead
+// of one for the whole answer, because a streamed answer can take long.
 type conn struct {
 	net.Conn
 	writeTimeout time.Duration
-	// pending tells that bytes were read and nothing was written since: a
-	// request is under way. Only the connection's own goroutine uses it.
-	pending bool
-	// linger makes Close take the caller's remaining bytes first.
+	// requestPending is true if bytes were read after the last write, that is,
+	// while a request is being read or processed. Only the goroutine of the
+	// connection accesses it.
+	requestPending bool
+	// linger makes Close first read and discard what the caller still sends.
 	linger atomic.Bool
 }
 
-// Read implements io.Reader. The end of the caller's bytes within a request is
-// unexpected; fasthttp would take some of these for the end between requests
-// and give no answer.
+// Read implements io.Reader. It reports an EOF within a request as
+// io.ErrUnexpectedEOF, because fasthttp would treat some of these as the end of
+// an idle connection and send no answer.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.pending = true
+		c.requestPending = true
 	}
-	if c.pending && errors.Is(err, io.EOF) {
+	if c.requestPending && errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
@@ -58,7 +59,7 @@
 
 // Write implements io.Writer.
 func (c *conn) Write(p []byte) (int, error) {
-	c.pending = false
+	c.requestPending = false
 	if err := c.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return 0, err
 	}
@@ -73,23 +74,24 @@
 	return c.Conn.Close()
 }
 
-// drain ends our side and takes what the caller still sends, within bounds:
-// closing with bytes unread would reset the connection and lose the answer.
+// drain closes the sending side and reads what the caller still sends, within
+// lingerTimeout and maxLingerBytes. Closing a connection with unread bytes
+// would reset it, and the caller could lose the answer.
 func (c *conn) drain() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	if c.SetReadDeadline(time.Now().Add(lingerFor)) != nil {
+	if c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes) // any end will do
+	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // the result does not matter
 }
 
-// gone reports whether the caller closed its side or the connection broke. It
-// looks at the next byte without taking it, so a request sent ahead stays. A
-// caller that only closed its sending side counts as gone.
-func (c *conn) gone() bool {
+// isCallerGone reports whether the caller has closed its sending side or the
+// connection has failed. It peeks at the next byte without consuming it, so a
+// pipelined request is not lost.
+func (c *conn) isCallerGone() bool {
 	sys, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -13,12 +13,12 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// errorBody is the JSON body of a failure.
+// errorBody is the JSON body of an error answer.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
 
-// errorDetail tells a failure.
+// errorDetail describes an error.
 type errorDetail struct {
 	Type         string          `json:"type"`
 	Outcome      outcome.Outcome `json:"outcome"`
@@ -28,8 +28,8 @@
 	RetryAfterMs int64           `json:"retry_after_ms,omitempty"`
 }
 
-// statusByReason gives the HTTP status of requests that were not run;
-// reasons not listed give 503.
+// statusByReason maps reasons to the HTTP status of requests that were not run.
+// Other reasons have status 503.
 var statusByReason = map[outcome.Reason]int{
 	outcome.BadRequest:      fasthttp.StatusBadRequest,
 	outcome.BodyTruncated:   fasthttp.StatusBadRequest,
@@ -46,8 +46,8 @@
 	outcome.Quarantined:     fasthttp.StatusUnprocessableEntity,
 }
 
-// typeByStatus gives the error type of the chat-completions convention;
-// statuses not listed give server_error.
+// typeByStatus maps HTTP statuses to the error types of the chat-completions
+// API. Other statuses have the type server_error.
 var typeByStatus = map[int]string{
 	fasthttp.StatusBadRequest:            "invalid_request_error",
 	fasthttp.StatusNotFound:              "invalid_request_error",
@@ -61,7 +61,7 @@
 	fasthttp.StatusGatewayTimeout:        "timeout_error",
 }
 
-// statusOf gives the HTTP status of a failure.
+// statusOf returns the HTTP status for an error.
 func statusOf(err *outcome.Error) int {
 	switch err.Outcome {
 	case outcome.AlreadyRun, outcome.Running:
@@ -75,7 +75,8 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-// unknownStatus tells a failure by time from others.
+// unknownStatus returns the HTTP status for the outcome Unknown: 504 if the
+// reason is a timeout, otherwise 502.
 func unknownStatus(reason outcome.Reason) int {
 	switch reason {
 	case outcome.UpstreamStalled, outcome.DeadlineExpired, outcome.DeadlineUnreachable:
@@ -85,7 +86,7 @@
 	}
 }
 
-// newErrorBody makes the JSON body of a failure.
+// newErrorBody returns the JSON body for an error.
 func newErrorBody(id ids.Request, err *outcome.Error) *errorBody {
 	kind, ok := typeByStatus[statusOf(err)]
 	if !ok {
@@ -101,30 +102,30 @@
 		Reason:       err.Reason,
 		Message:      message,
 		RequestID:    id,
-		RetryAfterMs: roundUp(err.RetryAfter, time.Millisecond),
+		RetryAfterMs: ceilUnits(err.RetryAfter, time.Millisecond),
 	}}
 }
 
-// writeError answers with a failure.
+// writeError writes an error answer.
 func writeError(ctx *fasthttp.RequestCtx, id ids.Request, err *outcome.Error) {
 	writeJSON(ctx, statusOf(err), newErrorBody(id, err))
 	setOutcome(ctx, id, err.Outcome)
 	if err.RetryAfter > 0 {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(roundUp(err.RetryAfter, time.Second), 10))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(ceilUnits(err.RetryAfter, time.Second), 10))
 	}
 }
 
-// roundUp counts the units in d, a part of one as a whole.
-func roundUp(d, unit time.Duration) int64 {
+// ceilUnits returns d in the given unit, rounded up; 0 if d is negative.
+func ceilUnits(d, unit time.Duration) int64 {
 	if d <= 0 {
 		return 0
 	}
 	return int64((d-1)/unit) + 1
 }
 
-// unreadError tells why a request could not be read. The error's own text may
-// cite headers, so it is not passed on.
-func unreadError(err error) *outcome.Error {
+// refusalOfReadError converts a read error of fasthttp to a refusal. It does
+// not include the error's text, which may quote headers.
+func refusalOfReadError(err error) *outcome.Error {
 	var small *fasthttp.ErrSmallBuffer
 	var broken fasthttp.ErrBrokenChunk
 	var timeout net.Error
@@ -133,7 +134,7 @@
 		return outcome.Refuse(outcome.BodyTooLarge, "the body is too large", 0)
 	case errors.As(err, &small):
 		return badRequest("the head is too large")
-	case errors.As(err, &broken), err == io.ErrUnexpectedEOF: // it is wrapped when the head was cut
+	case errors.As(err, &broken), err == io.ErrUnexpectedEOF: // a wrapped one means that the head was cut off
 		return outcome.Refuse(outcome.BodyTruncated, "the request ended early", 0)
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return outcome.Refuse(outcome.BodyTruncated, "the request came too slowly", 0)
--- a/adapter/caller/exchange.go
+++ b/adapter/caller/exchange.go
@@ -16,52 +16,53 @@
 type exchange struct {
 	server *Server
 	id     ids.Request
-	// call is nil until the request was found good.
+	// call is nil until the request has been parsed.
 	call *call.Call
-	// conn is nil when the connection was not made by our listener.
-	conn  *conn
-	probe *time.Ticker
+	// conn is nil if the connection was not accepted by a listener of this
+	// package.
+	conn        *conn
+	probeTicker *time.Ticker
 }
 
-// next is what a wait ended with.
-type next int
+// waitResult is the kind of event that ended a wait.
+type waitResult int
 
 const (
-	nextToken next = iota
-	nextEnd
-	nextGone
+	waitToken waitResult = iota
+	waitEnd
+	waitCallerGone
 )
 
 // answer waits for the admitted call and writes its answer.
 func (x *exchange) answer(ctx *fasthttp.RequestCtx) {
-	x.probe = time.NewTicker(x.server.options.ProbeInterval)
+	x.probeTicker = time.NewTicker(x.server.options.ProbeInterval)
 	if x.call.Chat != nil && x.call.Stream {
 		x.answerStream(ctx)
 		return
 	}
-	defer x.probe.Stop()
+	defer x.probeTicker.Stop()
 	x.answerWhole(ctx)
 }
 
-// answerWhole writes an answer that is not streamed.
+// answerWhole collects the tokens and writes an answer that is not streamed.
 func (x *exchange) answerWhole(ctx *fasthttp.RequestCtx) {
 	var text strings.Builder
 	for {
-		t, what := x.wait()
-		switch what {
-		case nextToken:
+		t, result := x.wait()
+		switch result {
+		case waitToken:
 			text.WriteString(t.Text)
-		case nextGone:
+		case waitCallerGone:
 			ctx.SetConnectionClose()
 			return
-		case nextEnd:
+		case waitEnd:
 			x.writeWhole(ctx, text.String())
 			return
 		}
 	}
 }
 
-// writeWhole writes the answer of a call that ended.
+// writeWhole writes the answer of a call that has ended.
 func (x *exchange) writeWhole(ctx *fasthttp.RequestCtx, text string) {
 	if err := x.call.Err(); err != nil {
 		writeError(ctx, x.id, err)
@@ -74,53 +75,56 @@
 	writePlain(ctx, x.call)
 }
 
-// answerStream waits for the first token or the end, since the status goes
-// out first, and leaves the rest to the stream's goroutine.
+// answerStream waits for the first token or the end of the call, which decides
+// the HTTP status. It leaves the rest to the goroutine of the stream.
 func (x *exchange) answerStream(ctx *fasthttp.RequestCtx) {
-	first, what := x.wait()
-	if what == nextToken || what == nextEnd && x.call.Err() == nil {
-		s := &stream{exchange: x, first: first, began: what == nextToken}
+	first, result := x.wait()
+	if result == waitToken || result == waitEnd && x.call.Err() == nil {
+		s := &stream{exchange: x, first: first, hasFirst: result == waitToken}
 		s.start(ctx)
 		return
 	}
-	x.probe.Stop()
-	if what == nextGone {
+	x.probeTicker.Stop()
+	if result == waitCallerGone {
 		ctx.SetConnectionClose()
 		return
 	}
 	writeError(ctx, x.id, x.call.Err())
 }
 
-// wait gives the next token, or tells that the call ended, all its tokens
-// taken, or that the caller went away, of which the Admitter is then told.
-func (x *exchange) wait() (engineapi.Token, next) {
+// wait returns the next token, or reports that the call has ended and all its
+// tokens were taken, or that the caller is gone. In the last case it has also
+// notified the Admitter.
+func (x *exchange) wait() (engineapi.Token, waitResult) {
 	for {
 		select {
 		case t := <-x.call.Tokens():
-			return t, nextToken
+			return t, waitToken
 		case <-x.call.Done():
-			return x.rest()
-		case <-x.probe.C:
-			if x.conn != nil && x.conn.gone() {
-				x.gone()
-				return engineapi.Token{}, nextGone
+			return x.remaining()
+		case <-x.probeTicker.C:
+			if x.conn != nil && x.conn.isCallerGone() {
+				x.reportCallerGone()
+				return engineapi.Token{}, waitCallerGone
 			}
 		}
 	}
 }
 
-// rest gives the tokens still waiting after the end, one a call.
-func (x *exchange) rest() (engineapi.Token, next) {
+// remaining returns the next token still buffered after the end of the call, or
+// waitEnd.
+func (x *exchange) remaining() (engineapi.Token, waitResult) {
 	select {
 	case t := <-x.call.Tokens():
-		return t, nextToken
+		return t, waitToken
 	default:
-		return engineapi.Token{}, nextEnd
+		return engineapi.Token{}, waitEnd
 	}
 }
 
-// gone tells the Admitter that the caller went away; each exchange ends with it.
-func (x *exchange) gone() {
+// reportCallerGone notifies the call and the Admitter that the caller is gone.
+// No exchange calls it twice, because each one ends after it.
+func (x *exchange) reportCallerGone() {
 	x.server.options.Log.Debug().Str("request", string(x.id)).Str("reason", string(outcome.CallerGone)).Msg("caller gone")
 	x.call.MarkCallerGone()
 	x.server.options.Admitter.CallerGone(x.id)
--- a/adapter/caller/fake_test.go
+++ b/adapter/caller/fake_test.go
@@ -23,19 +23,20 @@
 
 var testNow = time.Unix(1000, 0)
 
-// gate hands each admitted request to the test, or refuses.
-type gate struct {
+// fakeAdmitter passes each admitted request to the test, or refuses it if
+// refusal is set.
+type fakeAdmitter struct {
 	admitted chan admission
 	gone     chan ids.Request
 	refusal  *outcome.Error
 }
 
 type admission struct {
-	arrive router.RequestArrived
-	call   *call.Call
+	arrived router.RequestArrived
+	call    *call.Call
 }
 
-func (g *gate) Admit(a router.RequestArrived, c *call.Call) *outcome.Error {
+func (g *fakeAdmitter) Admit(a router.RequestArrived, c *call.Call) *outcome.Error {
 	if g.refusal != nil {
 		return g.refusal
 	}
@@ -43,29 +44,29 @@
 	return nil
 }
 
-func (g *gate) CallerGone(id ids.Request) { g.gone <- id }
+func (g *fakeAdmitter) CallerGone(id ids.Request) { g.gone <- id }
 
-// bench is a server with its gate.
-type bench struct {
-	*gate
+// testServer is a running Server with its fakeAdmitter.
+type testServer struct {
+	*fakeAdmitter
 	server  *Server
 	address string
 	served  chan error
 	counted chan outcome.Reason
 }
 
-func start(t *testing.T, edit func(*Options)) *bench {
+func startServer(t *testing.T, edit func(*Options)) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	b := &bench{
-		gate:    &gate{admitted: make(chan admission, 8), gone: make(chan ids.Request, 8)},
-		address: l.Addr().String(),
-		served:  make(chan error, 1),
-		counted: make(chan outcome.Reason, 8),
+	b := &testServer{
+		fakeAdmitter: &fakeAdmitter{admitted: make(chan admission, 8), gone: make(chan ids.Request, 8)},
+		address:      l.Addr().String(),
+		served:       make(chan error, 1),
+		counted:      make(chan outcome.Reason, 8),
 	}
 	o := Options{
-		Admitter: b.gate, NewID: func() ids.Request { return "r1" }, Now: func() time.Time { return testNow },
+		Admitter: b.fakeAdmitter, NewID: func() ids.Request { return "r1" }, Now: func() time.Time { return testNow },
 		MaxBodyBytes: 1000, ProbeInterval: time.Millisecond, Count: func(r outcome.Reason) { b.counted <- r },
 	}
 	if edit != nil {
@@ -81,14 +82,14 @@
 	return b
 }
 
-// client is one connection of a caller.
+// client is a caller's connection.
 type client struct {
 	t *testing.T
 	*net.TCPConn
 	r *bufio.Reader
 }
 
-func (b *bench) dial(t *testing.T) *client {
+func (b *testServer) dial(t *testing.T) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", b.address)
 	must(t, err)
@@ -104,8 +105,9 @@
 	return c
 }
 
-// head reads an answer's head; the body is left to be read as a stream.
-func (c *client) head() *fasthttp.Response {
+// readHead reads the head of an answer. The body remains to be read as a
+// stream.
+func (c *client) readHead() *fasthttp.Response {
 	c.t.Helper()
 	resp := &fasthttp.Response{StreamBody: true}
 	resp.Header.SetNoDefaultContentType(true)
@@ -115,10 +117,10 @@
 	return resp
 }
 
-// answer reads a whole answer.
-func (c *client) answer() (*fasthttp.Response, string) {
+// readAnswer reads a complete answer.
+func (c *client) readAnswer() (*fasthttp.Response, string) {
 	c.t.Helper()
-	resp := c.head()
+	resp := c.readHead()
 	body, err := io.ReadAll(resp.BodyStream())
 	if err != nil {
 		c.t.Fatal(err)
@@ -126,7 +128,7 @@
 	return resp, string(body)
 }
 
-// raw makes a request's bytes.
+// raw returns the bytes of an HTTP request.
 func raw(method, target, body string, headers ...string) string {
 	lines := append([]string{method + " " + target + " HTTP/1.1", "Host: x", fmt.Sprintf("Content-Length: %d", len(body))}, headers...)
 	return strings.Join(lines, "\r\n") + "\r\n\r\n" + body
@@ -134,7 +136,7 @@
 
 func chat(body string, headers ...string) string { return raw("POST", ChatPath, body, headers...) }
 
-const goodChat = `{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":7,"priority":2,"unknown":{}}`
+const validChat = `{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":7,"priority":2,"unknown":{}}`
 
 const streamChat = `{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":true}`
 
@@ -154,7 +156,7 @@
 	return e.Error
 }
 
-// must, equal and failIf end the test.
+// must, equal and failIf fail the test at once.
 func must(t *testing.T, err error) {
 	t.Helper()
 	failIf(t, err != nil, "%v", err)
@@ -166,9 +168,9 @@
 	failIf(t, diff != "", "%s", diff)
 }
 
-func failIf(t *testing.T, bad bool, format string, args ...any) {
+func failIf(t *testing.T, failed bool, format string, args ...any) {
 	t.Helper()
-	if bad {
+	if failed {
 		t.Fatalf(format, args...)
 	}
 }
--- a/adapter/caller/fingerprint.go
+++ b/adapter/caller/fingerprint.go
@@ -7,7 +7,8 @@
 	"mimosaarch.example/decide/quarantine"
 )
 
-// fingerprint tells a request from others and is the same for its repeats.
+// fingerprint returns a hash that identifies the content of a request and is
+// the same for its repetitions.
 func fingerprint(ctx *fasthttp.RequestCtx, service ids.Service, path string) string {
 	return string(quarantine.FingerprintOf([]byte(service), ctx.Method(), []byte(path), ctx.URI().QueryString(), ctx.PostBody()))
 }
--- a/adapter/caller/options.go
+++ b/adapter/caller/options.go
@@ -1,7 +1,7 @@
-// Package caller takes the callers' requests over HTTP: it checks their form,
-// refuses bad ones with a typed reason, hands good ones over, and writes the
-// answer back, as a stream of tokens or as a whole. It notices callers that
-// go away, also while their requests wait.
+// Package caller serves requests from callers over HTTP. It validates each
+// request, refuses an invalid one with a typed reason, passes a valid one on,
+// and writes the answer as a stream of tokens or in one piece. It detects
+// callers that disconnect, even while their request is waiting.
 package caller
 
 import (
@@ -16,15 +16,15 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Admitter is where checked requests are handed over. Its methods are called from
-// many goroutines and must not block.
+// Admitter accepts valid requests. Its methods are called from many goroutines
+// and must not block.
 type Admitter interface {
-	// Admit takes the request over, or refuses it at once. After nil the
-	// gate ends the call by Call.Finish.
+	// Admit accepts a request or refuses it. If it returns nil, the Admitter
+	// must end the call by Call.Finish.
 	Admit(router.RequestArrived, *call.Call) *outcome.Error
-	// CallerGone tells, at most once a request, that the caller of an admitted
-	// request went away before its answer was whole. It may cross with the
-	// call's Finish.
+	// CallerGone reports, at most once per request, that the caller of an
+	// admitted request disconnected before its answer was complete. It may be
+	// called concurrently with or after Call.Finish.
 	CallerGone(ids.Request)
 }
 
@@ -43,47 +43,53 @@
 	DefaultProbeInterval  = 100 * time.Millisecond
 )
 
-// Options sets up a Server. Admitter and NewID are required; other zero fields
-// take the defaults.
+// Options configures a Server. Admitter and NewID are required. Zero values of
+// the other fields stand for their defaults.
 type Options struct {
 	Admitter Admitter
-	// Ready tells the balancer whether to send callers here; nil means always.
-	// Any goroutine calls it.
+	// Ready reports whether the load balancer should send callers to this node.
+	// Nil means always. It is called from any goroutine.
 	Ready func() bool
-	// NewID names a request, uniquely in the fleet; any goroutine calls it.
+	// NewID returns a request ID that is unique in the fleet. It is called from
+	// any goroutine.
 	NewID func() ids.Request
-	// Now is the node's clock; nil means time.Now.
+	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
-	// MaxBodyBytes is the most bytes of a request's body, MaxHeaderBytes of its head.
+	// MaxBodyBytes limits the body of a request, and MaxHeaderBytes its request
+	// line and headers.
 	MaxBodyBytes, MaxHeaderBytes int
-	// MaxTokens bounds max_tokens; DefaultTokens stands in for a missing one.
+	// MaxTokens limits max_tokens. DefaultTokens is used for a request without
+	// max_tokens.
 	MaxTokens, DefaultTokens int
-	// MaxPriority bounds priority, which starts from 0.
+	// MaxPriority limits priority, which starts at 0.
 	MaxPriority int
-	// MaxConnections is the most connections open at once.
+	// MaxConnections limits the open connections.
 	MaxConnections int
-	// Call bounds the answer side of each call.
+	// Call configures the token buffer of each call.
 	Call call.Options
-	// ReadTimeout bounds the reading of one request.
+	// ReadTimeout limits the time to read one request.
 	ReadTimeout time.Duration
-	// WriteTimeout bounds each write to a caller. It is best below the
-	// calls' StallAfter, so that a stuck caller counts as gone first.
+	// WriteTimeout limits each write to a caller. It should be shorter than
+	// call.Options.StallAfter, so that a blocked caller is detected as gone
+	// before it counts as slow.
 	WriteTimeout time.Duration
-	// IdleTimeout bounds the wait for a connection's next request.
+	// IdleTimeout limits the wait for the next request on a connection.
 	IdleTimeout time.Duration
-	// MaxTimeout is the longest time remaining a caller may give.
+	// MaxTimeout limits the timeout that a caller may set for a request.
 	MaxTimeout time.Duration
-	// ProbeInterval is the pace of the check that a waiting caller is there.
+	// ProbeInterval is the time between checks that a waiting caller is still
+	// connected.
 	ProbeInterval time.Duration
-	// Count is told the reason of each request refused here that never
-	// reached the Admitter; nil means not counted. Any goroutine calls it.
+	// Count is called with the reason of each request that this package refused
+	// before it reached the Admitter. Nil means that refusals are not counted.
+	// It is called from any goroutine.
 	Count func(outcome.Reason)
-	// Log takes debug lines; the zero Logger writes nothing. Keys and
+	// Log receives debug messages. The zero Logger writes nothing. Keys and
 	// bodies are never logged.
 	Log zerolog.Logger
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns o with defaults for zero fields.
 func (o Options) withDefaults() Options {
 	o.MaxBodyBytes = defaults.Positive(o.MaxBodyBytes, DefaultMaxBodyBytes)
 	o.MaxHeaderBytes = defaults.Positive(o.MaxHeaderBytes, DefaultMaxHeaderBytes)
--- a/adapter/caller/read.go
+++ b/adapter/caller/parse.go
@@ -13,54 +13,58 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Headers that callers send.
+// Headers of requests.
 const (
-	// IdempotencyKeyHeader names a request, so that repeats are known.
+	// IdempotencyKeyHeader holds a key that the caller repeats when it retries
+	// a request.
 	IdempotencyKeyHeader = "Idempotency-Key"
-	// TimeoutHeader is the time until the request's deadline, in milliseconds.
+	// TimeoutHeader holds the time until the request's deadline in
+	// milliseconds.
 	TimeoutHeader = "Mimosa-Timeout-Ms"
 )
 
-// maxKey is the most bytes of an idempotency key, maxBearer of a bearer key.
+// maxIdempotencyKeyBytes limits an idempotency key, and maxBearerKeyBytes a
+// bearer key.
 const (
-	maxKey    = 255
-	maxBearer = 4096
+	maxIdempotencyKeyBytes = 255
+	maxBearerKeyBytes      = 4096
 )
 
-// bearerScheme is the one scheme of Authorization taken.
+// bearerScheme is the only accepted scheme of the Authorization header.
 const bearerScheme = "bearer"
 
-// read checks a request's form and makes its call.
-func (x *exchange) read(ctx *fasthttp.RequestCtx) (router.RequestArrived, *outcome.Error) {
-	arrive := router.RequestArrived{ID: x.id}
-	if err := x.readHeaders(ctx, &arrive); err != nil {
-		return arrive, err
+// parse parses and validates a request and creates its call.
+func (x *exchange) parse(ctx *fasthttp.RequestCtx) (router.RequestArrived, *outcome.Error) {
+	arrived := router.RequestArrived{ID: x.id}
+	if err := x.parseHeaders(ctx, &arrived); err != nil {
+		return arrived, err
 	}
 	path := string(ctx.Path())
 	if path == ChatPath && ctx.IsPost() {
-		return arrive, x.readChat(ctx, &arrive)
+		return arrived, x.parseChat(ctx, &arrived)
 	}
-	if service, rest, ok := plainTarget(path); ok {
-		return arrive, x.readPlain(ctx, &arrive, service, rest)
+	if service, rest, ok := splitServicePath(path); ok {
+		return arrived, x.parsePlain(ctx, &arrived, service, rest)
 	}
-	return arrive, outcome.Refuse(outcome.UnknownService, "no such path or method", 0)
+	return arrived, outcome.Refuse(outcome.UnknownService, "no such path or method", 0)
 }
 
-// readHeaders takes key, idempotency key and deadline.
-func (x *exchange) readHeaders(ctx *fasthttp.RequestCtx, arrive *router.RequestArrived) *outcome.Error {
+// parseHeaders parses the bearer key, the idempotency key and the timeout.
+func (x *exchange) parseHeaders(ctx *fasthttp.RequestCtx, arrived *router.RequestArrived) *outcome.Error {
 	var err *outcome.Error
-	if arrive.KeySHA256, err = bearerHash(ctx); err != nil {
+	if arrived.KeySHA256, err = bearerHash(ctx); err != nil {
 		return err
 	}
-	if arrive.IdempotencyKey, err = idempotencyKey(ctx); err != nil {
+	if arrived.IdempotencyKey, err = idempotencyKey(ctx); err != nil {
 		return err
 	}
-	arrive.Deadline, err = x.deadline(ctx)
+	arrived.Deadline, err = x.deadline(ctx)
 	return err
 }
 
-// single gives the value of a header that may come once; empty when absent.
-func single(ctx *fasthttp.RequestCtx, name string) (string, *outcome.Error) {
+// singleHeader returns the value of a header, or "" if it is absent. It refuses
+// a repeated header.
+func singleHeader(ctx *fasthttp.RequestCtx, name string) (string, *outcome.Error) {
 	values := ctx.Request.Header.PeekAll(name)
 	if len(values) > 1 {
 		return "", badRequest("header " + name + " came more than once")
@@ -71,40 +75,41 @@
 	return string(values[0]), nil
 }
 
-// bearerHash gives the hex SHA-256 of the bearer key; empty when none came.
+// bearerHash returns the SHA-256 of the bearer key in hexadecimal, or "" if
+// there is no Authorization header.
 func bearerHash(ctx *fasthttp.RequestCtx) (string, *outcome.Error) {
-	value, err := single(ctx, fasthttp.HeaderAuthorization)
+	value, err := singleHeader(ctx, fasthttp.HeaderAuthorization)
 	if err != nil || value == "" {
 		return "", err
 	}
 	scheme, key, _ := strings.Cut(value, " ")
 	key = strings.TrimSpace(key)
-	if !strings.EqualFold(scheme, bearerScheme) || key == "" || len(key) > maxBearer {
+	if !strings.EqualFold(scheme, bearerScheme) || key == "" || len(key) > maxBearerKeyBytes {
 		return "", outcome.Refuse(outcome.Unauthorized, "a bearer key is needed", 0)
 	}
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:]), nil
 }
 
-// idempotencyKey gives the caller's key; empty when none came.
+// idempotencyKey returns the idempotency key, or "" if there is none.
 func idempotencyKey(ctx *fasthttp.RequestCtx) (string, *outcome.Error) {
-	key, err := single(ctx, IdempotencyKeyHeader)
+	key, err := singleHeader(ctx, IdempotencyKeyHeader)
 	if err != nil {
 		return "", err
 	}
 	if len(ctx.Request.Header.PeekAll(IdempotencyKeyHeader)) == 1 && key == "" {
 		return "", badRequest(IdempotencyKeyHeader + " is empty")
 	}
-	if len(key) > maxKey || !printable(key) {
+	if len(key) > maxIdempotencyKeyBytes || !isPrintable(key) {
 		return "", badRequest(IdempotencyKeyHeader + " is too long or not printable ASCII")
 	}
 	return key, nil
 }
 
-// deadline puts the time remaining on the node's own clock; zero when none
-// came.
+// deadline returns the deadline of the request by this node's clock, or the
+// zero time if the caller set no timeout.
 func (x *exchange) deadline(ctx *fasthttp.RequestCtx) (time.Time, *outcome.Error) {
-	value, err := single(ctx, TimeoutHeader)
+	value, err := singleHeader(ctx, TimeoutHeader)
 	if err != nil || value == "" {
 		return time.Time{}, err
 	}
@@ -122,8 +127,8 @@
 	return x.server.options.Now().Add(time.Duration(ms) * time.Millisecond), nil
 }
 
-// printable reports whether s is printable ASCII without spaces.
-func printable(s string) bool {
+// isPrintable reports whether s consists of printable ASCII without spaces.
+func isPrintable(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -132,7 +137,7 @@
 	return true
 }
 
-// badRequest makes the refusal of a malformed request.
+// badRequest returns the refusal of a malformed request.
 func badRequest(detail string) *outcome.Error {
 	return outcome.Refuse(outcome.BadRequest, detail, 0)
 }
--- a/adapter/caller/plain.go
+++ b/adapter/caller/plain.go
@@ -12,9 +12,9 @@
 	"mimosaarch.example/decide/router"
 )
 
-// passedHeaders are the names of a plain call's headers that pass to the
-// upstream. The bearer key does not, nor does the idempotency key: it is
-// scoped to a client account, which the upstream does not know.
+// passedHeaders are the headers of a plain call that are passed to the
+// upstream. The bearer key is not passed. Neither is the idempotency key,
+// because it is scoped to a client account, which the upstream does not know.
 var passedHeaders = []string{
 	fasthttp.HeaderContentType,
 	fasthttp.HeaderContentEncoding,
@@ -27,10 +27,10 @@
 	fasthttp.HeaderIfUnmodifiedSince,
 }
 
-// readPlain makes the call of a plain service.
-func (x *exchange) readPlain(ctx *fasthttp.RequestCtx, arrive *router.RequestArrived, service, path string) *outcome.Error {
+// parsePlain parses a request to a plain service into x.call and arrived.
+func (x *exchange) parsePlain(ctx *fasthttp.RequestCtx, arrived *router.RequestArrived, service, path string) *outcome.Error {
 	query := string(ctx.URI().QueryString())
-	if err := checkTarget(ctx, service, path, query); err != nil {
+	if err := validateTarget(ctx, service, path, query); err != nil {
 		return err
 	}
 	method := string(ctx.Method())
@@ -39,29 +39,30 @@
 		Method: method,
 		Path:   path,
 		Query:  query,
-		Header: passed(ctx),
+		Header: copyPassedHeaders(ctx),
 		Body:   bytes.Clone(ctx.PostBody()),
 	}
-	arrive.Service = ids.Service(service)
-	arrive.Method = method
-	arrive.Path = path
-	arrive.Fingerprint = fingerprint(ctx, arrive.Service, path)
+	arrived.Service = ids.Service(service)
+	arrived.Method = method
+	arrived.Path = path
+	arrived.Fingerprint = fingerprint(ctx, arrived.Service, path)
 	return nil
 }
 
-// checkTarget refuses what can't be passed on as the caller meant it.
-func checkTarget(ctx *fasthttp.RequestCtx, service, path, query string) *outcome.Error {
+// validateTarget refuses methods and targets that cannot be passed to the
+// upstream unchanged.
+func validateTarget(ctx *fasthttp.RequestCtx, service, path, query string) *outcome.Error {
 	original := strings.ToLower(string(ctx.URI().PathOriginal()))
 	switch {
 	case ctx.IsConnect() || ctx.IsTrace():
 		return badRequest("method: not passed on")
-	case len(service) > maxService:
+	case len(service) > maxServiceNameBytes:
 		return badRequest("service: the name is too long")
 	case strings.Contains(original, "%2f"):
 		return badRequest("path: an encoded slash is not passed on")
 	case strings.ContainsFunc(path, isControl):
 		return badRequest("path: control character")
-	case query != "" && !printable(query):
+	case query != "" && !isPrintable(query):
 		return badRequest("query: not encoded")
 	default:
 		return nil
@@ -71,8 +72,9 @@
 // isControl reports whether r is an ASCII control character.
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// passed copies the headers that pass to the upstream.
-func passed(ctx *fasthttp.RequestCtx) [][2]string {
+// copyPassedHeaders returns the headers of a request that are passed to the
+// upstream.
+func copyPassedHeaders(ctx *fasthttp.RequestCtx) [][2]string {
 	var out [][2]string
 	for _, name := range passedHeaders {
 		for _, value := range ctx.Request.Header.PeekAll(name) {
--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -11,36 +11,37 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// Paths that callers use.
+// Paths of the HTTP API.
 const (
 	ChatPath     = "/v1/chat/completions"
 	ServicesPath = "/v1/services/"
-	// LivePath and ReadyPath are for the platform's balancer: whether the
-	// process works, and whether it should be sent callers.
+	// LivePath and ReadyPath are health checks for the platform's load
+	// balancer: whether the process is running, and whether it should receive
+	// requests.
 	LivePath  = "/livez"
 	ReadyPath = "/readyz"
 )
 
-// Server takes callers' requests. Any goroutine may call its methods.
+// Server serves HTTP requests from callers. It is safe for concurrent use.
 type Server struct {
 	options Options
 	http    *fasthttp.Server
 }
 
-// New makes a Server.
+// New returns a Server with the given options.
 func New(o Options) *Server {
 	o = o.withDefaults()
 	s := &Server{options: o}
 	s.http = &fasthttp.Server{
 		Handler:                      s.handle,
-		ErrorHandler:                 s.refuseUnread,
+		ErrorHandler:                 s.refuseUnreadable,
 		Concurrency:                  o.MaxConnections,
 		ReadBufferSize:               o.MaxHeaderBytes,
 		MaxRequestBodySize:           o.MaxBodyBytes,
 		ReadTimeout:                  o.ReadTimeout,
 		IdleTimeout:                  o.IdleTimeout,
 		CloseOnShutdown:              true,
-		ReduceMemoryUsage:            true, // also sends each answer off before a pipelined request is served
+		ReduceMemoryUsage:            true, // also flushes each answer before the next pipelined request is served
 		DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader:        true,
 		SecureErrorLogMessage:        true,
@@ -49,39 +50,40 @@
 	return s
 }
 
-// Serve takes connections from l until Shutdown, which makes it give nil, or
-// until l fails, whose error it gives.
+// Serve accepts connections from l. It returns nil after Shutdown, or the error
+// of l.
 func (s *Server) Serve(l net.Listener) error {
 	return s.http.Serve(&listener{Listener: l, writeTimeout: s.options.WriteTimeout})
 }
 
-// Shutdown takes no further connections, closes idle ones and waits until
-// every open request is answered, or until ctx ends, whose error it gives.
+// Shutdown stops accepting connections, closes idle ones and waits until all
+// open requests are answered. If ctx ends first, it returns the error of ctx.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// handle serves one request that was read whole.
+// handle serves one request that was read completely.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if s.checked(ctx) {
+	if s.handleHealthCheck(ctx) {
 		return
 	}
 	x := &exchange{server: s, id: s.options.NewID()}
 	x.conn, _ = ctx.Conn().(*conn)
-	arrive, refusal := x.read(ctx)
+	arrived, refusal := x.parse(ctx)
 	if refusal != nil {
 		s.refuse(ctx, x, refusal)
 		return
 	}
-	if err := s.options.Admitter.Admit(arrive, x.call); err != nil {
+	if err := s.options.Admitter.Admit(arrived, x.call); err != nil {
 		writeError(ctx, x.id, err)
 		return
 	}
 	x.answer(ctx)
 }
 
-// checked answers a health check; it reports whether the request was one.
-func (s *Server) checked(ctx *fasthttp.RequestCtx) bool {
+// handleHealthCheck answers a health check and reports whether the request is
+// one.
+func (s *Server) handleHealthCheck(ctx *fasthttp.RequestCtx) bool {
 	if !ctx.IsGet() {
 		return false
 	}
@@ -97,26 +99,28 @@
 	return false
 }
 
-// refuse answers a request that never reached the Admitter.
+// refuse answers and counts a request that is refused before it reaches the
+// Admitter.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, x *exchange, err *outcome.Error) {
 	s.options.Count(err.Reason)
 	writeError(ctx, x.id, err)
 }
 
-// refuseUnread answers a request that could not be read whole. The rest of
-// its bytes is taken before the connection closes, so that the caller can
-// still read the answer.
-func (s *Server) refuseUnread(ctx *fasthttp.RequestCtx, err error) {
+// refuseUnreadable answers a request that could not be read completely. The
+// connection discards the rest of the request before it closes, so that the
+// caller can read the answer.
+func (s *Server) refuseUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	if c, ok := ctx.Conn().(*conn); ok {
 		c.linger.Store(true)
 	}
 	x := &exchange{server: s, id: s.options.NewID()}
-	s.refuse(ctx, x, unreadError(err))
+	s.refuse(ctx, x, refusalOfReadError(err))
 }
 
-// plainTarget splits the path of a plain call into the service and the path
-// at the service.
-func plainTarget(path string) (service, rest string, ok bool) {
+// splitServicePath splits the path of a plain call into the service name and
+// the path within the service. ok is false if the path is not under
+// ServicesPath or has no service name.
+func splitServicePath(path string) (service, rest string, ok bool) {
 	tail, ok := strings.CutPrefix(path, ServicesPath)
 	if !ok {
 		return "", "", false
@@ -125,7 +129,7 @@
 	return service, "/" + rest, service != ""
 }
 
-// httpLogger passes fasthttp's own lines to the log.
+// httpLogger writes the messages of fasthttp to the debug log.
 type httpLogger struct{ log zerolog.Logger }
 
 // Printf implements fasthttp.Logger.
--- a/adapter/caller/stream.go
+++ b/adapter/caller/stream.go
@@ -11,18 +11,21 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// doneData ends a whole stream.
-const doneData = "[DONE]"
+// doneMarker is the data of the last event of a complete stream.
+const doneMarker = "[DONE]"
 
-// stream writes a streamed answer. Its goroutine is fasthttp's for the body,
-// which outlives the handler and so does not touch the RequestCtx.
+// stream writes a streamed answer. It runs in the goroutine in which fasthttp
+// writes the body. That goroutine outlives the request handler, so it must not
+// use the RequestCtx.
 type stream struct {
 	*exchange
-	first engineapi.Token
-	began bool
+	// first is the first token; hasFirst is false if the call ended without
+	// one.
+	first    engineapi.Token
+	hasFirst bool
 }
 
-// start sends the head; the rest follows in the body's goroutine.
+// start sets the status and headers and lets fasthttp call run for the body.
 func (s *stream) start(ctx *fasthttp.RequestCtx) {
 	ctx.SetStatusCode(fasthttp.StatusOK)
 	ctx.SetContentType("text/event-stream")
@@ -33,25 +36,25 @@
 
 // run writes tokens until the call ends or the caller is gone.
 func (s *stream) run(w *bufio.Writer) {
-	defer s.probe.Stop()
-	t, what := s.first, nextToken
-	if !s.began {
-		what = nextEnd
+	defer s.probeTicker.Stop()
+	t, result := s.first, waitToken
+	if !s.hasFirst {
+		result = waitEnd
 	}
-	for what == nextToken {
-		if s.token(w, t) != nil {
-			s.gone()
+	for result == waitToken {
+		if s.writeToken(w, t) != nil {
+			s.reportCallerGone()
 			return
 		}
-		t, what = s.wait()
+		t, result = s.wait()
 	}
-	if what == nextEnd && s.end(w) != nil && s.call.Err() == nil {
-		s.gone()
+	if result == waitEnd && s.writeEnd(w) != nil && s.call.Err() == nil {
+		s.reportCallerGone()
 	}
 }
 
-// token writes one token's chunk and sends it off.
-func (s *stream) token(w *bufio.Writer, t engineapi.Token) error {
+// writeToken writes and flushes the chunk of one token.
+func (s *stream) writeToken(w *bufio.Writer, t engineapi.Token) error {
 	chunk := newChunk(s.call)
 	chunk.Choices[0].Delta.Content = &t.Text
 	if _, err := w.WriteString("id: " + strconv.Itoa(t.Index) + "\n"); err != nil {
@@ -63,23 +66,23 @@
 	return w.Flush()
 }
 
-// end writes what closes the stream: the end marker of a whole answer, else
-// the error, which has no [DONE] after it.
-func (s *stream) end(w *bufio.Writer) error {
+// writeEnd writes the end of the stream: the final chunk and the done marker,
+// or the error without a done marker.
+func (s *stream) writeEnd(w *bufio.Writer) error {
 	if err := s.call.Err(); err != nil {
-		return s.fail(w, err)
+		return s.writeFailure(w, err)
 	}
-	if err := writeData(w, lastChunk(s.call)); err != nil {
+	if err := writeData(w, newFinalChunk(s.call)); err != nil {
 		return err
 	}
-	if _, err := w.WriteString("data: " + doneData + "\n\n"); err != nil {
+	if _, err := w.WriteString("data: " + doneMarker + "\n\n"); err != nil {
 		return err
 	}
 	return w.Flush()
 }
 
-// fail writes a failure midstream.
-func (s *stream) fail(w *bufio.Writer, err *outcome.Error) error {
+// writeFailure writes an error as the last event of a stream.
+func (s *stream) writeFailure(w *bufio.Writer, err *outcome.Error) error {
 	if err := writeData(w, newErrorBody(s.id, err)); err != nil {
 		return err
 	}
--- a/adapter/peer/conn_test.go
+++ b/adapter/peer/conn_test.go
@@ -59,8 +59,8 @@
 			server := start(t, "a", "z1", func(o *Options) { o.TLS = c.server })
 			client := startWithSeed(t, "b", "z1", server, c.client)
 			refusals := func() int64 { return client.count(HandshakesFailed) + client.count(DigestsMissed) }
-			client.waitFor(t, "a refusal", func() bool { return refusals() > 2 })
-			server.waitFor(t, "a refusal", func() bool { return server.count(HandshakesFailed) > 0 })
+			client.waitFor(t, "refused", func() bool { return refusals() > 2 })
+			server.waitFor(t, "refused", func() bool { return server.count(HandshakesFailed) > 0 })
 			if client.count(DigestsSent) > 0 || server.count(DigestsAccepted) > 0 {
 				t.Fatal("a digest was exchanged")
 			}
@@ -85,7 +85,7 @@
 	}
 	server := start(t, "a", "z1", func(o *Options) { o.TLS = issue(t, ca, time.Hour) })
 	startWithSeed(t, "b", "z1", server, nil)
-	server.waitFor(t, "a refusal", func() bool { return server.count(HandshakesFailed) > 0 })
+	server.waitFor(t, "refused", func() bool { return server.count(HandshakesFailed) > 0 })
 }
 
 // connect opens a JSON-RPC connection to a node.
@@ -132,7 +132,7 @@
 		}
 	}
 	n.digestFrom(t, "x")
-	n.waitFor(t, "refusal of the repeated digest", func() bool { return n.count(DigestsStale) == 1 })
+	n.waitFor(t, "the repeat is refused", func() bool { return n.count(DigestsStale) == 1 })
 }
 
 func TestOversizedMessageEndsTheConnection(t *testing.T) {
@@ -171,5 +171,5 @@
 	if err := connect(t, n).Call(t.Context(), peerapi.MethodDigest, digest, nil); err == nil {
 		t.Fatal("a second connection was served")
 	}
-	n.waitFor(t, "a refusal", func() bool { return n.count(LinksRefused) > 0 })
+	n.waitFor(t, "refused", func() bool { return n.count(LinksRefused) > 0 })
 }
--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -145,7 +145,7 @@
 
 // send queues a digest on the link to an address and creates the link if
 // needed, within MaxLinks.
-func (l *loop) send(ctx context.Context, now time.Time, address string, own *localDigest) {
+func (l *loop) send(ctx context.Context, now time.Time, address string, digest *localDigest) {
 	k := l.links[address]
 	if k == nil {
 		if len(l.links) >= l.opts.MaxLinks {
@@ -156,7 +156,7 @@
 		l.links[address] = k
 	}
 	k.lastUsed = now
-	k.offer(outgoing{digest: own, madeAt: now})
+	k.offer(outgoing{digest: digest, madeAt: now})
 }
 
 // closeIdle closes the links that were not used for IdleTimeout.
--- a/adapter/peer/service_test.go
+++ b/adapter/peer/service_test.go
@@ -152,7 +152,7 @@
 		select {
 		case <-n.bump:
 		case <-limit:
-			n.locked(func() { t.Fatalf("timeout waiting for %s; counts %v", what, n.counts) })
+			n.locked(func() { t.Fatalf("timeout before condition %q; counts %v", what, n.counts) })
 		}
 	}
 }
@@ -281,7 +281,7 @@
 func TestSilentLinkIsClosed(t *testing.T) {
 	silent := listenSilent(t)
 	a := start(t, "a", "z1", func(o *Options) { o.Seeds, o.CallTimeout = []string{silent}, 20*time.Millisecond })
-	a.waitFor(t, "a closed link", func() bool { return a.count(LinksSilent) > 0 })
+	a.waitFor(t, "the link is closed", func() bool { return a.count(LinksSilent) > 0 })
 	if missed := a.count(DigestsMissed); missed < maxMissedReplies {
 		t.Fatalf("closed after %d missed replies", missed)
 	}
