--- a/adapter/peer/claim_serve.go
+++ b/adapter/peer/claim_serve.go
@@ -74,8 +74,9 @@
 
 // decodeClaimOp converts a claim message to an operation. It returns false if
 // the message has no valid clock reading. The sender received the reading
-// before it sent the message, so a deadline computed from the reading is never
-// later than the sender's, however long the message was in transit.
+// before it sent the message, so a deadline computed from the reading, less the
+// possible clock drift, is never later than the sender's, however long the
+// message was in transit.
 func decodeClaimOp(m peerapi.Claim) (claim.Op, bool) {
 	if m.ClockNs == 0 || m.ClockNs > clockNow() {
 		return claim.Op{}, false
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -137,17 +137,17 @@
 // if that peer has no list of VMs yet.
 func (s *Service) digestReply(to peerapi.Digest) peerapi.DigestReply {
 	state := s.local.Load()
-	own := &state.digest
+	local := &state.digest
 	out := peerapi.DigestReply{
 		VM:             s.opts.VM,
 		Zone:           s.opts.Zone,
 		Boot:           s.opts.Boot,
-		ConfigDigest:   own.ConfigDigest,
-		ConfigRevision: own.ConfigRevision,
+		ConfigDigest:   local.ConfigDigest,
+		ConfigRevision: local.ConfigRevision,
 		VMsRevision:    s.vms.Load().Revision,
 		HeldBase:       s.bases.seqOf(to.VM, to.Boot),
 	}
-	if own.Seq > 0 {
+	if local.Seq > 0 {
 		digest := state.forPeer(to.HeldBase)
 		out.Digest = &digest
 	}
--- a/adapter/peer/loop.go
+++ b/adapter/peer/loop.go
@@ -100,13 +100,13 @@
 	l.mu.Lock()
 	commands := l.members.Tick(now)
 	l.mu.Unlock()
-	own, err := l.makeDigest(ctx)
+	local, err := l.makeDigest(ctx)
 	if err != nil {
 		l.opts.Count(DigestsSkipped, 1)
 	}
 	for _, command := range commands {
 		if send, ok := command.(member.Send); ok && err == nil {
-			l.send(ctx, now, send.Address, own)
+			l.send(ctx, now, send.Address, local)
 		}
 	}
 	l.reportGone(commands)
@@ -138,9 +138,9 @@
 	digest.Seq = l.seq
 	digest.Address = l.opts.Advertise
 	digest.VMsRevision = l.vms.Load().Revision
-	own := newLocalDigest(digest, l.local.Load())
-	l.local.Store(own)
-	return own, digest.Validate()
+	local := newLocalDigest(digest, l.local.Load())
+	l.local.Store(local)
+	return local, digest.Validate()
 }
 
 // send queues a digest on the link to an address and creates the link if
--- a/adapter/peer/options.go
+++ b/adapter/peer/options.go
@@ -48,12 +48,13 @@
 }
 
 // Feed is the part of configfeed.Feed that a Service uses. Digest returns a
-// hash of the configuration, Summary the version of each key, Newer the objects
-// that are newer than theirs, up to maxBytes, and Offer submits objects.
+// hash of the configuration and Summary the version of each key. Newer returns
+// the objects that are newer than those in peerSummary, up to maxBytes in
+// total. Offer submits objects received from a peer.
 type Feed interface {
 	Digest(ctx context.Context) (uint64, error)
 	Summary(ctx context.Context) ([]configorder.KeyVersion, error)
-	Newer(ctx context.Context, theirs []configorder.KeyVersion, maxBytes int) ([]platformapi.Object, error)
+	Newer(ctx context.Context, peerSummary []configorder.KeyVersion, maxBytes int) ([]platformapi.Object, error)
 	Offer(objects []platformapi.Object) error
 }
 
@@ -151,8 +152,8 @@
 	// IdleTimeout is the time after which unused links and connections are
 	// closed. Default 30s.
 	IdleTimeout time.Duration
-	// BackoffMin and BackoffMax limit the wait after a failed dial, which
-	// doubles with each failure and has half of it randomized. Defaults 100ms
+	// BackoffMin and BackoffMax limit the wait after a failed dial. The wait
+	// doubles with each failure, and up to half of it is random. Defaults 100ms
 	// and 2s.
 	BackoffMin, BackoffMax time.Duration
 	// PullInterval is the least time between two pulls from the same peer.
--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -53,17 +53,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case job := <-p.pulls.Out():
-			p.fetch(ctx, job)
+		case req := <-p.pulls.Out():
+			p.fetch(ctx, req)
 		}
 	}
 }
 
 // fetch makes a pull unless the last one from this peer was less than
 // PullInterval ago.
-func (p *puller) fetch(ctx context.Context, job pull) {
+func (p *puller) fetch(ctx context.Context, req pull) {
 	now := time.Now()
-	last := p.last[job.vm]
+	last := p.last[req.vm]
 	if now.Sub(last.startedAt) < p.opts.PullInterval {
 		return
 	}
@@ -71,20 +71,20 @@
 		clear(p.last)
 	}
 	last.startedAt = now
-	if job.wantVMs && job.vmsRevision > p.vms.Load().Revision {
-		p.fetchVMs(ctx, job)
+	if req.wantVMs && req.vmsRevision > p.vms.Load().Revision {
+		p.fetchVMs(ctx, req)
 	}
-	if job.wantConfig {
-		last = p.fetchConfig(ctx, job, last)
+	if req.wantConfig {
+		last = p.fetchConfig(ctx, req, last)
 	}
-	p.last[job.vm] = last
+	p.last[req.vm] = last
 }
 
 // fetchVMs requests the list of VMs and passes it to the loop.
-func (p *puller) fetchVMs(ctx context.Context, job pull) {
+func (p *puller) fetchVMs(ctx context.Context, req pull) {
 	var out peerapi.VMsReply
-	ask := peerapi.VMs{AfterRevision: p.vms.Load().Revision}
-	if err := p.call(ctx, job.conn, peerapi.MethodVMs, ask, &out); err != nil {
+	params := peerapi.VMs{AfterRevision: p.vms.Load().Revision}
+	if err := p.call(ctx, req.conn, peerapi.MethodVMs, params, &out); err != nil {
 		p.opts.Count(PullsFailed, 1)
 		return
 	}
@@ -96,24 +96,24 @@
 // fetchConfig pulls configuration and returns the new state of the peer. It
 // does not ask a peer that had nothing newer again until either configuration
 // has changed.
-func (p *puller) fetchConfig(ctx context.Context, job pull, last pullState) pullState {
+func (p *puller) fetchConfig(ctx context.Context, req pull, last pullState) pullState {
 	callCtx, cancel := context.WithTimeout(ctx, p.opts.CallTimeout)
 	defer cancel()
-	ours, err := p.opts.Feed.Digest(callCtx)
-	if err != nil || ours == job.configDigest {
+	ownDigest, err := p.opts.Feed.Digest(callCtx)
+	if err != nil || ownDigest == req.configDigest {
 		return last
 	}
-	if last.empty && last.peerDigest == job.configDigest && last.ownDigest == ours {
+	if last.empty && last.peerDigest == req.configDigest && last.ownDigest == ownDigest {
 		return last
 	}
 	last.empty = false
-	count, err := p.pullObjects(ctx, job.conn)
+	count, err := p.pullObjects(ctx, req.conn)
 	if err != nil {
 		p.opts.Count(PullsFailed, 1)
 		return last
 	}
 	if count == 0 {
-		last.empty, last.peerDigest, last.ownDigest = true, job.configDigest, ours
+		last.empty, last.peerDigest, last.ownDigest = true, req.configDigest, ownDigest
 	}
 	return last
 }
@@ -127,13 +127,13 @@
 	if err != nil {
 		return 0, err
 	}
-	ask := peerapi.Pull{Summary: encodeSummary(summary)}
-	if err := ask.Validate(); err != nil {
+	params := peerapi.Pull{Summary: encodeSummary(summary)}
+	if err := params.Validate(); err != nil {
 		return 0, err
 	}
 	p.opts.Count(Pulls, 1)
 	var out peerapi.PullReply
-	if err := p.call(ctx, conn, peerapi.MethodPull, ask, &out); err != nil {
+	if err := p.call(ctx, conn, peerapi.MethodPull, params, &out); err != nil {
 		return 0, err
 	}
 	if len(out.Objects) == 0 {
--- a/adapter/peer/service_test.go
+++ b/adapter/peer/service_test.go
@@ -85,8 +85,8 @@
 	return out, nil
 }
 
-func (f feed) Newer(_ context.Context, theirs []configorder.KeyVersion, most int) (out []platformapi.Object, _ error) {
-	f.locked(func() { out = f.store.Newer(theirs, most) })
+func (f feed) Newer(_ context.Context, peerSummary []configorder.KeyVersion, maxBytes int) (out []platformapi.Object, _ error) {
+	f.locked(func() { out = f.store.Newer(peerSummary, maxBytes) })
 	return out, nil
 }
 
