--- a/core/fleet/parse.go
+++ b/core/fleet/parse.go
@@ -10,7 +10,7 @@
 )
 
 // MaxDocumentBytes limits the size of a document. It is below the platform's limit
-// for a value, because Encode adds the defaults.
+// for a value, because Encode may write more bytes than Parse read.
 const MaxDocumentBytes = 768 << 10
 
 // Parse parses one YAML document and fills in the defaults. Unknown fields are
