--- a/mimosactl/bench/bench.go
+++ b/mimosactl/bench/bench.go
@@ -105,7 +105,7 @@
 	if err := o.check(); err != nil {
 		return Result{}, err
 	}
-	cfg := standins.Today(o.Scale)
+	cfg := standins.Large(o.Scale)
 	f := &fixture{options: o, config: cfg}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-func TestTodayIsWhole(t *testing.T) {
-	cfg := Today(1)
+func TestLargeIsComplete(t *testing.T) {
+	cfg := Large(1)
 	if len(cfg.Engines) != 30 || len(cfg.Plains) != 3 {
 		t.Fatalf("%d engines, %d plain upstreams", len(cfg.Engines), len(cfg.Plains))
 	}
@@ -165,7 +165,7 @@
 			}
 		}
 	}
-	if half := Today(0.5); half.Engines[0].Engine.Rate*2 != cfg.Engines[0].Engine.Rate {
+	if half := Large(0.5); half.Engines[0].Engine.Rate*2 != cfg.Engines[0].Engine.Rate {
 		t.Error("rates don't follow the scale")
 	}
 }
--- a/standin/fleet/ready.go
+++ b/standin/fleet/ready.go
@@ -55,10 +55,10 @@
 	farLink  = linkKind{latencyUs: 2000, rate: 40}
 )
 
-// Today is a set of today's size: 3 zones, 30 engines of 3 unequal stages on
+// Large is a set of today's size: 3 zones, 30 engines of 3 unequal stages on
 // unlike accelerators and links, and 3 plain upstreams. All rates are
 // multiplied by scale.
-func Today(scale float64) Config {
+func Large(scale float64) Config {
 	cfg := Config{Layers: todayLayers, Plains: onePlainEach()}
 	for z, zone := range zoneNames {
 		for k, stage := range todayKinds {
