--- a/standin/fleet/change.go
+++ b/standin/fleet/change.go
@@ -53,7 +53,7 @@
 	defer f.mu.Unlock()
 	m, ok := f.byID[id]
 	if !ok {
-		return &UnknownError{ID: id}
+		return &UnknownUpstreamError{ID: id}
 	}
 	return do(m)
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -11,11 +11,11 @@
 	"mimosaarch.example/standin/platform"
 )
 
-// UnknownError tells that a set has no engine or plain upstream of a name.
-type UnknownError struct{ ID string }
+// UnknownUpstreamError tells that a set has no engine or plain upstream of a name.
+type UnknownUpstreamError struct{ ID string }
 
 // Error implements error.
-func (e *UnknownError) Error() string { return fmt.Sprintf("no upstream %q", e.ID) }
+func (e *UnknownUpstreamError) Error() string { return fmt.Sprintf("no upstream %q", e.ID) }
 
 // Fleet is a running set of stand-ins. All methods may be called from any
 // goroutine.
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -139,7 +139,7 @@
 	if err := control.Get(after.Addr(), engineapi.LoadPath, nil); err != nil {
 		t.Error(err)
 	}
-	var unknown *UnknownError
+	var unknown *UnknownUpstreamError
 	if err := f.Kill("none"); !errors.As(err, &unknown) {
 		t.Errorf("error %v", err)
 	}
