--- a/standin/fleet/change.go
+++ b/standin/fleet/change.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// Leave lists an upstream as leaving; it goes on running.
-func (f *Fleet) Leave(id string) error {
+// MarkLeaving lists an upstream as leaving; it goes on running.
+func (f *Fleet) MarkLeaving(id string) error {
 	return f.change(id, func(m *member) error {
 		m.vm.State = platformapi.StateLeaving
 		f.publish()
@@ -38,8 +38,8 @@
 	})
 }
 
-// Remove takes an upstream off the list; it goes on running.
-func (f *Fleet) Remove(id string) error {
+// Unpublish takes an upstream off the list; it goes on running.
+func (f *Fleet) Unpublish(id string) error {
 	return f.change(id, func(m *member) error {
 		m.gone = true
 		f.publish()
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -119,7 +119,7 @@
 	f := start(t, cfg)
 	const id = "head-szeged-a-0"
 	before := f.Engine(id)
-	if err := errors.Join(f.Leave(id), f.Kill(id), f.Remove("booking-szeged-a")); err != nil {
+	if err := errors.Join(f.MarkLeaving(id), f.Kill(id), f.Unpublish("booking-szeged-a")); err != nil {
 		t.Fatal(err)
 	}
 	vms := listed(t, f)
