--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -26,7 +26,7 @@
 	if c.Link != nil {
 		l, ok := e.links[c.Link.To]
 		if !ok {
-			return &LinkError{To: c.Link.To}
+			return &UnknownLinkError{To: c.Link.To}
 		}
 		l.change(*c.Link)
 	}
--- a/standin/engine/fault.go
+++ b/standin/engine/fault.go
@@ -41,11 +41,11 @@
 	Cut bool `json:"cut,omitempty"`
 }
 
-// LinkError tells that a control names a link the engine does not have.
-type LinkError struct{ To string }
+// UnknownLinkError tells that a control names a link the engine does not have.
+type UnknownLinkError struct{ To string }
 
 // Error implements error.
-func (e *LinkError) Error() string { return "no link to " + e.To }
+func (e *UnknownLinkError) Error() string { return "no link to " + e.To }
 
 // faults are those in force. It is safe for concurrent use.
 type faults struct {
