--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -142,9 +142,9 @@
 }
 
 // ordersSeen reads the orders that an engine was given.
-func ordersSeen(t *testing.T, address string) []engine.OrderSeen {
+func ordersSeen(t *testing.T, address string) []engine.OrderRecord {
 	t.Helper()
-	var seen []engine.OrderSeen
+	var seen []engine.OrderRecord
 	if err := control.Get(address, engine.OrdersPath, &seen); err != nil {
 		t.Fatal(err)
 	}
@@ -297,7 +297,7 @@
 }
 
 // checkFences checks that the orders an engine obeyed never went back.
-func checkFences(t *testing.T, name string, seen []engine.OrderSeen) {
+func checkFences(t *testing.T, name string, seen []engine.OrderRecord) {
 	t.Helper()
 	highest, terms := int64(0), 0
 	for _, s := range seen {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -34,7 +34,7 @@
 	held engineapi.Order
 	// fence is the highest seen in an order.
 	fence  int64
-	orders []OrderSeen
+	orders []OrderRecord
 }
 
 // Start starts an engine. The error tells that the address could not be
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -10,8 +10,8 @@
 // maxOrders bounds the orders remembered.
 const maxOrders = 4096
 
-// OrderSeen is one order the engine was given, and whether it obeyed.
-type OrderSeen struct {
+// OrderRecord is one order the engine was given, and whether it obeyed.
+type OrderRecord struct {
 	Order   engineapi.Order `json:"order"`
 	Applied bool            `json:"applied"`
 }
@@ -39,7 +39,7 @@
 	defer e.mu.Unlock()
 	applied := !e.cfg.CheckFence || order.Fence >= e.fence
 	if len(e.orders) < maxOrders {
-		e.orders = append(e.orders, OrderSeen{Order: order, Applied: applied})
+		e.orders = append(e.orders, OrderRecord{Order: order, Applied: applied})
 	}
 	if !applied {
 		return false
@@ -50,10 +50,10 @@
 }
 
 // Orders lists the orders given so far, the first 4096 of them.
-func (e *Engine) Orders() []OrderSeen {
+func (e *Engine) Orders() []OrderRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]OrderSeen{}, e.orders...)
+	return append([]OrderRecord{}, e.orders...)
 }
 
 // Held gives what the engine holds.
