--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -69,7 +69,7 @@
 // check gives the code and message of the refusal of a request, empty when it
 // may start.
 func (e *Engine) check(req *engineapi.ChatRequest) (code, message string) {
-	held := e.Held()
+	held := e.CurrentOrder()
 	switch {
 	case e.faults.isLeaving():
 		return engineapi.CodeLeaving, ""
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -261,7 +261,7 @@
 		} else {
 			decode[engineapi.OrderReply](t, resp, err, fasthttp.StatusOK)
 		}
-		if got := e.Held(); got != want {
+		if got := e.CurrentOrder(); got != want {
 			t.Errorf("check %v: holds %+v, want %+v", check, got, want)
 		}
 	}
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -56,8 +56,8 @@
 	return append([]OrderRecord{}, e.orders...)
 }
 
-// Held gives what the engine holds.
-func (e *Engine) Held() engineapi.Order {
+// CurrentOrder gives what the engine holds.
+func (e *Engine) CurrentOrder() engineapi.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.held
