--- a/standin/link/gate.go
+++ b/standin/link/gate.go
@@ -39,11 +39,11 @@
 	BytesPerSecond int64 `json:"bytes_per_second,omitempty"`
 }
 
-// ModeError tells that a mode is unknown.
-type ModeError struct{ Mode Mode }
+// UnknownModeError tells that a mode is unknown.
+type UnknownModeError struct{ Mode Mode }
 
 // Error implements error.
-func (e *ModeError) Error() string { return "unknown mode " + string(e.Mode) }
+func (e *UnknownModeError) Error() string { return "unknown mode " + string(e.Mode) }
 
 // valid reports whether the mode is one of those above.
 func (c Control) valid() bool {
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -91,7 +91,7 @@
 // unknown, or that the address could not be listened on again.
 func (r *Relay) Control(c Control) error {
 	if !c.valid() {
-		return &ModeError{Mode: c.Mode}
+		return &UnknownModeError{Mode: c.Mode}
 	}
 	r.gate.set(c)
 	switch c.Mode {
