--- a/standin/engine/main.go
+++ b/standin/engine/main.go
@@ -18,8 +18,8 @@
 		cfg.OnCrash = func() { os.Exit(ExitCrash) }
 		return Start(cfg)
 	}
-	files := func(s *Engine) []cmd.File {
-		return []cmd.File{{Name: cfg.AddrFile, Addr: s.Addr()}}
+	files := func(s *Engine) []cmd.AddrFile {
+		return []cmd.AddrFile{{Name: cfg.AddrFile, Addr: s.Addr()}}
 	}
 	return cmd.Main("engine", &cfg, args, start, files)
 }
--- a/standin/internal/cmd/cmd.go
+++ b/standin/internal/cmd/cmd.go
@@ -67,14 +67,14 @@
 	Close()
 }
 
-// File receives an address; an empty name stands for none.
-type File struct{ Name, Addr string }
+// AddrFile receives an address; an empty name stands for none.
+type AddrFile struct{ Name, Addr string }
 
 // Main runs a stand-in as a command until SIGTERM and gives its exit code. It
 // reads args, those after the program's name, into options, a pointer to a
 // struct with flag tags, before it calls start; files lists where the running
 // stand-in's addresses are to be written.
-func Main[S Server](name string, options any, args []string, start func() (S, error), files func(S) []File) int {
+func Main[S Server](name string, options any, args []string, start func() (S, error), files func(S) []AddrFile) int {
 	if code, ok := Parse(name, options, args); !ok {
 		return code
 	}
--- a/standin/link/main.go
+++ b/standin/link/main.go
@@ -7,8 +7,8 @@
 func Main(args []string) int {
 	var cfg Config
 	start := func() (*Relay, error) { return Start(cfg) }
-	files := func(s *Relay) []cmd.File {
-		return []cmd.File{
+	files := func(s *Relay) []cmd.AddrFile {
+		return []cmd.AddrFile{
 			{Name: cfg.AddrFile, Addr: s.Addr()},
 			{Name: cfg.ControlFile, Addr: s.ControlAddr()},
 		}
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -222,8 +222,8 @@
 func Main(args []string) int {
 	var cfg Config
 	start := func() (*Plain, error) { return Start(cfg) }
-	files := func(s *Plain) []cmd.File {
-		return []cmd.File{{Name: cfg.AddrFile, Addr: s.Addr()}}
+	files := func(s *Plain) []cmd.AddrFile {
+		return []cmd.AddrFile{{Name: cfg.AddrFile, Addr: s.Addr()}}
 	}
 	return cmd.Main("plain", &cfg, args, start, files)
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -125,8 +125,8 @@
 func Main(args []string) int {
 	var cfg Config
 	start := func() (*Platform, error) { return Start(cfg) }
-	files := func(s *Platform) []cmd.File {
-		return []cmd.File{{Name: cfg.AddrFile, Addr: s.Addr()}}
+	files := func(s *Platform) []cmd.AddrFile {
+		return []cmd.AddrFile{{Name: cfg.AddrFile, Addr: s.Addr()}}
 	}
 	return cmd.Main("platform", &cfg, args, start, files)
 }
