--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -32,13 +32,13 @@
 
 // refuse answers a call that is not carried out.
 func refuse(ctx *fasthttp.RequestCtx, code, message string, retryMs int64) {
-	httpd.JSON(ctx, statusOf(code), engineapi.Refusal{Code: code, Message: message, RetryAfterMs: retryMs})
+	httpd.WriteJSON(ctx, statusOf(code), engineapi.Refusal{Code: code, Message: message, RetryAfterMs: retryMs})
 }
 
 // handleChat starts an attempt and streams it.
 func (e *Engine) handleChat(ctx *fasthttp.RequestCtx) {
 	var req engineapi.ChatRequest
-	if !httpd.Read(ctx, &req) {
+	if !httpd.ReadJSON(ctx, &req) {
 		return
 	}
 	if code, message := e.check(&req); code != "" {
@@ -186,5 +186,5 @@
 			reply.State = engineapi.CancelFinished
 		}
 	}
-	httpd.JSON(ctx, fasthttp.StatusOK, reply)
+	httpd.WriteJSON(ctx, fasthttp.StatusOK, reply)
 }
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -45,16 +45,16 @@
 	switch {
 	case path == ControlPath && ctx.IsPost():
 		var c Control
-		if !httpd.Read(ctx, &c) {
+		if !httpd.ReadJSON(ctx, &c) {
 			return
 		}
 		if err := e.Control(c); err != nil {
-			httpd.Bad(ctx, err.Error())
+			httpd.WriteBadRequest(ctx, err.Error())
 		}
 	case path == RunsPath && ctx.IsGet():
-		httpd.JSON(ctx, fasthttp.StatusOK, Runs{Engine: e.cfg.ID, Epoch: e.epoch, Runs: e.Runs()})
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, Runs{Engine: e.cfg.ID, Epoch: e.epoch, Runs: e.Runs()})
 	case path == OrdersPath && ctx.IsGet():
-		httpd.JSON(ctx, fasthttp.StatusOK, e.Orders())
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, e.Orders())
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -99,7 +99,7 @@
 	case path == stepPath && ctx.IsPost():
 		e.handleSteps(ctx)
 	case path == engineapi.LoadPath && ctx.IsGet():
-		httpd.JSON(ctx, fasthttp.StatusOK, e.load.get(time.Now()))
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, e.load.get(time.Now()))
 	case path == engineapi.ChatPath && ctx.IsPost():
 		e.handleChat(ctx)
 	case isStream && ctx.IsGet():
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -19,14 +19,14 @@
 // handleOrder obeys or refuses an order.
 func (e *Engine) handleOrder(ctx *fasthttp.RequestCtx) {
 	var order engineapi.Order
-	if !httpd.Read(ctx, &order) {
+	if !httpd.ReadJSON(ctx, &order) {
 		return
 	}
 	if !e.obey(order) {
 		refuse(ctx, engineapi.CodeStaleFence, "", 0)
 		return
 	}
-	httpd.JSON(ctx, fasthttp.StatusOK, engineapi.OrderReply{
+	httpd.WriteJSON(ctx, fasthttp.StatusOK, engineapi.OrderReply{
 		Engine:  e.cfg.ID,
 		Applied: true,
 		Fence:   order.Fence,
--- a/standin/engine/stage.go
+++ b/standin/engine/stage.go
@@ -55,7 +55,7 @@
 // handleSteps runs the steps of a batch.
 func (e *Engine) handleSteps(ctx *fasthttp.RequestCtx) {
 	var batch stepBatch
-	if !httpd.Read(ctx, &batch) {
+	if !httpd.ReadJSON(ctx, &batch) {
 		return
 	}
 	if !e.faults.awaitRunning(e.server.Done()) {
@@ -73,7 +73,7 @@
 		replies[i] = stepReply{WaitUs: ready.Sub(now).Microseconds()}
 		e.runs.touch(call, now)
 	}
-	httpd.JSON(ctx, fasthttp.StatusOK, stepReplies{Replies: replies})
+	httpd.WriteJSON(ctx, fasthttp.StatusOK, stepReplies{Replies: replies})
 }
 
 // step reserves this engine's part of one step and gives when its result
--- a/standin/internal/httpd/reply.go
+++ b/standin/internal/httpd/reply.go
@@ -16,8 +16,8 @@
 // codeBadRequest is the code of BadRequest.
 const codeBadRequest = "bad_request"
 
-// JSON answers with a status and a value's JSON.
-func JSON(ctx *fasthttp.RequestCtx, status int, value any) {
+// WriteJSON answers with a status and a value's WriteJSON.
+func WriteJSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		status = fasthttp.StatusInternalServerError
@@ -28,19 +28,19 @@
 	ctx.SetBody(body)
 }
 
-// Read decodes the call's JSON body into value. When it can't, it answers 400
+// ReadJSON decodes the call's JSON body into value. When it can't, it answers 400
 // and reports false.
-func Read(ctx *fasthttp.RequestCtx, value any) bool {
+func ReadJSON(ctx *fasthttp.RequestCtx, value any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), value); err != nil {
-		Bad(ctx, err.Error())
+		WriteBadRequest(ctx, err.Error())
 		return false
 	}
 	return true
 }
 
-// Bad answers 400.
-func Bad(ctx *fasthttp.RequestCtx, message string) {
-	JSON(ctx, fasthttp.StatusBadRequest, BadRequest{Code: codeBadRequest, Message: message})
+// WriteBadRequest answers 400.
+func WriteBadRequest(ctx *fasthttp.RequestCtx, message string) {
+	WriteJSON(ctx, fasthttp.StatusBadRequest, BadRequest{Code: codeBadRequest, Message: message})
 }
 
 // Drop closes the call's connection without an answer.
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -214,14 +214,14 @@
 	switch path := string(ctx.Path()); {
 	case path == ControlPath && ctx.IsPost():
 		var c Control
-		if !httpd.Read(ctx, &c) {
+		if !httpd.ReadJSON(ctx, &c) {
 			return
 		}
 		if err := r.Control(c); err != nil {
-			httpd.Bad(ctx, err.Error())
+			httpd.WriteBadRequest(ctx, err.Error())
 		}
 	case path == StatsPath && ctx.IsGet():
-		httpd.JSON(ctx, fasthttp.StatusOK, r.Stats())
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, r.Stats())
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -124,11 +124,11 @@
 	switch path := string(ctx.Path()); {
 	case path == ControlPath && ctx.IsPost():
 		var c Control
-		if httpd.Read(ctx, &c) {
+		if httpd.ReadJSON(ctx, &c) {
 			p.Control(c)
 		}
 	case path == RunsPath && ctx.IsGet():
-		httpd.JSON(ctx, fasthttp.StatusOK, p.Runs())
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, p.Runs())
 	default:
 		p.serve(ctx, path)
 	}
@@ -185,15 +185,15 @@
 	receipt, executions := p.count(string(ctx.Method()), string(ctx.PostBody()))
 	switch {
 	case path == BookingsPath && ctx.IsPost():
-		httpd.JSON(ctx, fasthttp.StatusCreated, Receipt{
+		httpd.WriteJSON(ctx, fasthttp.StatusCreated, Receipt{
 			Receipt:    p.id + "-" + strconv.Itoa(receipt),
 			Upstream:   p.id,
 			Executions: executions,
 		})
 	case path == SlotsPath && ctx.IsGet():
-		httpd.JSON(ctx, fasthttp.StatusOK, Slots{Upstream: p.id, Slots: timetable})
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, Slots{Upstream: p.id, Slots: timetable})
 	default:
-		httpd.JSON(ctx, fasthttp.StatusOK, Echo{Upstream: p.id, Method: string(ctx.Method()), Path: path})
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, Echo{Upstream: p.id, Method: string(ctx.Method()), Path: path})
 	}
 }
 
--- a/standin/platform/handler.go
+++ b/standin/platform/handler.go
@@ -79,12 +79,12 @@
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
 	case path == platformapi.ListPath:
 		p.stats.reads.Add(1)
-		httpd.JSON(ctx, fasthttp.StatusOK, p.store.list(string(ctx.QueryArgs().Peek("prefix"))))
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, p.store.list(string(ctx.QueryArgs().Peek("prefix"))))
 	case path == platformapi.WatchPath:
 		p.serveWatch(ctx)
 	case path == platformapi.VMsPath:
 		p.stats.reads.Add(1)
-		httpd.JSON(ctx, fasthttp.StatusOK, p.vms.after(int64(ctx.QueryArgs().GetUintOrZero("after"))))
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, p.vms.after(int64(ctx.QueryArgs().GetUintOrZero("after"))))
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
@@ -137,7 +137,7 @@
 		p.stats.conflicts.Add(1)
 		status = fasthttp.StatusPreconditionFailed
 	}
-	httpd.JSON(ctx, status, object)
+	httpd.WriteJSON(ctx, status, object)
 }
 
 // readIfMatch gives the call's condition; when it can't be read it answers 400.
@@ -148,7 +148,7 @@
 	}
 	version, err := strconv.ParseInt(string(header), 10, 64)
 	if err != nil || version < 0 {
-		httpd.Bad(ctx, platformapi.IfMatch+": not a version")
+		httpd.WriteBadRequest(ctx, platformapi.IfMatch+": not a version")
 		return 0, false
 	}
 	return version, true
@@ -161,7 +161,7 @@
 	prefix := string(args.Peek("prefix"))
 	after, err := strconv.ParseInt(string(args.Peek("after")), 10, 64)
 	if err != nil {
-		httpd.Bad(ctx, "after: not a revision")
+		httpd.WriteBadRequest(ctx, "after: not a revision")
 		return
 	}
 	wait := time.Duration(max(args.GetUintOrZero("wait_ms"), 0)) * time.Millisecond
@@ -170,7 +170,7 @@
 		httpd.Drop(ctx)
 		return
 	}
-	httpd.JSON(ctx, fasthttp.StatusOK, reply)
+	httpd.WriteJSON(ctx, fasthttp.StatusOK, reply)
 }
 
 // watch gives the changes above a revision, at the latest after wait. cut
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -102,19 +102,19 @@
 	switch {
 	case path == ControlPath && ctx.IsPost():
 		var c Control
-		if !httpd.Read(ctx, &c) {
+		if !httpd.ReadJSON(ctx, &c) {
 			return
 		}
 		if !p.Control(c) {
-			httpd.Bad(ctx, "mode: unknown")
+			httpd.WriteBadRequest(ctx, "mode: unknown")
 		}
 	case path == VMsControlPath && ctx.IsPut():
 		var c VMsControl
-		if httpd.Read(ctx, &c) {
+		if httpd.ReadJSON(ctx, &c) {
 			p.SetVMs(c)
 		}
 	case path == StatsPath && ctx.IsGet():
-		httpd.JSON(ctx, fasthttp.StatusOK, p.Stats())
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, p.Stats())
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
