--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -1,5 +1,6 @@
-// Package control calls the control side of the stand-ins over HTTP. It is for
-// tests, benches and the demo.
+// Package control is an HTTP client for the control API of the stand-ins, which
+// injects faults and reads back what the stand-ins recorded. Tests, benchmarks and
+// the demo use it. All functions are safe for concurrent use.
 package control
 
 import (
@@ -10,15 +11,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Path is the control path that every stand-in has; it takes its package's
-// Control by POST.
+// Path is the control path common to all stand-ins. It accepts a POST of the
+// Control value of the stand-in's package.
 const Path = "/control"
 
-// callTimeout bounds one control call.
+// callTimeout limits one control call, from connecting to the end of the response.
 const callTimeout = 5 * time.Second
 
-// CallError tells why a control call failed. Status is zero when there was no
-// answer.
+// CallError reports a control call that failed. Either Err holds the error of
+// sending the request or decoding the response, or Status and Body hold a response
+// with a status other than 200.
 type CallError struct {
 	Method, URL string
 	Status      int
@@ -34,27 +36,30 @@
 	return fmt.Sprintf("%s %s: status %d: %s", e.Method, e.URL, e.Status, e.Body)
 }
 
-// Unwrap gives the cause, nil when there was an answer.
+// Unwrap returns Err, which is nil if the stand-in answered with an error status.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Post sends a Control value to the stand-in at addr (host:port). The error is
-// a *CallError. It may be called from any goroutine, as all of this package.
+// Post sends a Control value to the stand-in at addr (host:port). The error is a
+// *CallError.
 func Post(addr string, value any) error {
 	return Call(fasthttp.MethodPost, addr, Path, value, nil)
 }
 
-// Get reads a control page into reply, a pointer. The error is a *CallError.
+// Get decodes the JSON at path of the stand-in at addr (host:port) into reply, a
+// pointer. The error is a *CallError.
 func Get(addr, path string, reply any) error {
 	return Call(fasthttp.MethodGet, addr, path, nil, reply)
 }
 
-// Put replaces a control page. The error is a *CallError.
+// Put sends value as JSON to path of the stand-in at addr (host:port), replacing
+// what is stored there. The error is a *CallError.
 func Put(addr, path string, value any) error {
 	return Call(fasthttp.MethodPut, addr, path, value, nil)
 }
 
-// Call makes one call with a JSON body (nil: none) and decodes the reply (nil:
-// dropped). The error is a *CallError.
+// Call makes one call to the stand-in at addr (host:port). It sends value as a JSON
+// body unless value is nil, and decodes the JSON response into reply unless reply is
+// nil. The error is a *CallError, also for any status other than 200.
 func Call(method, addr, path string, value, reply any) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
