--- a/standin/engine/bounded.go
+++ b/standin/engine/bounded.go
@@ -1,6 +1,6 @@
 package engine
 
-// boundedSet is a set of names that forgets the oldest beyond its bound. It is
+// boundedSet is a set of names that evicts the oldest one beyond its bound. It is
 // not safe for concurrent use.
 type boundedSet struct {
 	bound int
@@ -8,7 +8,7 @@
 	order []string
 }
 
-// newBoundedSet makes an empty set.
+// newBoundedSet returns an empty set for at most bound names.
 func newBoundedSet(bound int) *boundedSet {
 	return &boundedSet{bound: bound, names: make(map[string]struct{})}
 }
@@ -19,9 +19,9 @@
 	return ok
 }
 
-// add puts a name in the set and gives the name forgotten for it, empty when
-// none was.
-func (s *boundedSet) add(name string) (forgotten string) {
+// add puts a name in the set and returns the name evicted for it, or the empty
+// string if none was.
+func (s *boundedSet) add(name string) (evicted string) {
 	if s.has(name) {
 		return ""
 	}
@@ -30,8 +30,8 @@
 	if len(s.order) <= s.bound {
 		return ""
 	}
-	forgotten = s.order[0]
+	evicted = s.order[0]
 	s.order = s.order[1:]
-	delete(s.names, forgotten)
-	return forgotten
+	delete(s.names, evicted)
+	return evicted
 }
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -11,10 +11,10 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// busyRetryMs is the advice given with CodeBusy.
+// busyRetryMs is the retry delay advised in a refusal with CodeBusy.
 const busyRetryMs = 100
 
-// statusOf gives the HTTP status of a refusal.
+// statusOf returns the HTTP status for the code of a refusal.
 func statusOf(code string) int {
 	switch code {
 	case engineapi.CodeBusy:
@@ -30,22 +30,23 @@
 	}
 }
 
-// refuse answers a call that is not carried out.
+// refuse answers a call with a Refusal; retryMs of zero means no advice.
 func refuse(ctx *fasthttp.RequestCtx, code, message string, retryMs int64) {
 	httpd.WriteJSON(ctx, statusOf(code), engineapi.Refusal{Code: code, Message: message, RetryAfterMs: retryMs})
 }
 
-// handleChat starts an attempt and streams it.
+// handleChat serves POST ChatPath: it starts an attempt and streams its events, or
+// refuses it, or crashes the engine if the prompt calls for it.
 func (e *Engine) handleChat(ctx *fasthttp.RequestCtx) {
 	var req engineapi.ChatRequest
 	if !httpd.ReadJSON(ctx, &req) {
 		return
 	}
-	if code, message := e.check(&req); code != "" {
+	if code, message := e.checkRequest(&req); code != "" {
 		refuse(ctx, code, message, 0)
 		return
 	}
-	if e.faults.refuses() {
+	if e.faults.refuseNext() {
 		refuse(ctx, engineapi.CodeBusy, "", busyRetryMs)
 		return
 	}
@@ -58,18 +59,18 @@
 		refuse(ctx, code, "", 0)
 		return
 	}
-	if e.faults.crashes(&req) {
+	if e.faults.crashesOn(&req) {
 		e.crash()
 		httpd.Drop(ctx)
 		return
 	}
-	e.stream(ctx, r, r.base-1)
+	e.stream(ctx, r, r.firstIndex-1)
 }
 
-// check gives the code and message of the refusal of a request, empty when it
-// may start.
-func (e *Engine) check(req *engineapi.ChatRequest) (code, message string) {
-	held := e.CurrentOrder()
+// checkRequest validates a request. It returns the code and message to refuse it
+// with; the code is empty if the request may start.
+func (e *Engine) checkRequest(req *engineapi.ChatRequest) (code, message string) {
+	current := e.CurrentOrder()
 	switch {
 	case e.faults.isLeaving():
 		return engineapi.CodeLeaving, ""
@@ -79,7 +80,7 @@
 		return engineapi.CodeBadRequest, "max_tokens: not above zero"
 	case len(req.Messages) == 0:
 		return engineapi.CodeBadRequest, "messages: empty"
-	case held.Model != "" && req.Model != held.Model:
+	case current.Model != "" && req.Model != current.Model:
 		return engineapi.CodeBadRequest, "model: not held"
 	}
 	if message := e.checkChain(req.Chain); message != "" {
@@ -88,7 +89,9 @@
 	return "", ""
 }
 
-// checkChain tells what is wrong with a chain, empty when nothing is.
+// checkChain validates a chain: it must begin with this engine, cover every layer of
+// the model once, in order, and use an existing link to the second stage. It returns
+// a message that names the fault, or the empty string.
 func (e *Engine) checkChain(chain []engineapi.Stage) string {
 	if len(chain) == 0 {
 		return "chain: empty"
@@ -106,14 +109,14 @@
 	if next != e.cfg.Layers {
 		return "chain: does not tile the layers"
 	}
-	if len(chain) > 1 && !e.linked(chain[1].Engine) {
+	if len(chain) > 1 && !e.canReach(chain[1].Engine) {
 		return "chain: no link to its second stage"
 	}
 	return ""
 }
 
-// start takes a slot for an attempt and drives it; with a code, nothing was
-// started.
+// start takes a slot for an attempt and executes it in the background. It returns
+// the refusal code instead if nothing was started.
 func (e *Engine) start(req *engineapi.ChatRequest) (*run, string) {
 	ctx, cancel := runContext(req)
 	r, code := e.runs.start(req, cancel)
@@ -121,11 +124,11 @@
 		cancel()
 		return nil, code
 	}
-	go e.drive(ctx, r, req, e.faults.nextCorruption(req.MaxTokens-r.base))
+	go e.execute(ctx, r, req, e.faults.nextCorruption(req.MaxTokens-r.firstIndex))
 	return r, ""
 }
 
-// runContext makes the context of a run, which ends at the request's deadline
+// runContext returns the context of a run, which ends at the request's deadline
 // if it has one.
 func runContext(req *engineapi.ChatRequest) (context.Context, context.CancelFunc) {
 	if req.DeadlineMs > 0 {
@@ -134,7 +137,7 @@
 	return context.WithCancel(context.Background())
 }
 
-// crash ends the engine as its settings say.
+// crash calls Config.OnCrash, or closes the engine if that is nil.
 func (e *Engine) crash() {
 	if e.cfg.OnCrash != nil {
 		e.cfg.OnCrash()
@@ -143,16 +146,16 @@
 	e.Close()
 }
 
-// stream answers with a run's events after an index.
+// stream answers with the events of a run whose token index is above after.
 func (e *Engine) stream(ctx *fasthttp.RequestCtx, r *run, after int) {
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set(engineapi.AttemptHeader, strconv.Itoa(r.attempt))
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.SetBodyStream(r.follow(after, e.server.Done()), -1)
+	ctx.SetBodyStream(r.newReader(after, e.server.Done()), -1)
 }
 
-// handleRejoin streams what a run produced, and produces, after the caller's
-// last event.
+// handleRejoin serves GET on a stream: it replays the kept tokens of a run after the
+// index in the LastEventID header, then streams the new ones.
 func (e *Engine) handleRejoin(ctx *fasthttp.RequestCtx, request string) {
 	after := -1
 	if header := ctx.Request.Header.Peek(engineapi.LastEventID); len(header) > 0 {
@@ -175,10 +178,11 @@
 	e.stream(ctx, r, after)
 }
 
-// handleCancel stops a run, or makes sure it will not start.
+// handleCancel serves DELETE on a stream: it stops the run of a request, or records
+// a tombstone so that the request cannot start later.
 func (e *Engine) handleCancel(ctx *fasthttp.RequestCtx, request string) {
 	reply := engineapi.CancelReply{State: engineapi.CancelNotStarted, Epoch: e.epoch}
-	if r := e.runs.bury(request); r != nil {
+	if r := e.runs.getOrTombstone(request); r != nil {
 		before, tokens := r.stop()
 		reply.Tokens = tokens
 		reply.State = engineapi.CancelStopped
--- a/standin/engine/client_test.go
+++ b/standin/engine/client_test.go
@@ -13,13 +13,13 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// client makes one attempt at each call and streams answers.
+// client does not retry calls, and it streams response bodies.
 var client = &fasthttp.Client{
 	StreamResponseBody: true,
 	RetryIfErr:         func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 }
 
-// startEngine starts an engine that is closed with the test.
+// startEngine starts an engine and closes it at the end of the test.
 func startEngine(t *testing.T, cfg Config) *Engine {
 	t.Helper()
 	e, err := Start(cfg)
@@ -30,7 +30,8 @@
 	return e
 }
 
-// startChain starts head, mid and tail of a model of 12 layers.
+// startChain starts the engines head, mid and tail for a model of 12 layers. It
+// returns them with the chain that runs through them. head configures the first one.
 func startChain(t *testing.T, head Config) (engines []*Engine, chain []engineapi.Stage) {
 	t.Helper()
 	head.ID, head.Layers, head.First, head.Last = "head", 12, 0, 3
@@ -47,8 +48,8 @@
 	return engines, chain
 }
 
-// chatOf makes a request for n tokens.
-func chatOf(request string, n int, chain []engineapi.Stage) engineapi.ChatRequest {
+// newChatRequest returns the first attempt of a request for n tokens.
+func newChatRequest(request string, n int, chain []engineapi.Stage) engineapi.ChatRequest {
 	return engineapi.ChatRequest{
 		Messages:  []engineapi.Message{{Role: "user", Content: "which teacher " + request}},
 		MaxTokens: n,
@@ -59,7 +60,8 @@
 	}
 }
 
-// call makes one call; the header's key may be empty.
+// call makes one call with body as JSON, unless that is nil, and with the header key,
+// unless that is empty. It checks the epoch header of the response.
 func call(t *testing.T, e *Engine, method, path string, body any, key, value string) (*fasthttp.Response, error) {
 	t.Helper()
 	req := &fasthttp.Request{}
@@ -85,14 +87,14 @@
 	return resp, nil
 }
 
-// decode reads an answer's JSON and checks its status.
+// decode checks the status of a response and returns its decoded JSON body.
 func decode[T any](t *testing.T, resp *fasthttp.Response, err error, status int) T {
 	t.Helper()
 	var out T
 	if err != nil {
 		t.Fatal(err)
 	}
-	body := read(t, resp)
+	body := readBody(t, resp)
 	if resp.StatusCode() != status {
 		t.Fatalf("status %d, want %d: %s", resp.StatusCode(), status, body)
 	}
@@ -102,8 +104,8 @@
 	return out
 }
 
-// read reads a whole body.
-func read(t *testing.T, resp *fasthttp.Response) []byte {
+// readBody returns the complete body of a response.
+func readBody(t *testing.T, resp *fasthttp.Response) []byte {
 	t.Helper()
 	if resp.BodyStream() == nil {
 		return resp.Body()
@@ -115,30 +117,31 @@
 	return body
 }
 
-// stream is what came of one stream.
-type stream struct {
+// receivedStream reads one event stream and holds what was received so far.
+type receivedStream struct {
 	tokens []engineapi.Token
-	// garbled counts the events that could not be read.
+	// garbled counts the events that are not valid JSON or whose ID differs from the
+	// token index.
 	garbled int
 	done    *engineapi.Done
 	err     *engineapi.StreamError
 	scanner *bufio.Scanner
 }
 
-// open starts to read a stream.
-func open(t *testing.T, resp *fasthttp.Response, err error) *stream {
+// openStream checks the status of a response and starts to read its stream.
+func openStream(t *testing.T, resp *fasthttp.Response, err error) *receivedStream {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		t.Fatalf("status %d: %s", resp.StatusCode(), read(t, resp))
+		t.Fatalf("status %d: %s", resp.StatusCode(), readBody(t, resp))
 	}
-	return &stream{scanner: bufio.NewScanner(resp.BodyStream())}
+	return &receivedStream{scanner: bufio.NewScanner(resp.BodyStream())}
 }
 
-// next reads one event; false at the end.
-func (s *stream) next() bool {
+// next reads one event. It returns false at the end of the stream.
+func (s *receivedStream) next() bool {
 	name, id := "", -1
 	for s.scanner.Scan() {
 		key, value, _ := strings.Cut(s.scanner.Text(), ": ")
@@ -148,7 +151,7 @@
 		case "id":
 			id, _ = strconv.Atoi(value)
 		case "data":
-			s.take(name, id, []byte(value))
+			s.addEvent(name, id, []byte(value))
 		case "":
 			return true
 		}
@@ -156,8 +159,8 @@
 	return false
 }
 
-// take keeps one event.
-func (s *stream) take(name string, id int, data []byte) {
+// addEvent decodes one event and stores it.
+func (s *receivedStream) addEvent(name string, id int, data []byte) {
 	var token engineapi.Token
 	var err error
 	switch name {
@@ -178,15 +181,15 @@
 	}
 }
 
-// all reads a stream to its end.
-func (s *stream) all() *stream {
+// readAll reads the stream to its end.
+func (s *receivedStream) readAll() *receivedStream {
 	for s.next() {
 	}
 	return s
 }
 
-// text joins the texts of the tokens.
-func (s *stream) text() string {
+// text returns the joined texts of the received tokens.
+func (s *receivedStream) text() string {
 	var b strings.Builder
 	for _, token := range s.tokens {
 		b.WriteString(token.Text)
@@ -194,18 +197,18 @@
 	return b.String()
 }
 
-// chat starts a request and gives its stream.
-func chat(t *testing.T, e *Engine, req engineapi.ChatRequest) *stream {
+// chat starts a request and returns its stream.
+func chat(t *testing.T, e *Engine, req engineapi.ChatRequest) *receivedStream {
 	t.Helper()
 	resp, err := call(t, e, fasthttp.MethodPost, engineapi.ChatPath, req, "", "")
-	return open(t, resp, err)
+	return openStream(t, resp, err)
 }
 
-// rejoin gives the stream of a request after an index.
-func rejoin(t *testing.T, e *Engine, request string, after int) *stream {
+// rejoin returns the stream of a request from the token after an index.
+func rejoin(t *testing.T, e *Engine, request string, after int) *receivedStream {
 	t.Helper()
 	resp, err := call(t, e, fasthttp.MethodGet, engineapi.StreamsPath+request, nil, engineapi.LastEventID, strconv.Itoa(after))
-	return open(t, resp, err)
+	return openStream(t, resp, err)
 }
 
 // cancel cancels a request.
@@ -215,7 +218,7 @@
 	return decode[engineapi.CancelReply](t, resp, err, fasthttp.StatusOK)
 }
 
-// control changes how an engine works.
+// control posts a Control to an engine.
 func control(t *testing.T, e *Engine, c Control) {
 	t.Helper()
 	resp, err := call(t, e, fasthttp.MethodPost, ControlPath, c, "", "")
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -6,29 +6,29 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// Paths of the control calls.
+// Paths of the control API.
 const (
 	ControlPath = "/control"
 	RunsPath    = "/control/runs"
 	OrdersPath  = "/control/orders"
 )
 
-// Runs is the reply to a call for the records, oldest first.
+// Runs is the reply to GET RunsPath. Runs holds one record per request, oldest first.
 type Runs struct {
 	Engine string `json:"engine"`
 	Epoch  string `json:"epoch"`
 	Runs   []Run  `json:"runs"`
 }
 
-// Control changes how the engine works. The error is a *LinkError; nothing is
-// changed then.
+// Control injects or removes faults. If c names an unknown link it changes nothing
+// and returns an *UnknownLinkError.
 func (e *Engine) Control(c Control) error {
 	if c.Link != nil {
 		l, ok := e.links[c.Link.To]
 		if !ok {
 			return &UnknownLinkError{To: c.Link.To}
 		}
-		l.change(*c.Link)
+		l.apply(*c.Link)
 	}
 	if c.Slow != nil {
 		e.pacer.setFactor(*c.Slow)
@@ -37,10 +37,11 @@
 	return nil
 }
 
-// Runs gives the records of the requests run here, oldest first.
-func (e *Engine) Runs() []Run { return e.book.all() }
+// Runs returns the records of the newest Config.KeepRuns requests run on this
+// engine, as head or as a later stage, oldest first.
+func (e *Engine) Runs() []Run { return e.recorder.snapshot() }
 
-// handleControl answers one control call.
+// handleControl serves the control API; path begins with ControlPath.
 func (e *Engine) handleControl(ctx *fasthttp.RequestCtx, path string) {
 	switch {
 	case path == ControlPath && ctx.IsPost():
--- a/standin/engine/corrupt.go
+++ b/standin/engine/corrupt.go
@@ -6,57 +6,59 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// CorruptKind is a way to spoil a stream.
+// CorruptKind is a kind of corruption of a stream.
 type CorruptKind string
 
-// Ways to spoil a stream.
+// Kinds of corruption of a stream.
 const (
-	// SkipLayer leaves a layer out of a token's steps.
+	// SkipLayer omits one layer from the steps of a token.
 	SkipLayer CorruptKind = "skip_layer"
-	// RepeatLayer gives a token's last step twice.
+	// RepeatLayer lists the last step of a token twice.
 	RepeatLayer CorruptKind = "repeat_layer"
-	// SkipToken leaves a token out.
+	// SkipToken omits a token.
 	SkipToken CorruptKind = "skip_token"
 	// RepeatToken sends a token twice.
 	RepeatToken CorruptKind = "repeat_token"
 	// Nonsense sends an event that is not JSON in place of a token.
 	Nonsense CorruptKind = "nonsense"
-	// Truncate closes the connection after a token; the run goes on.
+	// Truncate closes the connection after a token; the run continues.
 	Truncate CorruptKind = "truncate"
 	// Reorder sends a token after the one that follows it.
 	Reorder CorruptKind = "reorder"
-	// StallStream stops before a token, without closing, until cancelled.
+	// StallStream stops before a token until the request is cancelled; the
+	// connection stays open.
 	StallStream CorruptKind = "stall"
 )
 
-// Corrupt spoils the next Count streams at the token At (counted from the
-// stream's first; the last one when it has fewer).
+// Corrupt corrupts the next Count streams at token At, counted from 0 at the first
+// token of the stream, or at the last token of a shorter stream.
 type Corrupt struct {
 	Kind  CorruptKind `json:"kind"`
 	Count int         `json:"count"`
 	At    int         `json:"at"`
 }
 
-// nonsense is the event sent by Nonsense.
+// nonsense is the invalid event that Nonsense sends.
 const nonsense = "data: {\"nonsense\n\n"
 
-// corruption spoils one stream; nil spoils nothing. It is not safe for
-// concurrent use.
+// corruption corrupts one stream at token at; nil changes nothing. last is the number
+// of the last token, and delayed holds an event that Reorder postpones. It is not
+// safe for concurrent use.
 type corruption struct {
 	kind     CorruptKind
 	at, last int
-	held     []event
+	delayed  []event
 }
 
-// apply gives the events for the n-th token of a stream.
+// apply returns the events to send for token number n of the stream, counted from 0.
 func (c *corruption) apply(token engineapi.Token, n int) []event {
-	plain := tokenEvent(token)
+	ev := tokenEvent(token)
 	if c == nil {
-		return []event{plain}
+		return []event{ev}
 	}
 	if n != c.at {
-		out := append([]event{plain}, c.held...)
-		c.held = nil
+		out := append([]event{ev}, c.delayed...)
+		c.delayed = nil
 		return out
 	}
 	switch c.kind {
@@ -67,23 +69,23 @@
 	case SkipToken:
 		return nil
 	case RepeatToken:
-		return []event{plain, plain}
+		return []event{ev, ev}
 	case Nonsense:
 		return []event{{token: token, data: []byte(nonsense)}}
 	case Truncate:
-		plain.cut = true
+		ev.cutAfter = true
 	case StallStream:
-		plain.stalls = true
+		ev.stallBefore = true
 	case Reorder:
 		if n < c.last {
-			c.held = []event{plain}
+			c.delayed = []event{ev}
 			return nil
 		}
 	}
-	return []event{plain}
+	return []event{ev}
 }
 
-// skipLayer leaves the first layer of the last step out.
+// skipLayer omits the first layer of the last step.
 func skipLayer(token engineapi.Token) engineapi.Token {
 	token.Steps = slices.Clone(token.Steps)
 	last := len(token.Steps) - 1
@@ -94,7 +96,7 @@
 	return token
 }
 
-// repeatLayer gives the last step twice.
+// repeatLayer lists the last step twice.
 func repeatLayer(token engineapi.Token) engineapi.Token {
 	last := token.Steps[len(token.Steps)-1]
 	token.Steps = append(slices.Clone(token.Steps), last)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -13,50 +13,49 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// epochBytes is the length of an epoch's random name, in bytes.
+// epochBytes is the number of random bytes in an epoch.
 const epochBytes = 8
 
-// Engine is one running stand-in. All methods may be called from any goroutine.
+// Engine is a running stand-in for a model engine. It is safe for concurrent use.
 type Engine struct {
-	cfg    Config
-	epoch  string
-	server *httpd.Server
-	faults *faults
-	pacer  *pacer
-	links  map[string]*link
-	stages *stageClients
-	runs   *registry
-	book   *book
-	load   *sampler
+	cfg      Config
+	epoch    string
+	server   *httpd.Server
+	faults   *faults
+	pacer    *pacer
+	links    map[string]*link
+	stages   *stageClients
+	runs     *registry
+	recorder *recorder
+	load     *sampler
 
 	mu sync.Mutex
-	// held is what the engine holds; orders change it.
-	held engineapi.Order
-	// fence is the highest seen in an order.
+	// current is the last applied order, or the model and layers of cfg before any.
+	current engineapi.Order
+	// fence is the highest fencing token of an applied order.
 	fence  int64
 	orders []OrderRecord
 }
 
-// Start starts an engine. The error tells that the address could not be
-// listened on.
+// Start starts an engine. The error is an *httpd.ListenError.
 func Start(cfg Config) (*Engine, error) {
 	cfg = cfg.withDefaults()
 	server, err := httpd.Listen(cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
-	book := newBook(cfg.KeepRuns, cfg.Layers)
+	recorder := newRecorder(cfg.KeepRuns, cfg.Layers)
 	e := &Engine{
-		cfg:    cfg,
-		epoch:  newEpoch(),
-		server: server,
-		faults: newFaults(),
-		pacer:  newPacer(cfg.Rate),
-		links:  newLinks(cfg.Links),
-		stages: newStageClients(millis(cfg.StageTimeoutMs), server.Done()),
-		runs:   newRegistry(cfg, book),
-		book:   book,
-		held:   engineapi.Order{Model: cfg.Model, First: cfg.First, Last: cfg.Last},
+		cfg:      cfg,
+		epoch:    newEpoch(),
+		server:   server,
+		faults:   newFaults(),
+		pacer:    newPacer(cfg.Rate),
+		links:    newLinks(cfg.Links),
+		stages:   newStageClients(millis(cfg.StageTimeoutMs), server.Done()),
+		runs:     newRegistry(cfg, recorder),
+		recorder: recorder,
+		current:  engineapi.Order{Model: cfg.Model, First: cfg.First, Last: cfg.Last},
 	}
 	e.load = newSampler(e.report, millis(cfg.LagMs))
 	go e.load.run(server.Done())
@@ -64,33 +63,33 @@
 	return e, nil
 }
 
-// millis makes a duration of a setting in milliseconds.
+// millis returns n milliseconds as a duration.
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// newEpoch makes a random name for this process life.
+// newEpoch returns a random epoch, in hexadecimal.
 func newEpoch() string {
 	raw := make([]byte, epochBytes)
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
-// Addr is the address listened on.
+// Addr returns the listen address, with its actual port.
 func (e *Engine) Addr() string { return e.server.Addr() }
 
-// ID names the engine.
+// ID returns the ID of the engine from its Config.
 func (e *Engine) ID() string { return e.cfg.ID }
 
-// Epoch names this life of the engine.
+// Epoch returns the random ID of this run of the engine. It changes with every start.
 func (e *Engine) Epoch() string { return e.epoch }
 
-// Close stops the engine at once, as a dying process would: connections are
-// closed and runs end.
+// Close stops the engine abruptly, like a killed process: it closes the connections
+// without a last response and stops the runs.
 func (e *Engine) Close() {
 	e.server.Close()
 	e.runs.closeAll()
 }
 
-// handle answers one call.
+// handle routes a call to its handler and sets the epoch header of the response.
 func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set(engineapi.EpochHeader, e.epoch)
 	path := string(ctx.Path())
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -12,8 +12,8 @@
 
 func TestWholeAnswer(t *testing.T) {
 	engines, chain := startChain(t, Config{Rate: 1e5, Links: []Link{{To: "mid", LatencyUs: 10, Rate: 1e5}}})
-	req := chatOf("r", 20, chain)
-	got := chat(t, engines[0], req).all()
+	req := newChatRequest("r", 20, chain)
+	got := chat(t, engines[0], req).readAll()
 	if want := Answer(req.Messages, 20); got.text() != want {
 		t.Errorf("text %q, want %q", got.text(), want)
 	}
@@ -33,18 +33,18 @@
 	}
 	for _, e := range engines[1:] {
 		if runs := e.Runs(); len(runs) != 1 || runs[0].Steps != 21 || len(runs[0].Attempts) != 0 {
-			t.Errorf("%s ran %+v, want 21 steps", e.ID(), runs)
+			t.Errorf("%s: runs %+v, want one with 21 steps and no attempts", e.ID(), runs)
 		}
 	}
 }
 
 func TestContinuedAnswer(t *testing.T) {
 	engines, chain := startChain(t, Config{Rate: 1e5})
-	req := chatOf("r", 10, chain)
+	req := newChatRequest("r", 10, chain)
 	for i := range 4 {
 		req.Delivered = append(req.Delivered, Text(req.Messages, i))
 	}
-	got := chat(t, engines[0], req).all()
+	got := chat(t, engines[0], req).readAll()
 	if want := Answer(req.Messages, 10); Answer(req.Messages, 4)+got.text() != want {
 		t.Errorf("text %q does not continue to %q", got.text(), want)
 	}
@@ -56,10 +56,10 @@
 func TestPromptCostsAStepPerChunk(t *testing.T) {
 	e := startEngine(t, Config{ID: "e", Rate: 1e5, PromptChunk: 2})
 	chain := []engineapi.Stage{{Engine: "e", Address: e.Addr()}}
-	req := chatOf("r", 1, chain) // three words
+	req := newChatRequest("r", 1, chain) // three words
 	req.MaxTokens = 4
 	req.Delivered = []string{"a ", "b "}
-	chat(t, e, req).all()
+	chat(t, e, req).readAll()
 	if got := e.Runs()[0].Steps; got != 3+2 {
 		t.Errorf("%d steps, want 3 for 5 prompt tokens and 2 for tokens", got)
 	}
@@ -95,7 +95,7 @@
 		{"tombstoned", nil, func() { cancel(t, head, "refused") }, 409, engineapi.CodeTombstoned},
 		{"busy", func(r *engineapi.ChatRequest) { r.Request = "second" }, func() {
 			control(t, head, Control{Stall: &yes})
-			req := chatOf("first", 5, chain)
+			req := newChatRequest("first", 5, chain)
 			req.Model = "m"
 			chat(t, head, req)
 		}, 429, engineapi.CodeBusy},
@@ -103,7 +103,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			req := chatOf("refused", 5, chain)
+			req := newChatRequest("refused", 5, chain)
 			req.Model = "m"
 			if tt.change != nil {
 				tt.change(&req)
@@ -128,16 +128,16 @@
 	engines, chain := startChain(t, Config{Rate: 1e5})
 	head := engines[0]
 	control(t, head, Control{Corrupt: &Corrupt{Kind: Truncate, Count: 1, At: 2}})
-	req := chatOf("r", 30, chain)
-	first := chat(t, head, req).all()
+	req := newChatRequest("r", 30, chain)
+	first := chat(t, head, req).readAll()
 	if len(first.tokens) != 3 || first.done != nil || first.err != nil {
 		t.Fatalf("cut stream gave %d tokens, done %v, error %v", len(first.tokens), first.done, first.err)
 	}
-	rest := rejoin(t, head, "r", 2).all()
+	rest := rejoin(t, head, "r", 2).readAll()
 	if want := Answer(req.Messages, 30); first.text()+rest.text() != want || rest.done == nil {
 		t.Errorf("joined text differs: %q", first.text()+rest.text())
 	}
-	whole := rejoin(t, head, "r", -1).all()
+	whole := rejoin(t, head, "r", -1).readAll()
 	if want := Answer(req.Messages, 30); whole.text() != want || whole.done == nil {
 		t.Errorf("ended stream gave %q", whole.text())
 	}
@@ -154,18 +154,18 @@
 	if got := cancel(t, head, "never"); got.State != engineapi.CancelNotStarted || got.Epoch != head.Epoch() {
 		t.Errorf("unknown request: %+v", got)
 	}
-	chat(t, head, chatOf("whole", 3, chain)).all()
+	chat(t, head, newChatRequest("whole", 3, chain)).readAll()
 	if got := cancel(t, head, "whole"); got.State != engineapi.CancelFinished || got.Tokens != 3 {
 		t.Errorf("finished request: %+v", got)
 	}
 	control(t, head, Control{Corrupt: &Corrupt{Kind: StallStream, Count: 1, At: 4}})
-	s := chat(t, head, chatOf("stalled", 9, chain))
+	s := chat(t, head, newChatRequest("stalled", 9, chain))
 	for len(s.tokens) < 4 && s.next() {
 	}
 	if got := cancel(t, head, "stalled"); got.State != engineapi.CancelStopped || got.Tokens != 4 {
 		t.Errorf("running request: %+v", got)
 	}
-	if s.all(); s.err == nil || s.err.Code != engineapi.CodeCancelled || len(s.tokens) != 4 {
+	if s.readAll(); s.err == nil || s.err.Code != engineapi.CodeCancelled || len(s.tokens) != 4 {
 		t.Errorf("cancelled stream ended with %+v after %d tokens", s.err, len(s.tokens))
 	}
 }
@@ -173,13 +173,13 @@
 func TestNewerAttemptStopsTheOlder(t *testing.T) {
 	engines, chain := startChain(t, Config{Rate: 1e5})
 	control(t, engines[0], Control{Corrupt: &Corrupt{Kind: StallStream, Count: 1}})
-	req := chatOf("r", 3, chain)
+	req := newChatRequest("r", 3, chain)
 	older := chat(t, engines[0], req)
 	req.Attempt = 2
-	if newer := chat(t, engines[0], req).all(); newer.done == nil || newer.done.Attempt != 2 {
+	if newer := chat(t, engines[0], req).readAll(); newer.done == nil || newer.done.Attempt != 2 {
 		t.Errorf("newer attempt ended with %+v", newer.err)
 	}
-	if older.all(); older.err == nil || older.err.Code != engineapi.CodeCancelled {
+	if older.readAll(); older.err == nil || older.err.Code != engineapi.CodeCancelled {
 		t.Errorf("older attempt ended with %+v", older.err)
 	}
 	if run := engines[0].Runs()[0]; !slices.Equal(run.Attempts, []int{1, 2}) || run.State != StateFinished {
@@ -187,7 +187,7 @@
 	}
 	engines[1].runs.mu.Lock()
 	defer engines[1].runs.mu.Unlock()
-	if _, ok := engines[1].runs.active[attemptKey{request: "r", attempt: 2}]; ok {
+	if _, ok := engines[1].runs.lastStageStep[attemptKey{request: "r", attempt: 2}]; ok {
 		t.Error("mid still counts the attempt that ended")
 	}
 }
@@ -211,7 +211,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			engines, chain := startChain(t, Config{Rate: 1e5})
 			tt.fail(t, engines)
-			got := chat(t, engines[0], chatOf("r", 20, chain)).all()
+			got := chat(t, engines[0], newChatRequest("r", 20, chain)).readAll()
 			if got.err == nil || got.err.Code != tt.code || got.err.Engine != tt.engine || len(got.tokens) != tt.tokens {
 				t.Fatalf("%d tokens, then %+v", len(got.tokens), got.err)
 			}
@@ -228,17 +228,17 @@
 	chain := []engineapi.Stage{{Engine: "e", Address: e.Addr()}}
 	text := "poison"
 	control(t, e, Control{CrashOn: &text})
-	if got := chat(t, e, chatOf("harmless", 2, chain)).all(); got.done == nil {
+	if got := chat(t, e, newChatRequest("harmless", 2, chain)).readAll(); got.done == nil {
 		t.Errorf("harmless request ended with %+v", got.err)
 	}
-	if _, err := call(t, e, fasthttp.MethodPost, engineapi.ChatPath, chatOf("poison", 2, chain), "", ""); err == nil {
+	if _, err := call(t, e, fasthttp.MethodPost, engineapi.ChatPath, newChatRequest("poison", 2, chain), "", ""); err == nil {
 		t.Error("crash gave an answer")
 	}
 	<-crashed
 	own := startEngine(t, Config{ID: "e", Rate: 1e5})
 	chain[0].Address = own.Addr()
 	control(t, own, Control{CrashOn: &text})
-	if _, err := call(t, own, fasthttp.MethodPost, engineapi.ChatPath, chatOf("poison", 2, chain), "", ""); err == nil {
+	if _, err := call(t, own, fasthttp.MethodPost, engineapi.ChatPath, newChatRequest("poison", 2, chain), "", ""); err == nil {
 		t.Error("crash gave an answer")
 	}
 	if _, err := call(t, own, fasthttp.MethodGet, engineapi.LoadPath, nil, "", ""); err == nil {
--- a/standin/engine/fault.go
+++ b/standin/engine/fault.go
@@ -7,70 +7,75 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// Control changes how the engine works; absent fields stay as they are.
+// Control injects faults into an engine. Absent fields leave their fault unchanged.
 type Control struct {
-	// Leaving refuses new requests; those that run go on.
+	// Leaving makes the engine refuse new requests with CodeLeaving and report that
+	// it is leaving; running requests continue.
 	Leaving *bool `json:"leaving,omitempty"`
-	// FailStageAfter lets that many more steps of this engine succeed, then
-	// fails FailStageCount of them (zero: one; negative: all that follow). A
-	// negative FailStageAfter ends it.
+	// FailStageAfter lets this many more steps on this engine succeed, then fails
+	// FailStageCount steps with CodeStageFailed. A FailStageCount of zero means one
+	// step, a negative one all further steps. A negative FailStageAfter removes the
+	// fault.
 	FailStageAfter *int `json:"fail_stage_after,omitempty"`
 	FailStageCount int  `json:"fail_stage_count,omitempty"`
-	// Refuse answers the next starts with CodeBusy.
+	// Refuse is how many of the next requests are refused with CodeBusy.
 	Refuse *int `json:"refuse,omitempty"`
-	// Corrupt spoils the next streams.
+	// Corrupt corrupts the next streams.
 	Corrupt *Corrupt `json:"corrupt,omitempty"`
-	// Stall stops all steps of this engine without closing anything.
+	// Stall makes all steps of this engine wait until it is false again; connections
+	// stay open.
 	Stall *bool `json:"stall,omitempty"`
-	// Slow multiplies the engine's rate; 1 is full speed.
+	// Slow is a factor on the engine's step rate; 1 restores full speed.
 	Slow *float64 `json:"slow,omitempty"`
-	// Link degrades or mends one link.
+	// Link replaces the latency, rate and cut state of one link.
 	Link *LinkChange `json:"link,omitempty"`
-	// CrashOn crashes the engine when a request starts whose prompt contains
-	// it; empty ends that.
+	// CrashOn crashes the engine when a request starts whose prompt contains this
+	// text; the empty text removes the fault.
 	CrashOn *string `json:"crash_on,omitempty"`
 }
 
-// LinkChange sets a link's figures.
+// LinkChange sets the state of the link to engine To. All fields apply: a zero
+// LatencyMs removes the latency.
 type LinkChange struct {
 	To        string  `json:"to"`
 	LatencyMs float64 `json:"latency_ms"`
-	// Rate is in token steps a second; 0 means no limit.
+	// Rate is in token steps per second; 0 means no limit.
 	Rate float64 `json:"rate"`
-	// Cut fails every step over the link.
+	// Cut makes every step over the link fail with CodeLinkFailed.
 	Cut bool `json:"cut,omitempty"`
 }
 
-// UnknownLinkError tells that a control names a link the engine does not have.
+// UnknownLinkError reports a Control with a link that the engine does not have. To
+// is the engine at its far end.
 type UnknownLinkError struct{ To string }
 
 // Error implements error.
 func (e *UnknownLinkError) Error() string { return "no link to " + e.To }
 
-// faults are those in force. It is safe for concurrent use.
+// faults holds the injected faults. It is safe for concurrent use.
 type faults struct {
 	mu      sync.Mutex
 	leaving bool
 	refuse  int
 	corrupt Corrupt
 	crashOn string
-	// failAfter counts the steps that still succeed, failing the steps that
-	// then fail, below zero all; failArmed tells that it is in force.
-	failArmed          bool
-	failAfter, failing int
-	// running is closed while the engine is not stalled.
-	running chan struct{}
+	// failArmed says that steps are to fail: after the next failAfter steps, the
+	// failLeft steps that follow, or all if failLeft is negative.
+	failArmed           bool
+	failAfter, failLeft int
+	// resumed is closed while the engine is not stalled.
+	resumed chan struct{}
 	stalled bool
 }
 
-// newFaults starts without any.
+// newFaults returns a value without any fault.
 func newFaults() *faults {
-	f := &faults{running: make(chan struct{})}
-	close(f.running)
+	f := &faults{resumed: make(chan struct{})}
+	close(f.resumed)
 	return f
 }
 
-// set puts a control in force.
+// set changes the faults that have a field in c.
 func (f *faults) set(c Control) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +85,7 @@
 	if c.FailStageAfter != nil {
 		f.failArmed = *c.FailStageAfter >= 0
 		f.failAfter = *c.FailStageAfter
-		f.failing = cmp.Or(c.FailStageCount, 1)
+		f.failLeft = cmp.Or(c.FailStageCount, 1)
 	}
 	if c.Refuse != nil {
 		f.refuse = *c.Refuse
@@ -96,42 +101,43 @@
 	}
 }
 
-// stall starts or ends a stall. The caller holds the lock.
+// stall starts or ends a stall of all steps. The caller holds the lock.
 func (f *faults) stall(on bool) {
 	if on == f.stalled {
 		return
 	}
 	f.stalled = on
 	if on {
-		f.running = make(chan struct{})
+		f.resumed = make(chan struct{})
 		return
 	}
-	close(f.running)
+	close(f.resumed)
 }
 
-// awaitRunning waits while the engine is stalled; false when stop is closed
-// first.
-func (f *faults) awaitRunning(stop <-chan struct{}) bool {
+// waitWhileStalled blocks while the engine is stalled. It returns false if stop is
+// closed first.
+func (f *faults) waitWhileStalled(stop <-chan struct{}) bool {
 	f.mu.Lock()
-	running := f.running
+	resumed := f.resumed
 	f.mu.Unlock()
 	select {
-	case <-running:
+	case <-resumed:
 		return true
 	case <-stop:
 		return false
 	}
 }
 
-// isLeaving reports whether new requests are refused.
+// isLeaving reports whether the engine refuses new requests with CodeLeaving.
 func (f *faults) isLeaving() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaving
 }
 
-// refuses reports whether this start is to be refused, and counts it.
-func (f *faults) refuses() bool {
+// refuseNext reports whether the request that is about to start must be refused, and
+// decrements the count of refusals.
+func (f *faults) refuseNext() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refuse <= 0 {
@@ -141,8 +147,9 @@
 	return true
 }
 
-// stepFails reports whether this step is to fail, and counts it.
-func (f *faults) stepFails() bool {
+// failNextStep reports whether the step that is about to run must fail, and counts
+// the step.
+func (f *faults) failNextStep() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.failArmed {
@@ -152,21 +159,22 @@
 		f.failAfter--
 		return false
 	}
-	if f.failing > 0 {
-		f.failing--
-		f.failArmed = f.failing > 0
+	if f.failLeft > 0 {
+		f.failLeft--
+		f.failArmed = f.failLeft > 0
 	}
 	return true
 }
 
-// crashes reports whether a request is to crash the engine.
-func (f *faults) crashes(req *engineapi.ChatRequest) bool {
+// crashesOn reports whether the prompt of a request contains the crash text.
+func (f *faults) crashesOn(req *engineapi.ChatRequest) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashOn != "" && promptHas(req, f.crashOn)
 }
 
-// nextCorruption gives what spoils a stream of so many tokens, nil for nothing.
+// nextCorruption returns the corruption of the next stream, which has the given
+// number of tokens, or nil if it is not to be corrupted.
 func (f *faults) nextCorruption(tokens int) *corruption {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/engine/link.go
+++ b/standin/engine/link.go
@@ -7,7 +7,8 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// link is the live state of one connection to a next stage.
+// link is the current state of one connection to a next stage. It is safe for
+// concurrent use.
 type link struct {
 	pacer *pacer
 
@@ -16,7 +17,7 @@
 	cut     bool
 }
 
-// newLinks makes the live state of the configured links, by engine.
+// newLinks returns the state of the configured links, by the engine they lead to.
 func newLinks(links []Link) map[string]*link {
 	out := make(map[string]*link, len(links))
 	for _, l := range links {
@@ -28,7 +29,8 @@
 	return out
 }
 
-// reserve gives when a step that leaves at a time arrives; false when cut.
+// reserve takes the next transmission slot for a step sent at from. It returns when
+// the step arrives, or false if the link is cut.
 func (l *link) reserve(from time.Time) (time.Time, bool) {
 	l.mu.Lock()
 	latency, cut := l.latency, l.cut
@@ -39,8 +41,8 @@
 	return l.pacer.reserve(from).Add(latency), true
 }
 
-// change degrades or mends the link.
-func (l *link) change(c LinkChange) {
+// apply replaces the latency, rate and cut state of the link.
+func (l *link) apply(c LinkChange) {
 	l.mu.Lock()
 	l.latency = time.Duration(c.LatencyMs * float64(time.Millisecond))
 	l.cut = c.Cut
@@ -48,19 +50,20 @@
 	l.pacer.setRate(c.Rate)
 }
 
-// report gives the engine's view of the link.
+// report returns the link to engine to as it appears in a load report.
 func (l *link) report(to string) engineapi.Link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return engineapi.Link{
 		To:              to,
 		LatencyUs:       l.latency.Microseconds(),
-		TokensPerSecond: l.pacer.effective(),
+		TokensPerSecond: l.pacer.effectiveRate(),
 	}
 }
 
-// linked reports whether a chain may go on from this engine to another.
-func (e *Engine) linked(to string) bool {
+// canReach reports whether a chain may continue from this engine to engine to, which
+// is empty after the last stage. Without configured links every engine is reachable.
+func (e *Engine) canReach(to string) bool {
 	if len(e.links) == 0 || to == "" {
 		return true
 	}
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -9,29 +9,31 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// sampler gives load reports that lag: a copy is taken at a fixed pace.
+// sampler serves load reports with a realistic delay: it takes a report once per
+// interval and returns that report, with its age, until the next one.
 type sampler struct {
-	take func(now time.Time) engineapi.LoadReport
-	lag  time.Duration
+	measure  func(now time.Time) engineapi.LoadReport
+	interval time.Duration
 
-	mu     sync.Mutex
-	report engineapi.LoadReport
-	at     time.Time
+	mu        sync.Mutex
+	report    engineapi.LoadReport
+	sampledAt time.Time
 }
 
-// newSampler takes a first copy; a negative lag means none.
-func newSampler(take func(time.Time) engineapi.LoadReport, lag time.Duration) *sampler {
-	s := &sampler{take: take, lag: lag}
+// newSampler takes the first report. With a negative interval, get measures on every
+// call instead.
+func newSampler(measure func(time.Time) engineapi.LoadReport, interval time.Duration) *sampler {
+	s := &sampler{measure: measure, interval: interval}
 	s.sample(time.Now())
 	return s
 }
 
-// run takes copies until done is closed.
+// run takes a report per interval until done is closed.
 func (s *sampler) run(done <-chan struct{}) {
-	if s.lag < 0 {
+	if s.interval < 0 {
 		return
 	}
-	ticker := time.NewTicker(s.lag)
+	ticker := time.NewTicker(s.interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -43,40 +45,41 @@
 	}
 }
 
-// sample takes a copy.
+// sample takes a report and stores it as the one taken at now.
 func (s *sampler) sample(now time.Time) {
-	report := s.take(now)
+	report := s.measure(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.report, s.at = report, now
+	s.report, s.sampledAt = report, now
 }
 
-// get gives the last copy with its age.
+// get returns the latest report, with its age in AgeMs.
 func (s *sampler) get(now time.Time) engineapi.LoadReport {
-	if s.lag < 0 {
-		return s.take(now)
+	if s.interval < 0 {
+		return s.measure(now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	report := s.report
-	report.AgeMs = max(now.Sub(s.at).Milliseconds(), 0)
+	report.AgeMs = max(now.Sub(s.sampledAt).Milliseconds(), 0)
 	return report
 }
 
-// report gives the engine's state at present.
+// report returns the load of the engine at now, with AgeMs zero and the links sorted
+// by target.
 func (e *Engine) report(now time.Time) engineapi.LoadReport {
 	e.mu.Lock()
-	held := e.held
+	current := e.current
 	e.mu.Unlock()
 	report := engineapi.LoadReport{
 		Engine:          e.cfg.ID,
 		Epoch:           e.epoch,
-		Model:           held.Model,
-		First:           held.First,
-		Last:            held.Last,
+		Model:           current.Model,
+		First:           current.First,
+		Last:            current.Last,
 		Slots:           e.cfg.Slots,
-		Running:         e.runs.running(now),
-		TokensPerSecond: e.pacer.effective(),
+		Running:         e.runs.countRunning(now),
+		TokensPerSecond: e.pacer.effectiveRate(),
 		Leaving:         e.faults.isLeaving(),
 	}
 	for to, l := range e.links {
--- a/standin/engine/main.go
+++ b/standin/engine/main.go
@@ -6,12 +6,12 @@
 	"mimosaarch.example/standin/internal/cmd"
 )
 
-// ExitCrash is the exit code of a command whose engine crashed.
+// ExitCrash is the exit code of the engine command after a crash by Control.CrashOn.
 const ExitCrash = 3
 
-// Main runs an engine as a command until SIGTERM; args are those after the
-// program's name. A request that crashes the engine exits the process with
-// ExitCrash.
+// Main runs an engine as a command until SIGTERM or SIGINT and returns the exit code.
+// args are the arguments after the program name. A request that crashes the engine
+// exits the process with ExitCrash.
 func Main(args []string) int {
 	var cfg Config
 	start := func() (*Engine, error) {
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -7,22 +7,25 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// maxOrders bounds the orders remembered.
-const maxOrders = 4096
+// maxOrderRecords limits the orders recorded for tests; later orders are still
+// applied or refused.
+const maxOrderRecords = 4096
 
-// OrderRecord is one order the engine was given, and whether it obeyed.
+// OrderRecord is one order that the engine received. Applied is false if the engine
+// refused it for a stale fencing token.
 type OrderRecord struct {
 	Order   engineapi.Order `json:"order"`
 	Applied bool            `json:"applied"`
 }
 
-// handleOrder obeys or refuses an order.
+// handleOrder serves POST OrdersPath. A refused order is answered with
+// CodeStaleFence.
 func (e *Engine) handleOrder(ctx *fasthttp.RequestCtx) {
 	var order engineapi.Order
 	if !httpd.ReadJSON(ctx, &order) {
 		return
 	}
-	if !e.obey(order) {
+	if !e.applyOrder(order) {
 		refuse(ctx, engineapi.CodeStaleFence, "", 0)
 		return
 	}
@@ -33,32 +36,36 @@
 	})
 }
 
-// obey takes an order, unless fences are checked and its own is old.
-func (e *Engine) obey(order engineapi.Order) bool {
+// applyOrder records an order and makes it the current one. It returns false and
+// changes nothing else if Config.CheckFence is set and the order's fencing token is
+// below the highest one applied.
+func (e *Engine) applyOrder(order engineapi.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	applied := !e.cfg.CheckFence || order.Fence >= e.fence
-	if len(e.orders) < maxOrders {
+	if len(e.orders) < maxOrderRecords {
 		e.orders = append(e.orders, OrderRecord{Order: order, Applied: applied})
 	}
 	if !applied {
 		return false
 	}
 	e.fence = max(e.fence, order.Fence)
-	e.held = order
+	e.current = order
 	return true
 }
 
-// Orders lists the orders given so far, the first 4096 of them.
+// Orders returns the orders received since the start, oldest first, at most the
+// first 4096.
 func (e *Engine) Orders() []OrderRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]OrderRecord{}, e.orders...)
 }
 
-// CurrentOrder gives what the engine holds.
+// CurrentOrder returns the last applied order, whose model and layers the engine
+// holds. Before the first order it returns those of the Config.
 func (e *Engine) CurrentOrder() engineapi.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.held
+	return e.current
 }
--- a/standin/engine/pacer.go
+++ b/standin/engine/pacer.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// pacer hands out service slots at a rate. It is safe for concurrent use.
+// pacer is a rate limiter that assigns consecutive time slots, one per step. It is
+// safe for concurrent use.
 type pacer struct {
 	mu sync.Mutex
-	// rate is in slots a second; zero means no limit. factor multiplies it.
+	// rate is in slots per second; zero means no limit. factor multiplies it.
 	rate, factor float64
-	next         time.Time
+	// next is when the next slot may start.
+	next time.Time
 }
 
-// newPacer makes a pacer of a rate.
+// newPacer returns a pacer with a rate in slots per second; zero means no limit.
 func newPacer(rate float64) *pacer { return &pacer{rate: rate, factor: 1} }
 
-// reserve takes the next slot that starts at or after from, and gives its end.
+// reserve takes the next free slot that starts at or after from and returns when it
+// ends.
 func (p *pacer) reserve(from time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,22 +33,22 @@
 	return p.next
 }
 
-// setFactor multiplies the rate from now on.
+// setFactor sets the factor on the rate of further slots.
 func (p *pacer) setFactor(factor float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.factor = factor
 }
 
-// setRate changes the rate from now on.
+// setRate sets the rate of further slots, in slots per second.
 func (p *pacer) setRate(rate float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rate = rate
 }
 
-// effective gives the rate with its factor.
-func (p *pacer) effective() float64 {
+// effectiveRate returns the rate times the factor, in slots per second.
+func (p *pacer) effectiveRate() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rate * p.factor
--- a/standin/engine/parts_test.go
+++ b/standin/engine/parts_test.go
@@ -41,7 +41,7 @@
 			t.Errorf("step %d arrives after %v, %v", i, got.Sub(start), ok)
 		}
 	}
-	l.change(LinkChange{LatencyMs: 20, Rate: 100})
+	l.apply(LinkChange{LatencyMs: 20, Rate: 100})
 	want := engineapi.Link{To: "b", LatencyUs: 20000, TokensPerSecond: 100}
 	if got := l.report("b"); got != want {
 		t.Errorf("report %+v, want %+v", got, want)
@@ -64,11 +64,11 @@
 	s.sample(at)
 	running = 2
 	if got := s.get(at.Add(700 * time.Millisecond)); got.Running != 1 || got.AgeMs != 700 {
-		t.Errorf("report %+v, want the copy of 700 ms before", got)
+		t.Errorf("report %+v, want the sample taken 700 ms before", got)
 	}
 	s.sample(at.Add(time.Second))
 	if got := s.get(at.Add(time.Second)); got.Running != 2 || got.AgeMs != 0 {
-		t.Errorf("report %+v, want the new copy", got)
+		t.Errorf("report %+v, want the new sample", got)
 	}
 }
 
@@ -76,17 +76,17 @@
 	yes := true
 	engines, chain := startChain(t, Config{Rate: 1e5, LagMs: -1})
 	control(t, engines[0], Control{Corrupt: &Corrupt{Kind: StallStream, Count: 1, At: 2}, Leaving: nil})
-	s := chat(t, engines[0], chatOf("r", 9, chain))
+	s := chat(t, engines[0], newChatRequest("r", 9, chain))
 	for len(s.tokens) < 2 && s.next() {
 	}
 	control(t, engines[0], Control{Leaving: &yes})
 	if got := engines[0].report(time.Now()); got.Running != 1 || !got.Leaving || got.Slots != defaultSlots {
 		t.Errorf("head reports %+v", got)
 	}
-	if got := engines[1].runs.running(time.Now()); got != 1 {
+	if got := engines[1].runs.countRunning(time.Now()); got != 1 {
 		t.Errorf("mid runs %d requests, want 1", got)
 	}
-	if got := engines[1].runs.running(time.Now().Add(2 * stageIdle)); got != 0 {
+	if got := engines[1].runs.countRunning(time.Now().Add(2 * stageIdleTimeout)); got != 0 {
 		t.Errorf("mid runs %d requests after idle time, want 0", got)
 	}
 }
@@ -94,17 +94,17 @@
 func TestAbandonedRunIsCancelledAfterLinger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRun(&engineapi.ChatRequest{Request: "r"}, Config{LingerMs: 2000, KeepTokens: 9}, newBook(9, 1), cancel)
-		_ = r.follow(-1, nil).Close()
+		r := newRun(&engineapi.ChatRequest{Request: "r"}, Config{LingerMs: 2000, KeepTokens: 9}, newRecorder(9, 1), cancel)
+		_ = r.newReader(-1, nil).Close()
 		time.Sleep(1900 * time.Millisecond)
-		_ = r.follow(-1, nil).Close()
+		_ = r.newReader(-1, nil).Close()
 		time.Sleep(1900 * time.Millisecond)
-		back := r.follow(-1, nil)
+		reader := r.newReader(-1, nil)
 		time.Sleep(time.Minute)
 		if ctx.Err() != nil {
-			t.Fatal("cancelled though a caller came back")
+			t.Fatal("cancelled although a caller reconnected")
 		}
-		_ = back.Close()
+		_ = reader.Close()
 		time.Sleep(2100 * time.Millisecond)
 		if ctx.Err() == nil {
 			t.Fatal("not cancelled after its linger time")
@@ -113,8 +113,8 @@
 }
 
 func TestKeptTokensAreBounded(t *testing.T) {
-	r := newRun(&engineapi.ChatRequest{Request: "r"}, Config{KeepTokens: 3}, newBook(9, 1), func() {})
-	slow := r.follow(-1, nil)
+	r := newRun(&engineapi.ChatRequest{Request: "r"}, Config{KeepTokens: 3}, newRecorder(9, 1), func() {})
+	slow := r.newReader(-1, nil)
 	for i := range 5 {
 		r.emit(tokenEvent(engineapi.Token{Index: i}))
 	}
@@ -128,7 +128,7 @@
 }
 
 func TestStreamsAreForgotten(t *testing.T) {
-	g := newRegistry(Config{Slots: 9, KeepStreams: 2, KeepMs: 60000, KeepRuns: 9, KeepTokens: 1}, newBook(9, 1))
+	g := newRegistry(Config{Slots: 9, KeepStreams: 2, KeepMs: 60000, KeepRuns: 9, KeepTokens: 1}, newRecorder(9, 1))
 	for _, name := range []string{"a", "b", "c"} {
 		r, _ := g.start(&engineapi.ChatRequest{Request: name}, func() {})
 		g.release(r)
@@ -142,7 +142,7 @@
 	}
 }
 
-// indices gives the token indices of events.
+// indices returns the token indices of events.
 func indices(events []event) []int {
 	out := []int{}
 	for _, ev := range events {
@@ -176,7 +176,7 @@
 				events = append(events, c.apply(engineapi.Token{Index: i, Steps: steps}, i)...)
 			}
 			for _, ev := range events {
-				if n, exact := cited(ev.token.Steps, 4); !exact {
+				if n, exact := countLayers(ev.token.Steps, 4); !exact {
 					worst = n
 				}
 				if string(ev.data) == string(tokenEvent(ev.token).data) {
@@ -193,7 +193,7 @@
 				t.Errorf("%d of %d events readable", readable, want)
 			}
 			if f.nextCorruption(4) != nil {
-				t.Error("a second stream is spoiled")
+				t.Error("a second stream is corrupted")
 			}
 		})
 	}
--- a/standin/engine/registry.go
+++ b/standin/engine/registry.go
@@ -8,54 +8,57 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// stageIdle is how long after its last step a request counts as running on a
-// later stage.
-const stageIdle = time.Second
+// stageIdleTimeout is how long an attempt counts as running on a later stage after
+// its last step there. A stage is not told when an attempt ends early.
+const stageIdleTimeout = time.Second
 
-// attemptKey names one attempt.
+// attemptKey identifies one attempt of a request.
 type attemptKey struct {
 	request string
 	attempt int
 }
 
-// registry holds the runs of this engine by request, the slots they take and
-// the tombstones. It is safe for concurrent use.
+// registry holds the runs of this engine by request, counts the slots in use and
+// holds the tombstones of requests cancelled before they started. It is safe for
+// concurrent use.
 type registry struct {
-	cfg  Config
-	book *book
-
-	mu     sync.Mutex
-	closed bool
-	taken  int
-	runs   map[string]*run
-	live   map[*run]struct{}
-	// ended lists the runs that ended, oldest first.
+	cfg      Config
+	recorder *recorder
+
+	mu         sync.Mutex
+	closed     bool
+	slotsInUse int
+	runs       map[string]*run   // newest run of each request, including kept ended ones
+	live       map[*run]struct{} // runs that were not released
+	// ended lists the released runs, oldest first.
 	ended      []endedRun
 	tombstones *boundedSet
-	// active holds when each attempt last ran a step here as a later stage.
-	active map[attemptKey]time.Time
+	// lastStageStep is when each attempt last ran a step on this engine as a later
+	// stage.
+	lastStageStep map[attemptKey]time.Time
 }
 
-// endedRun is a run that ended, and until when it is kept.
+// endedRun is a released run whose stream can be rejoined until keepUntil.
 type endedRun struct {
-	run   *run
-	until time.Time
+	run       *run
+	keepUntil time.Time
 }
 
-// newRegistry makes an empty registry.
-func newRegistry(cfg Config, b *book) *registry {
+// newRegistry returns an empty registry with the limits of cfg.
+func newRegistry(cfg Config, rec *recorder) *registry {
 	return &registry{
-		cfg:        cfg,
-		book:       b,
-		runs:       make(map[string]*run),
-		live:       make(map[*run]struct{}),
-		tombstones: newBoundedSet(cfg.KeepRuns),
-		active:     make(map[attemptKey]time.Time),
+		cfg:           cfg,
+		recorder:      rec,
+		runs:          make(map[string]*run),
+		live:          make(map[*run]struct{}),
+		tombstones:    newBoundedSet(cfg.KeepRuns),
+		lastStageStep: make(map[attemptKey]time.Time),
 	}
 }
 
-// start takes a slot and makes the run of an attempt; an earlier attempt's
-// run of the same request is stopped. With a code, nothing was started.
+// start takes a slot and creates the run of an attempt. It stops the run of an
+// earlier attempt of the same request. It returns the refusal code instead if nothing
+// was started.
 func (g *registry) start(req *engineapi.ChatRequest, cancel context.CancelFunc) (*run, string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,21 +67,21 @@
 		return nil, engineapi.CodeLeaving
 	case g.tombstones.has(req.Request):
 		return nil, engineapi.CodeTombstoned
-	case g.taken >= g.cfg.Slots:
+	case g.slotsInUse >= g.cfg.Slots:
 		return nil, engineapi.CodeBusy
 	}
 	if old, ok := g.runs[req.Request]; ok {
 		old.stop()
 	}
-	r := newRun(req, g.cfg, g.book, cancel)
-	g.book.start(req.Request, req.Attempt)
-	g.taken++
+	r := newRun(req, g.cfg, g.recorder, cancel)
+	g.recorder.attemptStarted(req.Request, req.Attempt)
+	g.slotsInUse++
 	g.runs[req.Request] = r
 	g.live[r] = struct{}{}
 	return r, ""
 }
 
-// get gives the newest run of a request, nil when there is none.
+// get returns the newest run of a request, or nil if none is kept.
 func (g *registry) get(request string) *run {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,9 +89,9 @@
 	return g.runs[request]
 }
 
-// bury gives the run of a request; without one, the request will be refused
-// from now on.
-func (g *registry) bury(request string) *run {
+// getOrTombstone returns the run of a request. If there is none it returns nil and
+// records a tombstone, so that start refuses the request from then on.
+func (g *registry) getOrTombstone(request string) *run {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(time.Now())
@@ -99,23 +102,24 @@
 	return nil
 }
 
-// release gives a run's slot back; its stream is kept for a while.
+// release frees the slot of a run that ended. Its stream can be rejoined for another
+// Config.KeepMs.
 func (g *registry) release(r *run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.taken--
+	g.slotsInUse--
 	delete(g.live, r)
-	g.ended = append(g.ended, endedRun{run: r, until: now.Add(millis(g.cfg.KeepMs))})
+	g.ended = append(g.ended, endedRun{run: r, keepUntil: now.Add(millis(g.cfg.KeepMs))})
 	g.sweep(now)
 }
 
-// sweep forgets the ended runs kept for too long, or beyond the bound. The
-// caller holds the lock.
+// sweep removes the ended runs that are kept past their time, and the oldest ones
+// beyond Config.KeepStreams. The caller holds the lock.
 func (g *registry) sweep(now time.Time) {
 	for len(g.ended) > 0 {
 		oldest := g.ended[0]
-		if len(g.ended) <= g.cfg.KeepStreams && now.Before(oldest.until) {
+		if len(g.ended) <= g.cfg.KeepStreams && now.Before(oldest.keepUntil) {
 			return
 		}
 		g.ended = g.ended[1:]
@@ -125,31 +129,33 @@
 	}
 }
 
-// touch notes a step run as a later stage.
-func (g *registry) touch(call stepCall, now time.Time) {
+// noteStageStep records that an attempt ran a step on this engine as a later stage,
+// or removes the attempt after its final step.
+func (g *registry) noteStageStep(call stepCall, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := attemptKey{request: call.Request, attempt: call.Attempt}
 	if call.Final {
-		delete(g.active, key)
+		delete(g.lastStageStep, key)
 		return
 	}
-	g.active[key] = now
+	g.lastStageStep[key] = now
 }
 
-// running counts the requests that run here, as head or as a later stage.
-func (g *registry) running(now time.Time) int {
+// countRunning returns the number of attempts that run on this engine, as head or as
+// a later stage. It drops attempts idle for longer than stageIdleTimeout.
+func (g *registry) countRunning(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for key, last := range g.active {
-		if now.Sub(last) > stageIdle {
-			delete(g.active, key)
+	for key, last := range g.lastStageStep {
+		if now.Sub(last) > stageIdleTimeout {
+			delete(g.lastStageStep, key)
 		}
 	}
-	return g.taken + len(g.active)
+	return g.slotsInUse + len(g.lastStageStep)
 }
 
-// closeAll stops every run and refuses new ones.
+// closeAll stops every run and makes start refuse new ones.
 func (g *registry) closeAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/engine/stage.go
+++ b/standin/engine/stage.go
@@ -9,10 +9,11 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// stepPath takes the head's calls for steps; it is the stand-in's own.
+// stepPath is where the head of a chain posts batches of steps to a later stage. It
+// is internal to the stand-ins and not part of engineapi.
 const stepPath = "/v1/stage/step"
 
-// stepCall asks one stage for one step of a request.
+// stepCall asks an engine to run one step of a request on its layers First to Last.
 type stepCall struct {
 	Engine  string `json:"engine"`
 	Request string `json:"request"`
@@ -25,26 +26,27 @@
 	Final bool `json:"final,omitempty"`
 }
 
-// stepReply answers one step. When Code is empty, the step's result reaches
-// the next stage WaitUs microseconds from now.
+// stepReply answers one step. If Code is empty, the result of the step reaches the
+// next stage WaitUs microseconds after the reply.
 type stepReply struct {
 	WaitUs int64  `json:"wait_us"`
 	Code   string `json:"code,omitempty"`
-	// Engine is at fault when Code is set.
+	// Engine is the ID of the engine at fault if Code is set.
 	Engine string `json:"engine,omitempty"`
 }
 
-// stepBatch holds the steps of several requests in one call.
+// stepBatch is the body of a call to stepPath: steps of any number of requests.
 type stepBatch struct {
 	Steps []stepCall `json:"steps"`
 }
 
-// stepReplies answers a stepBatch in its order.
+// stepReplies answers a stepBatch, with the replies in the order of its steps.
 type stepReplies struct {
 	Replies []stepReply `json:"replies"`
 }
 
-// stepError tells that a step failed, and which engine is at fault.
+// stepError reports a failed step: the engineapi code, the ID of the engine at fault
+// (empty after a cancel) and an optional message.
 type stepError struct {
 	Code, Engine, Message string
 }
@@ -52,13 +54,14 @@
 // Error implements error.
 func (e *stepError) Error() string { return e.Engine + ": " + e.Code + " " + e.Message }
 
-// handleSteps runs the steps of a batch.
+// handleSteps serves POST stepPath. While the engine is stalled it waits, and it
+// drops the connection if the engine closes meanwhile.
 func (e *Engine) handleSteps(ctx *fasthttp.RequestCtx) {
 	var batch stepBatch
 	if !httpd.ReadJSON(ctx, &batch) {
 		return
 	}
-	if !e.faults.awaitRunning(e.server.Done()) {
+	if !e.faults.waitWhileStalled(e.server.Done()) {
 		httpd.Drop(ctx)
 		return
 	}
@@ -71,22 +74,22 @@
 			continue
 		}
 		replies[i] = stepReply{WaitUs: ready.Sub(now).Microseconds()}
-		e.runs.touch(call, now)
+		e.runs.noteStageStep(call, now)
 	}
 	httpd.WriteJSON(ctx, fasthttp.StatusOK, stepReplies{Replies: replies})
 }
 
-// step reserves this engine's part of one step and gives when its result
-// reaches the next stage.
+// step reserves time for one step on this engine and on the link to the next stage.
+// It returns when the result reaches that stage.
 func (e *Engine) step(call stepCall, now time.Time) (time.Time, *stepError) {
-	if call.Engine != e.cfg.ID || !e.holds(call.First, call.Last) || !e.linked(call.Next) {
+	if call.Engine != e.cfg.ID || !e.holds(call.First, call.Last) || !e.canReach(call.Next) {
 		return now, &stepError{Code: engineapi.CodeBadChain, Engine: e.cfg.ID}
 	}
-	if e.faults.stepFails() {
+	if e.faults.failNextStep() {
 		return now, &stepError{Code: engineapi.CodeStageFailed, Engine: e.cfg.ID}
 	}
 	ready := e.pacer.reserve(now)
-	e.book.step(call.Request)
+	e.recorder.stepRun(call.Request)
 	l, ok := e.links[call.Next]
 	if !ok {
 		return ready, nil
@@ -98,9 +101,9 @@
 	return arrives, nil
 }
 
-// holds reports whether the engine holds exactly these layers.
+// holds reports whether the engine holds exactly the layers first to last, inclusive.
 func (e *Engine) holds(first, last int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return first == e.held.First && last == e.held.Last
+	return first == e.current.First && last == e.current.Last
 }
--- a/standin/engine/stageclient.go
+++ b/standin/engine/stageclient.go
@@ -12,21 +12,22 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// Bounds of the calls to one next stage.
+// Limits of a stageClient.
 const (
-	// stepQueue is the steps that wait; further ones fail.
-	stepQueue = 4096
-	// stepsPerCall is the steps sent in one call.
-	stepsPerCall = 128
+	// maxQueuedSteps limits the steps that wait to be sent; further steps fail.
+	maxQueuedSteps = 4096
+	// maxStepsPerCall limits the steps sent in one call.
+	maxStepsPerCall = 128
 )
 
-// Messages of step errors.
+// Messages of step errors, which reach the caller in the error event.
 const (
 	messageQueueFull = "step queue full"
 	messageNoAnswer  = "no answer of the stage"
 )
 
-// stageClients holds the connection to each next stage, by address.
+// stageClients holds one client per address of a later stage. It is safe for
+// concurrent use.
 type stageClients struct {
 	timeout time.Duration
 	done    <-chan struct{}
@@ -35,12 +36,13 @@
 	byAddress map[string]*stageClient
 }
 
-// newStageClients makes none yet; all end with done.
+// newStageClients returns an empty set. timeout limits connecting, writing and
+// reading of each client; all clients stop when done is closed.
 func newStageClients(timeout time.Duration, done <-chan struct{}) *stageClients {
 	return &stageClients{timeout: timeout, done: done, byAddress: make(map[string]*stageClient)}
 }
 
-// get gives the client for an address.
+// get returns the client for an address, and creates and starts it on first use.
 func (s *stageClients) get(address string) *stageClient {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,21 +55,22 @@
 	return c
 }
 
-// pendingStep is one step that waits for its reply; reply holds one.
+// pendingStep is a queued or sent step that waits for its reply. reply has room for
+// one value, so that sending on it never blocks.
 type pendingStep struct {
 	call  stepCall
 	reply chan stepReply
 }
 
-// stageClient sends steps to one next stage over one connection, those that
-// wait together in one call.
+// stageClient sends steps to one address over a single connection. It combines the
+// steps that are queued during a call into the next call.
 type stageClient struct {
 	http  *fasthttp.HostClient
 	uri   string
 	queue chan pendingStep
 }
 
-// newStageClient makes a client without a connection yet.
+// newStageClient returns a client that connects on its first call.
 func newStageClient(address string, timeout time.Duration) *stageClient {
 	return &stageClient{
 		http: &fasthttp.HostClient{
@@ -80,12 +83,13 @@
 			Dial:                      func(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, timeout) },
 		},
 		uri:   "http://" + address + stepPath,
-		queue: make(chan pendingStep, stepQueue),
+		queue: make(chan pendingStep, maxQueuedSteps),
 	}
 }
 
-// step runs one step on an engine at the client's address and gives the time
-// until its result reaches the next stage. ctx ends the wait.
+// step runs one step on the engine at the client's address. It returns the time until
+// the result reaches the next stage. The error has CodeCancelled if ctx ends first,
+// or the code of the failure: a full queue and a missing answer are CodeStageFailed.
 func (c *stageClient) step(ctx context.Context, engine string, call stepCall) (time.Duration, *stepError) {
 	pending := pendingStep{call: call, reply: make(chan stepReply, 1)}
 	select {
@@ -107,12 +111,12 @@
 	}
 }
 
-// run sends what waits until done is closed.
+// run sends the queued steps, one call at a time, until done is closed.
 func (c *stageClient) run(done <-chan struct{}) {
 	for {
 		select {
 		case first := <-c.queue:
-			c.send(c.gather(first))
+			c.send(c.collectBatch(first))
 		case <-done:
 			c.http.CloseIdleConnections()
 			return
@@ -120,10 +124,11 @@
 	}
 }
 
-// gather takes the steps that wait, at most stepsPerCall.
-func (c *stageClient) gather(first pendingStep) []pendingStep {
+// collectBatch returns first and the steps queued at present, at most
+// maxStepsPerCall together.
+func (c *stageClient) collectBatch(first pendingStep) []pendingStep {
 	batch := []pendingStep{first}
-	for len(batch) < stepsPerCall {
+	for len(batch) < maxStepsPerCall {
 		select {
 		case next := <-c.queue:
 			batch = append(batch, next)
@@ -134,8 +139,8 @@
 	return batch
 }
 
-// send makes one call and hands out its replies; without an answer every step
-// of the batch fails.
+// send makes one call for a batch and delivers the replies. Without a usable answer
+// every step of the batch fails with CodeStageFailed.
 func (c *stageClient) send(batch []pendingStep) {
 	calls := stepBatch{Steps: make([]stepCall, len(batch))}
 	for i, pending := range batch {
@@ -151,7 +156,8 @@
 	}
 }
 
-// call makes one call; false when it brought no usable answer.
+// call makes one call. It returns false if the call failed or the answer does not
+// have one reply per step.
 func (c *stageClient) call(calls stepBatch) (stepReplies, bool) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -10,7 +10,7 @@
 	"mimosaarch.example/core/engineapi"
 )
 
-// State is how far a run got.
+// State is the state of a run.
 type State string
 
 // States of a run.
@@ -21,83 +21,86 @@
 	StateCancelled State = "cancelled"
 )
 
-// event is one event of a stream.
+// event is one token event of a stream. data is its encoding.
 type event struct {
 	token engineapi.Token
 	data  []byte
-	// cut closes the connection after the event, once.
-	cut bool
-	// stalls stops the run before the event.
-	stalls bool
+	// cutAfter closes the connection of the first reader that gets the event, right
+	// after it.
+	cutAfter bool
+	// stallBefore makes the run wait for its cancellation instead of sending the event.
+	stallBefore bool
 }
 
-// tokenEvent encodes a token.
+// tokenEvent returns the event of a token.
 func tokenEvent(token engineapi.Token) event {
 	return event{token: token, data: encode("id: "+strconv.Itoa(token.Index)+"\ndata: ", token)}
 }
 
-// doneEvent encodes the end marker.
+// doneEvent returns the encoded done event that ends a complete stream.
 func doneEvent(done engineapi.Done) []byte {
 	return encode("event: "+engineapi.DoneEvent+"\ndata: ", done)
 }
 
-// errorEvent encodes the error that ends a stream.
+// errorEvent returns the encoded error event that ends a failed stream.
 func errorEvent(e engineapi.StreamError) []byte {
 	return encode("event: "+engineapi.ErrorEvent+"\ndata: ", e)
 }
 
-// encode gives one event with its value as JSON.
-func encode(head string, value any) []byte {
+// encode returns prefix, the JSON of value and the blank line that ends an event.
+func encode(prefix string, value any) []byte {
 	body, _ := json.Marshal(value)
-	out := make([]byte, 0, len(head)+len(body)+2)
-	out = append(out, head...)
+	out := make([]byte, 0, len(prefix)+len(body)+2)
+	out = append(out, prefix...)
 	out = append(out, body...)
 	return append(out, "\n\n"...)
 }
 
-// run is one attempt of a request on its head, with the stream it produced.
-// It is safe for concurrent use.
+// run is one attempt of a request on its head engine, with the newest events of its
+// stream. It is safe for concurrent use.
 type run struct {
 	request string
 	attempt int
-	// base is the index of its first token.
-	base int
-	// keep bounds the events kept.
-	keep   int
+	// firstIndex is the index of the first token of this attempt.
+	firstIndex int
+	// maxEvents limits the events kept.
+	maxEvents int
+	// linger is how long the run continues without readers.
 	linger time.Duration
 	cancel context.CancelFunc
-	// book is told of each token and of the end.
-	book *book
+	// recorder records each token and the final state.
+	recorder *recorder
 
 	mu     sync.Mutex
 	state  State
 	events []event
 	// dropped counts the events no longer kept.
 	dropped int
-	// next is the index after the last token emitted.
-	next      int
-	last      []byte
-	followers map[*follower]struct{}
-	abandoned *time.Timer
+	// nextIndex is one above the highest token index emitted.
+	nextIndex   int
+	lastEvent   []byte // encoded done or error event; nil while the run is running
+	readers     map[*streamReader]struct{}
+	lingerTimer *time.Timer // cancels the run; nil until the first reader left
 }
 
-// newRun makes a run for a request; cancel stops its driver.
-func newRun(req *engineapi.ChatRequest, cfg Config, b *book, cancel context.CancelFunc) *run {
+// newRun returns the run of an attempt; cancel stops the goroutine that executes it.
+func newRun(req *engineapi.ChatRequest, cfg Config, rec *recorder, cancel context.CancelFunc) *run {
 	return &run{
-		request:   req.Request,
-		attempt:   req.Attempt,
-		base:      len(req.Delivered),
-		keep:      cfg.KeepTokens,
-		linger:    millis(cfg.LingerMs),
-		cancel:    cancel,
-		book:      b,
-		state:     StateRunning,
-		next:      len(req.Delivered),
-		followers: make(map[*follower]struct{}),
+		request:    req.Request,
+		attempt:    req.Attempt,
+		firstIndex: len(req.Delivered),
+		maxEvents:  cfg.KeepTokens,
+		linger:     millis(cfg.LingerMs),
+		cancel:     cancel,
+		recorder:   rec,
+		state:      StateRunning,
+		nextIndex:  len(req.Delivered),
+		readers:    make(map[*streamReader]struct{}),
 	}
 }
 
-// emit adds an event, unless the run has ended.
+// emit adds an event, unless the run has ended, and drops the oldest event beyond
+// maxEvents.
 func (r *run) emit(ev event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,56 +108,57 @@
 		return
 	}
 	r.events = append(r.events, ev)
-	r.book.token(r.request, ev.token)
-	r.next = max(r.next, ev.token.Index+1)
-	if len(r.events) > r.keep {
+	r.recorder.tokenEmitted(r.request, ev.token)
+	r.nextIndex = max(r.nextIndex, ev.token.Index+1)
+	if len(r.events) > r.maxEvents {
 		r.events = r.events[1:]
 		r.dropped++
 	}
-	r.signal()
+	r.wakeReaders()
 }
 
-// end ends the run with its last event, unless it has ended already.
+// end sets the final state and the encoded last event, unless the run has already
+// ended.
 func (r *run) end(state State, last []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endLocked(state, last)
 }
 
-// endLocked is end for a caller that holds the lock.
+// endLocked does the work of end. The caller holds the lock.
 func (r *run) endLocked(state State, last []byte) {
 	if r.state != StateRunning {
 		return
 	}
 	r.state = state
-	r.last = last
-	r.book.end(r.request, r.attempt, state)
-	if r.abandoned != nil {
-		r.abandoned.Stop()
+	r.lastEvent = last
+	r.recorder.attemptEnded(r.request, r.attempt, state)
+	if r.lingerTimer != nil {
+		r.lingerTimer.Stop()
 	}
-	r.signal()
+	r.wakeReaders()
 }
 
-// stop cancels the run and gives the state it was in before, with the count
-// of the answer's tokens.
+// stop cancels the run. It returns the state from before the call and the number of
+// tokens of the answer, including those delivered by earlier attempts.
 func (r *run) stop() (before State, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, tokens = r.state, r.next
+	before, tokens = r.state, r.nextIndex
 	r.stopLocked()
 	return before, tokens
 }
 
-// stopLocked is stop for a caller that holds the lock.
+// stopLocked does the work of stop. The caller holds the lock.
 func (r *run) stopLocked() {
 	last := engineapi.StreamError{Attempt: r.attempt, Code: engineapi.CodeCancelled}
 	r.endLocked(StateCancelled, errorEvent(last))
 	r.cancel()
 }
 
-// signal wakes the followers. The caller holds the lock.
-func (r *run) signal() {
-	for f := range r.followers {
+// signal wakes the readers. The caller holds the lock.
+func (r *run) wakeReaders() {
+	for f := range r.readers {
 		select {
 		case f.changed <- struct{}{}:
 		default:
