--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -233,7 +233,7 @@
 	if err != nil {
 		return err
 	}
-	timed := &readTimeoutConn{Conn: conn, timeout: timeout - callTimeout + roster.PeerReadTimeout}
+	timed := &readTimeoutConn{Conn: conn, readTimeout: timeout - callTimeout + roster.PeerReadTimeout}
 	stream := jsonrpc2.NewBufferedStream(timed, jsonrpc2.VarintObjectCodec{})
 	rpc := jsonrpc2.NewConn(callCtx, stream, jsonrpc2.HandlerWithError(handler(emptySource{})), jsonrpc2.SetLogger(discardLogger))
 	defer rpc.Close()
@@ -244,17 +244,17 @@
 // soon, while a peer that is still sending a large answer does not.
 type readTimeoutConn struct {
 	net.Conn
-	// timeout is the maximum wait of the next read.
-	timeout time.Duration
+	// readTimeout is the maximum wait of the next read.
+	readTimeout time.Duration
 }
 
 // Read implements net.Conn.
 func (c *readTimeoutConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.timeout = roster.PeerReadTimeout
+	c.readTimeout = roster.PeerReadTimeout
 	return n, err
 }
 
