--- a/adapter/ring/ring.go
+++ b/adapter/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring joins goroutines by bounded first-in-first-out rings. A full
-// ring is a typed refusal or a wait bounded by a context, never an unbounded
-// wait.
+// Package ring provides bounded FIFO queues between goroutines. When a queue is full, a
+// caller gets an error at once or waits until its context ends. No call waits without a
+// bound.
 package ring
 
 import (
@@ -8,11 +8,11 @@
 	"fmt"
 )
 
-// FullError tells that a ring had no room.
+// FullError reports that a ring had no room for an item.
 type FullError struct {
-	// Name is the ring's name.
+	// Name is the name given to New.
 	Name string
-	// Capacity is the most items it holds.
+	// Capacity is the maximum number of items in the ring.
 	Capacity int
 }
 
@@ -21,11 +21,11 @@
 	return fmt.Sprintf("ring %s is full (%d items)", e.Name, e.Capacity)
 }
 
-// WaitError tells that a context ended before a ring had room.
+// WaitError reports that a context ended before a ring had room for an item.
 type WaitError struct {
-	// Name is the ring's name.
+	// Name is the name given to New.
 	Name string
-	// Cause is the context's error.
+	// Cause is the error of the context.
 	Cause error
 }
 
@@ -34,21 +34,22 @@
 	return fmt.Sprintf("ring %s had no room in time: %v", e.Name, e.Cause)
 }
 
-// Unwrap gives the context's error.
+// Unwrap returns the error of the context.
 func (e *WaitError) Unwrap() error { return e.Cause }
 
-// Ring is a bounded queue of T. Any goroutine may call any method.
+// Ring is a bounded FIFO queue of T. Its methods may be called from any goroutine.
 type Ring[T any] struct {
 	name  string
 	items chan T
 }
 
-// New makes a ring of the given capacity; a capacity below 1 is taken as 1.
+// New returns a ring with the given capacity, or with capacity 1 if that is lower. The
+// name appears in errors.
 func New[T any](name string, capacity int) *Ring[T] {
 	return &Ring[T]{name: name, items: make(chan T, max(capacity, 1))}
 }
 
-// Offer puts v in the ring at once, or gives a *FullError.
+// Offer adds v to the ring without waiting. It returns a *FullError if there is no room.
 func (r *Ring[T]) Offer(v T) error {
 	select {
 	case r.items <- v:
@@ -58,8 +59,8 @@
 	}
 }
 
-// Put waits for room until ctx ends; then it gives a *WaitError and v is not
-// in the ring.
+// Put adds v to the ring and waits for room until ctx ends. If that happens first, it
+// returns a *WaitError and does not add v.
 func (r *Ring[T]) Put(ctx context.Context, v T) error {
 	select {
 	case r.items <- v:
@@ -69,8 +70,8 @@
 	}
 }
 
-// Out gives the channel to take items from. It is never closed.
+// Out returns the channel from which items are received. It is never closed.
 func (r *Ring[T]) Out() <-chan T { return r.items }
 
-// Len is the count of items held now.
+// Len returns the current number of items.
 func (r *Ring[T]) Len() int { return len(r.items) }
--- a/adapter/ring/ring_test.go
+++ b/adapter/ring/ring_test.go
@@ -15,13 +15,13 @@
 	}
 	var full *FullError
 	if err := r.Offer(2); !errors.As(err, &full) || full.Name != "test" || r.Len() != 2 {
-		t.Fatalf("offer to a full ring: %v, %d held", err, r.Len())
+		t.Fatalf("offer to a full ring: %v, %d items", err, r.Len())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	var wait *WaitError
 	if err := r.Put(ctx, 2); !errors.As(err, &wait) || !errors.Is(err, context.Canceled) {
-		t.Fatalf("put past its context: %v", err)
+		t.Fatalf("put with a canceled context: %v", err)
 	}
 	for want := range 2 {
 		if got := <-r.Out(); got != want {
