--- a/adapter/configfeed/fake_test.go
+++ b/adapter/configfeed/fake_test.go
@@ -9,27 +9,27 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// downError is the failure of a platform out of reach.
-type downError struct{}
+// unreachableError is the error of an unreachable platform.
+type unreachableError struct{}
 
-func (downError) Error() string { return "down" }
+func (unreachableError) Error() string { return "platform unreachable" }
 
-// fakePlatform holds objects in memory. While forgetful, it drops what
-// watches should tell.
+// fakePlatform holds objects in memory. While dropsChanges is set, watches return no
+// changes.
 type fakePlatform struct {
 	mu                     sync.Mutex
 	objects                map[string]platformapi.Object
 	revision               int64
 	changed                chan struct{}
-	down, forgetful        bool
+	down, dropsChanges     bool
 	lists, watches, failed int
 }
 
-func newPlatform() *fakePlatform {
+func newFakePlatform() *fakePlatform {
 	return &fakePlatform{objects: make(map[string]platformapi.Object), changed: make(chan struct{})}
 }
 
-// write stores an object, or deletes it when value is empty.
+// write stores an object, or deletes it if value is empty.
 func (p *fakePlatform) write(key, value string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,13 +45,14 @@
 	p.down = down
 }
 
-// after gives the objects above a revision; deleted ones on request.
-func (p *fakePlatform) after(prefix string, revision int64, deleted bool) (platformapi.ListReply, error) {
+// objectsAfter returns the objects with a version above revision, and deleted ones too
+// if requested.
+func (p *fakePlatform) objectsAfter(prefix string, revision int64, deleted bool) (platformapi.ListReply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
 		p.failed++
-		return platformapi.ListReply{}, downError{}
+		return platformapi.ListReply{}, unreachableError{}
 	}
 	reply := platformapi.ListReply{Revision: p.revision}
 	for key, object := range p.objects {
@@ -63,7 +64,7 @@
 }
 
 func (p *fakePlatform) List(_ context.Context, prefix string) (platformapi.ListReply, error) {
-	reply, err := p.after(prefix, 0, false)
+	reply, err := p.objectsAfter(prefix, 0, false)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lists++
@@ -73,10 +74,10 @@
 func (p *fakePlatform) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (platformapi.ListReply, error) {
 	p.mu.Lock()
 	p.watches++
-	changed, forgetful := p.changed, p.forgetful
+	changed, dropsChanges := p.changed, p.dropsChanges
 	p.mu.Unlock()
-	reply, err := p.after(prefix, after, true)
-	if forgetful {
+	reply, err := p.objectsAfter(prefix, after, true)
+	if dropsChanges {
 		changed, reply.Objects = nil, nil
 	}
 	if err != nil || len(reply.Objects) > 0 {
@@ -90,8 +91,8 @@
 	case <-ctx.Done():
 		return platformapi.ListReply{}, ctx.Err()
 	}
-	if forgetful {
+	if dropsChanges {
 		return reply, nil
 	}
-	return p.after(prefix, after, true)
+	return p.objectsAfter(prefix, after, true)
 }
--- a/adapter/configfeed/feed_test.go
+++ b/adapter/configfeed/feed_test.go
@@ -21,7 +21,7 @@
 	return fleet.ProfilePrefix + "p", fmt.Sprintf("kind: profile\nname: p\ndeadline: %dms\n", version)
 }
 
-// harness is a running Feed with the newest configuration it gave.
+// harness is a running Feed with the last configuration that it passed to its sink.
 type harness struct {
 	*Feed
 	platform *fakePlatform
@@ -30,11 +30,11 @@
 	problems int
 }
 
-// run starts a Feed inside a bubble of virtual time and ends it with the test.
+// run runs a test with a Feed in virtual time.
 func run(t *testing.T, test func(ctx context.Context, t *testing.T, h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		h := &harness{platform: newPlatform()}
+		h := &harness{platform: newFakePlatform()}
 		settings := Settings{RingCapacity: 2, OnError: func(error) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -51,7 +51,8 @@
 	})
 }
 
-// deadline is the profile's deadline in force, in milliseconds; 0 if none is.
+// deadline returns the deadline of the profile in force in milliseconds, or 0 if there
+// is no such profile.
 func (h *harness) deadline() int64 {
 	synctest.Wait()
 	h.mu.Lock()
@@ -87,7 +88,7 @@
 	})
 }
 
-func TestPeersAloneFeedANodeCutOff(t *testing.T) {
+func TestNodeWithoutThePlatformFollowsItsPeers(t *testing.T) {
 	run(t, func(ctx context.Context, t *testing.T, h *harness) {
 		h.platform.setDown(true)
 		go h.Run(ctx)
@@ -103,40 +104,40 @@
 		if err := errors.Join(err, err2); err != nil || len(objects) != 1 || summary[0] != (configorder.KeyVersion{Key: key, Version: 7, Good: 7}) {
 			t.Fatalf("%v %v %v", objects, summary, err)
 		}
-		// The store, back again, holds a later version.
+		// The platform has a later version when it is reachable again.
 		for range 8 {
 			h.platform.write(profile(8))
 		}
 		h.platform.setDown(false)
-		advance(defaultBackoffMax)
+		advance(defaultMaxBackoff)
 		if got := h.deadline(); got != 8 {
 			t.Fatalf("got %d, want 8", got)
 		}
 	})
 }
 
-func TestOutageIsAskedSparingly(t *testing.T) {
+func TestOutageCausesFewCalls(t *testing.T) {
 	run(t, func(ctx context.Context, t *testing.T, h *harness) {
 		h.platform.setDown(true)
 		go h.Run(ctx)
 		advance(time.Minute)
 		synctest.Wait()
-		// At least half of the longest pause lies between two calls, after
-		// the first few.
-		if most := 10 + int(time.Minute/(defaultBackoffMax/2)); h.platform.failed > most || h.platform.failed < 10 {
+		// After the first few calls, at least half of the longest backoff lies between
+		// two calls.
+		if most := 10 + int(time.Minute/(defaultMaxBackoff/2)); h.platform.failed > most || h.platform.failed < 10 {
 			t.Fatalf("%d calls in a minute", h.platform.failed)
 		}
 	})
 }
 
-func TestNewListFindsWhatTheWatchMissed(t *testing.T) {
+func TestNewListFindsChangesTheWatchMissed(t *testing.T) {
 	run(t, func(ctx context.Context, t *testing.T, h *harness) {
-		h.platform.forgetful = true
+		h.platform.dropsChanges = true
 		h.platform.write(profile(1))
 		go h.Run(ctx)
 		synctest.Wait()
 		h.platform.write(profile(2))
-		advance(defaultRelistEvery + defaultWatchWait)
+		advance(defaultRelistInterval + defaultWatchWait)
 		if got := h.deadline(); got != 2 {
 			t.Fatalf("got %d, want 2", got)
 		}
@@ -156,7 +157,7 @@
 }
 
 func TestFullRingRefuses(t *testing.T) {
-	h := New(newPlatform(), func(*router.Config) {}, Settings{RingCapacity: 1})
+	h := New(newFakePlatform(), func(*router.Config) {}, Settings{RingCapacity: 1})
 	var full *ring.FullError
 	if err := errors.Join(h.Offer(nil), h.Offer(nil)); !errors.As(err, &full) {
 		t.Fatalf("got %v, want a *ring.FullError", err)
@@ -169,31 +170,31 @@
 	}
 }
 
-// advance lets a bubble's virtual time pass.
+// advance lets virtual time pass.
 func advance(d time.Duration) { <-time.After(d) }
 
-// TestFollowerAsksNowAndThen holds no watch while another node of the zone
-// does, and waits for changes as soon as it leads.
-func TestFollowerAsksNowAndThen(t *testing.T) {
+// A node must not watch while another node of the zone does, but poll at its interval.
+// It must watch as soon as ShouldWatch returns true.
+func TestNodeThatDoesNotWatchPolls(t *testing.T) {
 	run(t, func(ctx context.Context, t *testing.T, h *harness) {
-		var leads atomic.Bool
-		h.Feed.settings.ShouldWatch = leads.Load
+		var watches atomic.Bool
+		h.Feed.settings.ShouldWatch = watches.Load
 		h.platform.write(profile(1))
 		go h.Run(ctx)
 		synctest.Wait()
 		h.platform.write(profile(2))
 		if got := h.deadline(); got != 1 {
-			t.Fatalf("a follower was told at once: %d", got)
+			t.Fatalf("a node that does not watch got the change at once: %d", got)
 		}
-		advance(defaultFollowEvery)
+		advance(defaultPollInterval)
 		if got := h.deadline(); got != 2 {
-			t.Fatalf("after a follower's turn: %d", got)
+			t.Fatalf("after the poll: %d", got)
 		}
-		leads.Store(true)
-		advance(defaultFollowEvery)
+		watches.Store(true)
+		advance(defaultPollInterval)
 		h.platform.write(profile(3))
 		if got := h.deadline(); got != 3 {
-			t.Fatalf("a leader was not told at once: %d", got)
+			t.Fatalf("a watching node did not get the change at once: %d", got)
 		}
 	})
 }
--- a/adapter/configfeed/owner.go
+++ b/adapter/configfeed/owner.go
@@ -8,79 +8,79 @@
 	"mimosaarch.example/decide/configorder"
 )
 
-// owner is the goroutine that alone holds the configuration.
+// owner holds the configuration. Only its own goroutine accesses it.
 type owner struct {
 	feed  *Feed
 	store *configorder.Store
-	// sums are the Status but for what the store itself tells.
-	sums Status
+	// status is the Status without the parts that the configuration store provides.
+	status Status
 }
 
 func newOwner(f *Feed) *owner {
 	return &owner{feed: f, store: configorder.New(f.settings.Store)}
 }
 
-// run serves the rings until ctx ends.
+// run applies replies, relayed objects and queries until ctx ends.
 func (o *owner) run(ctx context.Context) {
 	for {
 		select {
-		case item := <-o.feed.lists.Out():
-			o.take(item)
-		case objects := <-o.feed.offers.Out():
+		case reply := <-o.feed.replies.Out():
+			o.applyReply(reply)
+		case objects := <-o.feed.offered.Out():
 			if o.apply(objects) {
-				o.sums.Relayed++
+				o.status.Relayed++
 				o.feed.sink(o.store.Config())
 			}
-		case question := <-o.feed.asks.Out():
-			question(o)
+		case run := <-o.feed.queries.Out():
+			run(o)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// take uses an answer of the platform.
-func (o *owner) take(item listed) {
-	o.sums.LastContact = time.Now()
-	o.sums.Revision = max(o.sums.Revision, item.reply.Revision)
+// applyReply applies an answer of the platform.
+func (o *owner) applyReply(reply platformReply) {
+	o.status.LastContact = time.Now()
+	o.status.Revision = max(o.status.Revision, reply.content.Revision)
 	changed := false
-	if item.whole {
+	if reply.isList {
 		var errs []error
-		changed, errs = o.store.ApplyList(item.reply)
-		o.note(errs...)
+		changed, errs = o.store.ApplyList(reply.content)
+		o.reject(errs...)
 	} else {
-		changed = o.apply(item.reply.Objects)
+		changed = o.apply(reply.content.Objects)
 	}
 	if changed {
 		o.feed.sink(o.store.Config())
 	}
 }
 
-// apply takes objects one by one and reports whether any changed what is in
-// force.
+// apply applies objects one by one and reports whether the effective configuration
+// changed.
 func (o *owner) apply(objects []platformapi.Object) bool {
 	changed := false
 	for _, object := range objects {
-		one, err := o.store.Apply(object)
-		changed = changed || one
+		updated, err := o.store.Apply(object)
+		changed = changed || updated
 		if err != nil {
-			o.note(err)
+			o.reject(err)
 		}
 	}
 	return changed
 }
 
-// note counts and reports refused objects.
-func (o *owner) note(errs ...error) {
+// reject counts rejected objects and passes the errors to OnError.
+func (o *owner) reject(errs ...error) {
 	for _, err := range errs {
-		o.sums.Rejected++
+		o.status.Rejected++
 		o.feed.settings.OnError(err)
 	}
 }
 
-// report makes the Status.
-func (o *owner) report() Status {
-	status := o.sums
+// snapshot returns the current Status.
+func (o *owner) snapshot() Status {
+	status := o.status
 	status.Status = o.store.Status()
 	status.Versions = o.store.Summary()
 	return status
--- a/adapter/configfeed/settings.go
+++ b/adapter/configfeed/settings.go
@@ -9,54 +9,56 @@
 
 // Defaults of Settings.
 const (
-	defaultWatchWait   = 5 * time.Second
-	defaultBackoffMin  = 100 * time.Millisecond
-	defaultBackoffMax  = 5 * time.Second
-	defaultFollowEvery = 4 * time.Second
-	defaultRelistEvery = 10 * time.Minute
-	defaultRing        = 256
+	defaultWatchWait      = 5 * time.Second
+	defaultMinBackoff     = 100 * time.Millisecond
+	defaultMaxBackoff     = 5 * time.Second
+	defaultPollInterval   = 4 * time.Second
+	defaultRelistInterval = 10 * time.Minute
+	defaultRingCapacity   = 256
 )
 
-// Settings of a Feed. Zero values stand for the defaults.
+// Settings configures a Feed. Zero values select the defaults.
 type Settings struct {
-	// WatchWait is how long one watch call waits for changes. It bounds how
-	// long a connection that went silent can hide them. Default 5s.
+	// WatchWait is how long one watch waits for changes. It bounds how long a broken
+	// connection can hide changes. Default 5s.
 	WatchWait time.Duration
-	// BackoffMin and BackoffMax bound the pause after a failed call; it
-	// doubles with each failure and is spread by half. Default 100ms and 5s.
-	BackoffMin, BackoffMax time.Duration
-	// ShouldWatch reports whether this node waits for changes with a watch; one that
-	// doesn't hears of them from peers, and asks the platform each FollowEvery
-	// without waiting. Nil means that it leads. The Feed's goroutine calls it.
+	// MinBackoff and MaxBackoff limit the delay after a failed call. The delay doubles
+	// with each failure in a row, and a random part of up to half is subtracted from it.
+	// Defaults 100ms and 5s.
+	MinBackoff, MaxBackoff time.Duration
+	// ShouldWatch reports whether this node watches the platform. A node that does not
+	// gets changes from its peers, and polls the platform every PollInterval without
+	// waiting for a change. Nil means that the node always watches. It is called only from
+	// the goroutine that calls the platform.
 	ShouldWatch func() bool
-	// PollInterval is the pace of a node that doesn't lead. Default 4s.
+	// PollInterval is the time between polls of a node that does not watch. Default 4s.
 	PollInterval time.Duration
-	// RelistInterval is how often the whole list is read again, in case the
-	// watch missed a change. Default 10m.
+	// RelistInterval is the time after which all objects are listed again, in case the
+	// watch has missed a change. Default 10m.
 	RelistInterval time.Duration
-	// RingCapacity is the capacity of the ring of relayed batches, and of that of
-	// questions. Default 256.
+	// RingCapacity is the capacity of the queue of relayed batches and of the queue of
+	// queries. Default 256.
 	RingCapacity int
-	// Seed starts the random source of the pauses.
+	// Seed seeds the random source of the delays.
 	Seed uint64
-	// Store bounds what is held.
+	// Store configures the store that holds the objects.
 	Store configorder.Settings
-	// OnError is told of each refused object and failed call; may be nil.
-	// The Feed's goroutines call it; it must not call the Feed.
+	// OnError is called for each rejected object and each failed call. It may be nil.
+	// The Feed's goroutines call it, so it must not call the Feed.
 	OnError func(err error)
 }
 
-// withDefaults fills in unset fields.
+// withDefaults returns s with defaults in place of unset fields.
 func (s Settings) withDefaults() Settings {
 	s.WatchWait = defaults.Positive(s.WatchWait, defaultWatchWait)
-	s.BackoffMin = defaults.Positive(s.BackoffMin, defaultBackoffMin)
-	s.BackoffMax = defaults.Positive(s.BackoffMax, defaultBackoffMax)
-	s.PollInterval = defaults.Positive(s.PollInterval, defaultFollowEvery)
+	s.MinBackoff = defaults.Positive(s.MinBackoff, defaultMinBackoff)
+	s.MaxBackoff = defaults.Positive(s.MaxBackoff, defaultMaxBackoff)
+	s.PollInterval = defaults.Positive(s.PollInterval, defaultPollInterval)
 	if s.ShouldWatch == nil {
 		s.ShouldWatch = func() bool { return true }
 	}
-	s.RelistInterval = defaults.Positive(s.RelistInterval, defaultRelistEvery)
-	s.RingCapacity = defaults.Positive(s.RingCapacity, defaultRing)
+	s.RelistInterval = defaults.Positive(s.RelistInterval, defaultRelistInterval)
+	s.RingCapacity = defaults.Positive(s.RingCapacity, defaultRingCapacity)
 	if s.OnError == nil {
 		s.OnError = func(error) {}
 	}
--- a/adapter/configfeed/watcher.go
+++ b/adapter/configfeed/watcher.go
@@ -8,15 +8,14 @@
 	"mimosaarch.example/core/fleet"
 )
 
-// watcher is the goroutine that calls the platform: a list first, then a
-// watch after another. One call is open at a time.
+// watcher calls the platform, one call at a time: first a list, then watches.
 type watcher struct {
 	feed *Feed
 	rand *rand.Rand
-	// after is the revision up to which changes are known.
-	after int64
-	// listedAt is when the last whole list came; zero asks for one.
-	listedAt time.Time
+	// revision is the revision up to which all changes are known.
+	revision int64
+	// lastList is when the last complete list arrived. Zero makes the next call a list.
+	lastList time.Time
 	failures int
 }
 
@@ -37,9 +36,9 @@
 	}
 }
 
-// step makes one call.
+// step makes the next call.
 func (w *watcher) step(ctx context.Context) error {
-	if w.listedAt.IsZero() || time.Since(w.listedAt) >= w.feed.settings.RelistInterval {
+	if w.lastList.IsZero() || time.Since(w.lastList) >= w.feed.settings.RelistInterval {
 		return w.list(ctx)
 	}
 	if !w.feed.settings.ShouldWatch() {
@@ -55,52 +54,53 @@
 	if err != nil {
 		return err
 	}
-	w.listedAt = time.Now()
-	return w.hand(ctx, listed{reply: reply, whole: true})
+	w.lastList = time.Now()
+	return w.deliver(ctx, platformReply{content: reply, isList: true})
 }
 
-// watch waits for changes; a wait of 0 asks for those there are. A failure asks for a new list when the platform
-// has answered: it may no longer know the changes since then.
+// watch waits up to wait for changes; with 0 it returns those that exist already. After
+// a second failure in a row the next call is a list, because the platform may no longer
+// have the changes since then.
 func (w *watcher) watch(ctx context.Context, wait time.Duration) error {
 	start := time.Now()
-	reply, err := w.feed.platform.Watch(ctx, fleet.ConfigPrefix, w.after, wait)
+	reply, err := w.feed.platform.Watch(ctx, fleet.ConfigPrefix, w.revision, wait)
 	if err != nil {
 		if w.failures > 0 {
-			w.listedAt = time.Time{}
+			w.lastList = time.Time{}
 		}
 		return err
 	}
 	if len(reply.Objects) == 0 && time.Since(start) < wait/2 {
 		return &EarlyWatchEndError{}
 	}
-	return w.hand(ctx, listed{reply: reply})
+	return w.deliver(ctx, platformReply{content: reply})
 }
 
-// EarlyWatchEndError tells that a watch ended without changes long before its time;
-// the next one has to wait, or the calls would never cease.
+// EarlyWatchEndError reports that a watch ended without changes in less than half of its
+// wait. It counts as a failure, so that the backoff prevents a tight loop of calls.
 type EarlyWatchEndError struct{}
 
 // Error implements error.
 func (e *EarlyWatchEndError) Error() string { return "a watch ended early without changes" }
 
-// hand passes an answer to the owner. A revision never goes back.
-func (w *watcher) hand(ctx context.Context, item listed) error {
-	w.after = max(w.after, item.reply.Revision)
-	return w.feed.lists.Put(ctx, item)
+// deliver passes an answer to the owner. The known revision never decreases.
+func (w *watcher) deliver(ctx context.Context, item platformReply) error {
+	w.revision = max(w.revision, item.content.Revision)
+	return w.feed.replies.Put(ctx, item)
 }
 
-// pause waits after a failure: half of the backoff and a random part of the
-// other half.
+// pause waits after a failure, for half of the backoff and a random part of the other
+// half.
 func (w *watcher) pause(ctx context.Context) {
-	backoff := w.feed.settings.BackoffMin
-	for i := 1; i < w.failures && backoff < w.feed.settings.BackoffMax; i++ {
+	backoff := w.feed.settings.MinBackoff
+	for i := 1; i < w.failures && backoff < w.feed.settings.MaxBackoff; i++ {
 		backoff *= 2
 	}
-	half := min(backoff, w.feed.settings.BackoffMax) / 2
+	half := min(backoff, w.feed.settings.MaxBackoff) / 2
 	sleep(ctx, half+time.Duration(w.rand.Int64N(int64(half)+1)))
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
