--- a/adapter/configfeed/feed_test.go
+++ b/adapter/configfeed/feed_test.go
@@ -109,7 +109,7 @@
 			h.platform.write(profile(8))
 		}
 		h.platform.setDown(false)
-		advance(defaultMaxBackoff)
+		advance(defaultBackoffMax)
 		if got := h.deadline(); got != 8 {
 			t.Fatalf("got %d, want 8", got)
 		}
@@ -124,7 +124,7 @@
 		synctest.Wait()
 		// After the first few calls, at least half of the longest backoff lies between
 		// two calls.
-		if most := 10 + int(time.Minute/(defaultMaxBackoff/2)); h.platform.failed > most || h.platform.failed < 10 {
+		if most := 10 + int(time.Minute/(defaultBackoffMax/2)); h.platform.failed > most || h.platform.failed < 10 {
 			t.Fatalf("%d calls in a minute", h.platform.failed)
 		}
 	})
--- a/adapter/configfeed/settings.go
+++ b/adapter/configfeed/settings.go
@@ -10,8 +10,8 @@
 // Defaults of Settings.
 const (
 	defaultWatchWait      = 5 * time.Second
-	defaultMinBackoff     = 100 * time.Millisecond
-	defaultMaxBackoff     = 5 * time.Second
+	defaultBackoffMin     = 100 * time.Millisecond
+	defaultBackoffMax     = 5 * time.Second
 	defaultPollInterval   = 4 * time.Second
 	defaultRelistInterval = 10 * time.Minute
 	defaultRingCapacity   = 256
@@ -22,10 +22,10 @@
 	// WatchWait is how long one watch waits for changes. It bounds how long a broken
 	// connection can hide changes. Default 5s.
 	WatchWait time.Duration
-	// MinBackoff and MaxBackoff limit the delay after a failed call. The delay doubles
+	// BackoffMin and BackoffMax limit the delay after a failed call. The delay doubles
 	// with each failure in a row, and a random part of up to half is subtracted from it.
 	// Defaults 100ms and 5s.
-	MinBackoff, MaxBackoff time.Duration
+	BackoffMin, BackoffMax time.Duration
 	// ShouldWatch reports whether this node watches the platform. A node that does not
 	// gets changes from its peers, and polls the platform every PollInterval without
 	// waiting for a change. Nil means that the node always watches. It is called only from
@@ -51,8 +51,8 @@
 // withDefaults returns s with defaults in place of unset fields.
 func (s Settings) withDefaults() Settings {
 	s.WatchWait = defaults.Positive(s.WatchWait, defaultWatchWait)
-	s.MinBackoff = defaults.Positive(s.MinBackoff, defaultMinBackoff)
-	s.MaxBackoff = defaults.Positive(s.MaxBackoff, defaultMaxBackoff)
+	s.BackoffMin = defaults.Positive(s.BackoffMin, defaultBackoffMin)
+	s.BackoffMax = defaults.Positive(s.BackoffMax, defaultBackoffMax)
 	s.PollInterval = defaults.Positive(s.PollInterval, defaultPollInterval)
 	if s.ShouldWatch == nil {
 		s.ShouldWatch = func() bool { return true }
--- a/adapter/configfeed/watcher.go
+++ b/adapter/configfeed/watcher.go
@@ -92,11 +92,11 @@
 // pause waits after a failure, for half of the backoff and a random part of the other
 // half.
 func (w *watcher) pause(ctx context.Context) {
-	backoff := w.feed.settings.MinBackoff
-	for i := 1; i < w.failures && backoff < w.feed.settings.MaxBackoff; i++ {
+	backoff := w.feed.settings.BackoffMin
+	for i := 1; i < w.failures && backoff < w.feed.settings.BackoffMax; i++ {
 		backoff *= 2
 	}
-	half := min(backoff, w.feed.settings.MaxBackoff) / 2
+	half := min(backoff, w.feed.settings.BackoffMax) / 2
 	sleep(ctx, half+time.Duration(w.rand.Int64N(int64(half)+1)))
 }
 
--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -149,7 +149,7 @@
 			return err
 		}
 		if err := conn.SetDeadline(time.Now().Add(MaxWait + callTimeout)); err != nil {
-			_ = conn.Close() // it carried nothing
+			_ = conn.Close() // nothing was sent on it
 			continue
 		}
 		stream := jsonrpc2.NewBufferedStream(conn, jsonrpc2.VarintObjectCodec{})
--- a/decide/member/member.go
+++ b/decide/member/member.go
@@ -5,7 +5,8 @@
 // each round. To each other zone it keeps at most LinksPerZone links, chosen by
 // rendezvous hashing, so that zones stay connected when nodes fail. A reply also carries
 // a digest, so of two nodes that would call each other only the one with the lower name
-// does. The work of a round is therefore bounded, whatever the size of the fleet.
+// does. This answers the load of a growing fleet: the work of a node in one round has a
+// fixed limit.
 //
 // The view is a hint. Where it is wrong, two nodes may do the same work, or information
 // may arrive late. No guarantee of the fleet depends on it.
