--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -124,8 +124,9 @@
 	Disconnected bool `json:"lost,omitempty"`
 }
 
-// RecordAge sets the age and hops of the update to the highest of its parts. age is the
-// time since the store last answered for one part, and hops its distance from the store.
+// RecordAge raises the age and hops of the update to those of one of its parts, so that
+// they are the highest of all parts. age is the time since the store last answered for
+// the part, and hops the number of nodes on its way from the store.
 func (u *Update) RecordAge(age time.Duration, hops int) {
 	u.AgeMs = max(u.AgeMs, age.Milliseconds())
 	u.Hops = max(u.Hops, hops)
--- a/decide/roster/model_test.go
+++ b/decide/roster/model_test.go
@@ -12,13 +12,16 @@
 // Timeouts and intervals of the simulated calls, as the callers of this package set
 // them.
 const (
-	step               = 25 * time.Millisecond
-	watchWait          = 3 * time.Second
-	watchGrace         = 400 * time.Millisecond
-	peerTimeout        = PeerPollWait + PeerReadTimeout
-	dialTimeout        = 150 * time.Millisecond
-	minBackoff         = 100 * time.Millisecond
-	maxBackoff         = 800 * time.Millisecond
+	// step is the simulated time between two steps of the simulation.
+	step      = 25 * time.Millisecond
+	watchWait = 3 * time.Second
+	// watchGrace is the time after the wait of a watch at which it times out.
+	watchGrace  = 400 * time.Millisecond
+	peerTimeout = PeerPollWait + PeerReadTimeout
+	dialTimeout = 150 * time.Millisecond
+	minBackoff  = 100 * time.Millisecond
+	maxBackoff  = 800 * time.Millisecond
+	// randomPollInterval is how often a disconnected follower polls a random node.
 	randomPollInterval = 200 * time.Millisecond
 	// callTimeout bounds a call that returns without waiting for a change.
 	callTimeout = 1200 * time.Millisecond
@@ -248,7 +251,7 @@
 // startCall starts the next call of a follower.
 func (sim *simulation) startCall(n *node, l *follower) {
 	if sim.singleSource {
-		l.selector.requests = 0
+		l.selector.polls = 0
 	}
 	source, m := l.selector.Next(sim.clock())
 	l.inCall, l.source, l.startedAt = true, source, sim.now
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -46,9 +46,9 @@
 )
 
 const (
-	// minPeerBackoff is how long a peer is skipped after its first failure. The time
-	// doubles with each further failure, up to maxPeerBackoff, because some listed nodes
-	// no longer exist. A killed process is back in less than a second.
+	// minPeerBackoff is how long a peer is skipped after its first failure. It is short
+	// because a killed process is back in less than a second. The time doubles with each
+	// further failure, up to maxPeerBackoff, because some listed nodes no longer exist.
 	minPeerBackoff = 500 * time.Millisecond
 	maxPeerBackoff = time.Minute
 )
--- a/decide/roster/selector.go
+++ b/decide/roster/selector.go
@@ -45,9 +45,9 @@
 // time. A peer that is stale for one collection may be fresh for another.
 type Selector struct {
 	roster *Roster
-	// requests counts the polls of peers, and parallelRequests those made during a watch
-	// of the store.
-	requests, parallelRequests int
+	// polls counts the polls of peers without a watch, and parallelPolls those made during
+	// a watch of the store.
+	polls, parallelPolls int
 	// staleUntil holds, for each peer that answered with a stale view of the store, when
 	// its exclusion ends. firstStaleAt is when the first of them answered.
 	staleUntil   map[ids.VM]time.Time
@@ -77,10 +77,10 @@
 		s.useStoreNext, s.failedCount = false, 0
 		return Store, Member{}
 	}
-	s.requests++
+	s.polls++
 	// Nodes that poll the same peers start at different ones, by their index in the
 	// zone.
-	from := r.zoneIndex + s.requests
+	from := r.zoneIndex + s.polls
 	for i := range peers {
 		if m := peers[(from+i)%len(peers)]; !now.Before(s.staleUntil[m.Name]) {
 			return Peer, m
@@ -97,8 +97,8 @@
 	if len(peers) == 0 {
 		return Member{}, false
 	}
-	s.parallelRequests++
-	return peers[(r.zoneIndex+s.parallelRequests)%len(peers)], true
+	s.parallelPolls++
+	return peers[(r.zoneIndex+s.parallelPolls)%len(peers)], true
 }
 
 // holdsStore reports whether the node keeps using the store, which has answered it while
@@ -136,18 +136,18 @@
 	s.failedCount = 0
 	peers, _ := s.roster.sources(now)
 	for _, m := range peers {
-		if _, behind := s.staleUntil[m.Name]; !behind {
+		if _, stale := s.staleUntil[m.Name]; !stale {
 			return
 		}
 	}
 	s.markAllStale(s.firstStaleAt)
 }
 
-// PeerFailed records that a peer did not answer within took. After maxFailedPeers
+// PeerFailed records that a poll of a peer failed after took. After maxFailedPeers
 // failures in a row the node counts as cut off from its peers and uses the store for a
-// while. It also calls the store once if the peer accepted the connection: the peer may
-// be frozen, or its link too slow for a large configuration, which the store's link can
-// carry.
+// while. It also calls the store once if the poll lasted at least PeerPollWait, because
+// the peer then accepted the connection: it may be frozen, or its link too slow for a
+// large configuration, which the store's link can carry.
 func (s *Selector) PeerFailed(now time.Time, name ids.VM, took time.Duration) {
 	s.roster.MarkUnreachable(now, name)
 	s.failedCount++
--- a/decide/roster/times.go
+++ b/decide/roster/times.go
@@ -3,16 +3,16 @@
 import "time"
 
 // A change must be in force on every node within 2 s of its acknowledgement. After that,
-// an upstream that leaves the fleet must get no new requests. Half a second of it is
+// an upstream that leaves the fleet must get no new requests. Half a second of the 2 s is
 // reserved for links and requests in flight. An update passes up to two nodes on its
-// way, and each node polls its sources in turn, so the longest poll determines the
-// total.
+// way, and each node polls its sources in turn, so a limit on one poll limits the whole
+// delay.
 const (
 	// PeerPollWait is how long a peer may hold a poll open until it has an update. After
 	// it the node polls the next source, in case this one is cut off.
 	PeerPollWait = 300 * time.Millisecond
-	// PeerReadTimeout is how long a peer may send nothing after PeerPollWait before it
-	// counts as frozen. A peer that is still sending does not time out.
+	// PeerReadTimeout is how long a peer may send nothing, once the wait of the poll is
+	// over, before it counts as frozen. A peer that is still sending does not time out.
 	PeerReadTimeout = 300 * time.Millisecond
 	// MaxAge is the maximum age of the view of a watcher whose probes are answered in
 	// time.
