--- a/adapter/relay/relay_test.go
+++ b/adapter/relay/relay_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestSilentPeerIsATypedError(t *testing.T) {
+func TestFrozenPeerIsACallError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -195,7 +195,7 @@
 		peer a, boot y, has this node's name`)
 }
 
-func TestMissedCallsSuspectAtOnce(t *testing.T) {
+func TestMissedCallsMakeAPeerSuspect(t *testing.T) {
 	s := newScript("a", "z1", nil)
 	s.want(t, `
 		digest b/z1 x 1
--- a/decide/roster/roster_test.go
+++ b/decide/roster/roster_test.go
@@ -68,7 +68,7 @@
 func TestThreeNodesWatchForAllZones(t *testing.T) {
 	members := fleet()
 	watchers, candidates := make(map[ids.VM]bool), make(map[ids.VM]bool)
-	asked := make(map[ids.VM]int)
+	polled := make(map[ids.VM]int)
 	for i, m := range members {
 		r := nodeKnowing(m, members)
 		if r.IsLeaseCandidate(start) {
@@ -81,7 +81,7 @@
 		relay := i%59 < 3
 		for range 3 {
 			peer := expectPeer(t, r, start)
-			asked[peer.Name]++
+			polled[peer.Name]++
 			if !relay && peer.Zone != m.Zone {
 				t.Errorf("%s polls %s in another zone", m.Name, peer.Name)
 			}
@@ -94,8 +94,8 @@
 		t.Errorf("lease candidates %v, want two in each zone", candidates)
 	}
 	// A watcher is polled by zone relays and by the other nodes of its own zone.
-	if asked["a-000"] != 56+12 || asked["e-000"] != 56 || asked["c-001"] != 56 {
-		t.Errorf("polls by peer %v", asked)
+	if polled["a-000"] != 56+12 || polled["e-000"] != 56 || polled["c-001"] != 56 {
+		t.Errorf("polls by peer %v", polled)
 	}
 }
 
@@ -133,7 +133,7 @@
 }
 
 // A node with an open watch of the store polls the other watchers at the same time.
-func TestWatcherAsksOtherWatchersDuringItsWatch(t *testing.T) {
+func TestWatcherPollsOtherWatchersDuringItsWatch(t *testing.T) {
 	members := fleet()
 	r := nodeKnowing(Member{Name: "a-000", Zone: "a"}, members)
 	seen := make(map[ids.VM]bool)
@@ -178,18 +178,18 @@
 
 // The followers of a node's collections poll at the same rate, so their polls alternate.
 // With a shared rotation each collection would poll only some of its sources.
-func TestEachCollectionAsksAllPeersInTurn(t *testing.T) {
+func TestEachCollectionPollsAllPeersInTurn(t *testing.T) {
 	members := fleet()
 	r := nodeKnowing(members[40], members)
-	asked := [2]map[ids.VM]bool{{}, {}}
+	polled := [2]map[ids.VM]bool{{}, {}}
 	selectors := [2]*Selector{r.Selector, r.Roster.Selector()}
 	for range 4 {
 		for i, a := range selectors {
 			_, peer := a.Next(start)
-			asked[i][peer.Name] = true
+			polled[i][peer.Name] = true
 		}
 	}
-	for i, peers := range asked {
+	for i, peers := range polled {
 		if len(peers) < 3 {
 			t.Errorf("collection %d polls only %v", i, peers)
 		}
@@ -233,9 +233,9 @@
 	members := fleet()
 	for _, name := range []ids.VM{"e-000", "e-001"} {
 		r := nodeKnowing(Member{Name: name, Zone: "e"}, members)
-		asked := 0
+		polled := 0
 		for source, peer := r.Next(start); source != Store; source, peer = r.Next(start) {
-			if asked++; asked > 2*9 {
+			if polled++; polled > 2*9 {
 				t.Fatalf("%s still polls peers", name)
 			}
 			if peer.Zone != "e" {
@@ -268,7 +268,7 @@
 
 // During an outage of 8 s the store gets few calls, from a number of nodes that grows
 // with time.
-func TestStoreThatIsAwayIsAskedByFewInTurn(t *testing.T) {
+func TestUnavailableStoreIsCalledByFewNodes(t *testing.T) {
 	members := fleet()
 	calls, first := 0, make(map[time.Duration]int)
 	for _, m := range members {
@@ -291,7 +291,7 @@
 	}
 	// Ranks cannot follow each other more slowly: if the store refuses only some nodes,
 	// a node that it serves must call it within a second, see
-	// TestChangeReachesAllWhileTheStoreTurnsWatchersAway.
+	// TestChangeReachesAllWhileTheStoreRefusesWatchers.
 	if calls > 300 {
 		t.Errorf("%d calls in 8 s by the nodes that are not watchers", calls)
 	}
@@ -303,7 +303,7 @@
 }
 
 // If the store refuses some nodes, a node that it serves keeps using it.
-func TestNodeThatTheStoreServesGoesOnThere(t *testing.T) {
+func TestNodeServedByTheStoreKeepsUsingIt(t *testing.T) {
 	members := fleet()
 	r := nodeKnowing(Member{Name: "d-000", Zone: "d"}, members)
 	now := start
@@ -329,7 +329,7 @@
 	expectPeer(t, r, now)
 }
 
-func TestNodeWaitsForTheListThatHasIt(t *testing.T) {
+func TestNodeWaitsForAListWithItsEntry(t *testing.T) {
 	members := fleet()
 	r := newTestNode("a-007", "a")
 	if source, _ := r.Next(start); source != NotReady || r.IsLeaseCandidate(start) || r.IsWatcher(start) {
--- a/decide/roster/spread_test.go
+++ b/decide/roster/spread_test.go
@@ -178,7 +178,7 @@
 
 // If the store refuses all watchers and a third of the other nodes but serves the rest,
 // every node must get a change within 2 s.
-func TestChangeReachesAllWhileTheStoreTurnsWatchersAway(t *testing.T) {
+func TestChangeReachesAllWhileTheStoreRefusesWatchers(t *testing.T) {
 	limitParallel(t)
 	for _, members := range [][]Member{smallFleet(), fleet()} {
 		for seed := range uint64(10) {
@@ -203,7 +203,7 @@
 // rest must get its changes from the store, while every view of the other collection
 // stays fresh. With peer state shared between the collections, each fresh answer for one
 // ended the search for the other, and no node called the store.
-func TestChangeReachesAllWhileTheStoreTurnsMostAwayForOneCollection(t *testing.T) {
+func TestChangeReachesAllWhileTheStoreRefusesMostForOneCollection(t *testing.T) {
 	limitParallel(t)
 	for seed := range uint64(10) {
 		sim := newSimulation(smallFleet(), seed)
