--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -92,9 +92,9 @@
 	delay time.Duration
 }
 
-// New returns the Roster of the node named own, without any other members.
-func New(own ids.VM, zone ids.Zone) *Roster {
-	return &Roster{self: own, zone: zone, backoffs: make(map[ids.VM]*peerBackoff)}
+// New returns the Roster of the node named self, without any members yet.
+func New(self ids.VM, zone ids.Zone) *Roster {
+	return &Roster{self: self, zone: zone, backoffs: make(map[ids.VM]*peerBackoff)}
 }
 
 // Selector returns a Selector that chooses sources by this Roster. Each collection that
