--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -1,9 +1,11 @@
-// Package entry runs a node that forwards callers' exchanges on an entry VM: it
-// follows the configuration and the directory of upstreams in the platform's
-// store, serves callers, has engines load layers while it holds the lease for
-// that, and relays updates to peers that the store rejects.
+// Package entry runs a node that forwards callers' HTTP exchanges on an entry
+// VM. The node follows the configuration and the directory of upstreams in the
+// platform's store, and passes updates on to peers that cannot read the store.
+// While it holds the lease for orders, it also tells engines which layers to
+// load.
 //
-// The package knows no wire format; Ports bring those of a deployment.
+// The package does not depend on a wire format. Ports supplies the protocols of
+// a deployment.
 package entry
 
 import (
@@ -34,19 +36,20 @@
 
 // Members is the list of the fleet's nodes in the platform's store.
 type Members interface {
-	// Join enters the own node, or replaces its entry.
+	// Join adds this node's entry to the list or replaces it.
 	Join(ctx context.Context, m roster.Member) error
-	// List gives all entries, which may be some seconds old.
+	// List returns all entries. They may be a few seconds old.
 	List(ctx context.Context) (listwatch.List[roster.Member], error)
 }
 
-// Engines makes all calls to engines that are not callers' requests.
+// Engines makes the calls to engines that are not callers' requests.
 type Engines interface {
 	forward.Engines
 	placer.Engines
 }
 
-// Ports are the deployment's protocols. All are required.
+// Ports holds the deployment's implementations of the external protocols. All
+// fields are required.
 type Ports struct {
 	Configs   listwatch.Source[routing.Config]
 	Upstreams listwatch.Source[directory.Upstream]
@@ -57,79 +60,86 @@
 	Headers   forward.Headers
 }
 
-// Settings of a node. All are required but those that say otherwise.
+// Settings configure a Node. All fields are required unless stated otherwise.
 type Settings struct {
 	VM   ids.VM
 	Zone ids.Zone
-	// CallerAddr, ReadyAddr, PeerAddr and MetricsAddr are addresses to listen on. MetricsAddr
-	// may be empty.
+	// CallerAddr, ReadyAddr, PeerAddr and MetricsAddr are the addresses to
+	// listen on, as IP:port. MetricsAddr is optional.
 	CallerAddr, ReadyAddr, PeerAddr, MetricsAddr string
-	// ReadyPath and MetricsPath are the paths that answer there.
+	// ReadyPath and MetricsPath are the HTTP paths of the readiness check and
+	// of the metrics.
 	ReadyPath, MetricsPath string
-	// SeedPeers are peers' addresses to begin with; may be empty.
+	// SeedPeers are addresses of peers to contact before the list of nodes is
+	// known. Optional.
 	SeedPeers []string
-	// RetryBudget bounds the fleet's retries.
+	// RetryBudget limits the retries of all nodes together.
 	RetryBudget forward.Budget
-	// StopGrace is the time between the signal to stop and the kill.
+	// StopGrace is the time from the signal to stop until the platform kills
+	// the process.
 	StopGrace time.Duration
 	// LeaseDuration is the duration of the lease for orders to engines.
 	LeaseDuration time.Duration
-	// EnginesCheckFence tells that engines check the term of orders.
+	// EnginesCheckFence states that engines reject orders with an outdated
+	// lease term.
 	EnginesCheckFence bool
-	// Placement sets up the placement of layers.
+	// Placement configures the placement of layers on engines.
 	Placement placement.Options
-	// Seed starts the random sources.
+	// Seed initializes the random sources and identifies this process to peers
+	// and in the lease.
 	Seed uint64
 }
 
-// Node is a running node. Make it with New, and let Run run.
+// Node is an entry node. Create it with New and start it with Run.
 type Node struct {
 	settings Settings
 	ports    Ports
 	log      zerolog.Logger
 	metrics  *telemetry.Telemetry
 
-	news      *notice
-	configs   *configs
-	upstreams *upstreams
-	peers     *peers
-	probe     *probe
-	fleet     *fleet
-	server    *forward.Server
-	keeper    *leader.Elector
-	placer    *placer.Placer
+	updates    *notifier
+	configs    *configs
+	upstreams  *upstreams
+	membership *membership
+	probe      *probe
+	fleet      *fleet
+	server     *forward.Server
+	elector    *leader.Elector
+	placer     *placer.Placer
 
-	verdicts chan quarantine.Verdict
-	calls    *tally
-	// known is closed once the first configuration and directory are there.
-	known chan struct{}
+	verdicts   chan quarantine.Verdict
+	storeCalls *callCounter
+	// initialized is closed once the first configuration and directory have
+	// arrived.
+	initialized chan struct{}
 
 	stopping atomic.Bool
 }
 
-// leaseReadPart is the part of the lease's duration between two reads by a node that
-// does not hold it. The few that seek it find the end of a holder's writes as soon as
-// all nodes would that read once.
-const leaseReadPart = 2
+// leaseReadsPerDuration is the number of times that a node that does not hold
+// the lease reads it within the lease's duration. Only a few nodes are
+// candidates. With two reads each they detect the end of the holder's renewals
+// as early as all nodes would with one read each.
+const leaseReadsPerDuration = 2
 
-// New makes a Node; nothing happens before Run.
+// New creates a Node. It opens no sockets and starts no goroutines before Run.
 func New(settings Settings, ports Ports, log zerolog.Logger) *Node {
-	n := &Node{settings: settings, ports: ports, log: log, metrics: telemetry.New(), calls: newTally()}
-	n.known = make(chan struct{})
-	n.verdicts = make(chan quarantine.Verdict, maxVerdicts)
-	n.news = newNotice()
+	n := &Node{settings: settings, ports: ports, log: log, metrics: telemetry.New(), storeCalls: newCallCounter()}
+	n.initialized = make(chan struct{})
+	n.verdicts = make(chan quarantine.Verdict, maxQueuedVerdicts)
+	n.updates = newNotifier()
 	n.fleet = newFleet(settings, boottime.Now, func(nodes int) {
 		n.log.Info().Str("event", "members").Int("nodes", nodes).Send()
 		n.server.SetNodes(nodes)
 	})
-	n.configs = &configs{log: log, news: n.news}
-	n.upstreams = newUpstreams(holder(settings), log, n.news)
-	n.peers = newPeers(settings, &timedMembers{ports.Members, n.metrics.ObserveDuration}, n, log)
-	n.probe = newProbe(ports.Prober, n.fleet, log, &n.configs.contact, &n.upstreams.contact)
+	n.configs = &configs{log: log, updates: n.updates}
+	n.upstreams = newUpstreams(holderID(settings), log, n.updates)
+	n.membership = newMembership(settings, &timedMembers{ports.Members, n.metrics.ObserveDuration}, n, log)
+	n.probe = newProbe(ports.Prober, n.fleet, log, &n.configs.storeContact, &n.upstreams.storeContact)
 	n.server = forward.New(forward.Options{
 		Headers:   ports.Headers,
 		Zone:      settings.Zone,
-		Ready:     n.known,
+		Ready:     n.initialized,
 		Table:     n.configs.table.Load,
 		View:      n.upstreams.view.Load,
 		Engines:   ports.Engines,
@@ -137,25 +147,25 @@
 		Now:       boottime.Now,
 		Log:       log,
 		Metrics:   n.metrics,
-		OnVerdict: n.judged,
-		OnRestart: n.upstreams.restarted,
+		OnVerdict: n.queueVerdict,
+		OnRestart: n.upstreams.recordRestart,
 		Seed:      settings.Seed,
 	})
-	n.configs.inForce = n.upstreams.configured
-	n.configs.malformed = func(bad listwatch.Removal) { n.malformed("configuration", bad) }
-	n.upstreams.malformed = func(bad listwatch.Removal) { n.malformed("upstream", bad) }
-	n.upstreams.gone, n.upstreams.reached = n.server.UpstreamRemoved, n.server.StoreReconnected
-	n.keeper = leader.New(leader.Options{
+	n.configs.onActivated = n.upstreams.setServices
+	n.configs.onMalformed = func(bad listwatch.Removal) { n.reportMalformed("configuration", bad) }
+	n.upstreams.onMalformed = func(bad listwatch.Removal) { n.reportMalformed("upstream", bad) }
+	n.upstreams.onRemoved, n.upstreams.onStoreRecovered = n.server.UpstreamRemoved, n.server.StoreReconnected
+	n.elector = leader.New(leader.Options{
 		Lease: lease.Options{
-			Holder:       holder(settings),
+			Holder:       holderID(settings),
 			Duration:     settings.LeaseDuration,
-			ReadInterval: settings.LeaseDuration / leaseReadPart,
+			ReadInterval: settings.LeaseDuration / leaseReadsPerDuration,
 			StaleReads:   true,
 			Seed:         settings.Seed,
 		},
 		Store:     &timedLease{ports.Lease, n.metrics.ObserveDuration},
 		Now:       boottime.Now,
-		Candidate: n.fleet.head,
+		Candidate: n.fleet.isHead,
 		KeepHeld:  true,
 		Log:       log,
 	})
@@ -163,27 +173,27 @@
 		Table:       n.configs.table.Load,
 		View:        n.upstreams.view.Load,
 		Engines:     ports.Engines,
-		Lease:       n.keeper,
+		Lease:       n.elector,
 		Plan:        settings.Placement,
 		ChecksFence: settings.EnginesCheckFence,
 		Now:         boottime.Now,
 		Log:         log,
 		Count:       n.metrics.Add,
 		SilentFor:   n.server.SilentFor,
-		Restarted:   n.upstreams.restarted,
+		Restarted:   n.upstreams.recordRestart,
 	})
-	n.gauges()
+	n.registerGauges()
 	return n
 }
 
-// reasoned is a fault that names itself for a counter.
-type reasoned interface{ Reason() string }
+// reasonedError is an error that provides its own label for a counter.
+type reasonedError interface{ Reason() string }
 
-// malformed notes an entry that cannot be read. It stands for nothing; the
-// others of its list hold.
-func (n *Node) malformed(kind string, bad listwatch.Removal) {
+// reportMalformed counts and logs an entry of a collection that cannot be
+// decoded. The entry is ignored and the rest of the collection remains valid.
+func (n *Node) reportMalformed(kind string, bad listwatch.Removal) {
 	reason := "unreadable"
-	var fault reasoned
+	var fault reasonedError
 	if errors.As(bad.Malformed, &fault) {
 		reason = fault.Reason()
 	}
@@ -192,22 +202,24 @@
 		Str("reason", reason).AnErr("error", bad.Malformed).Send()
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether the node accepts callers: it has a configuration and a
+// directory and is not stopping.
 func (n *Node) Ready() bool {
 	select {
-	case <-n.known:
+	case <-n.initialized:
 		return !n.stopping.Load()
 	default:
 		return false
 	}
 }
 
-// awaitFirst waits until the first configuration and directory are there.
-func (n *Node) awaitFirst(ctx context.Context) {
+// awaitInitialState closes initialized once a configuration and a directory
+// have arrived, unless ctx ends first.
+func (n *Node) awaitInitialState(ctx context.Context) {
 	for {
-		changed := n.news.next()
+		changed := n.updates.next()
 		if n.configs.table.Load() != nil && n.upstreams.view.Load().Revision > 0 {
-			close(n.known)
+			close(n.initialized)
 			return
 		}
 		select {
@@ -218,36 +230,37 @@
 	}
 }
 
-// News implements relay.Source.
+// News implements relay.Source. It returns as soon as there is news for the
+// peer, and without news when the peer's wait time is over.
 func (n *Node) News(ctx context.Context, have relay.Have) relay.News {
 	timer := time.NewTimer(time.Duration(have.WaitMs) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		changed := n.news.next()
-		news := n.newsFor(have)
+		changed := n.updates.next()
+		news := n.newsSince(have)
 		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Lost || have.WaitMs <= 0 {
 			return news
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return n.newsFor(have)
+			return n.newsSince(have)
 		case <-ctx.Done():
 			return news
 		}
 	}
 }
 
-// newsFor gives what is newer than a peer's now.
-func (n *Node) newsFor(have relay.Have) relay.News {
+// newsSince returns the state that is newer than the peer's, without waiting.
+func (n *Node) newsSince(have relay.Have) relay.News {
 	news := relay.News{ConfigRevision: n.configs.revision.Load()}
-	n.fleet.tell(&news, have.Members)
+	n.fleet.addMembers(&news, have.Members)
 	now := boottime.Now()
 	if have.Want != relay.WantUpstreams {
 		news.Sighted(n.configs.age(now))
 		news.Lost = n.configs.lost.Load()
 		if newest := n.configs.newest.Load(); newest != nil && newest.config.Version > have.ConfigVersion {
-			newest.tell(&news, have.Unpacks)
+			newest.addTo(&news, have.Unpacks)
 		}
 	}
 	if have.Want == relay.WantConfig {
@@ -255,20 +268,21 @@
 	}
 	news.Sighted(n.upstreams.age(now))
 	news.Lost = news.Lost || n.upstreams.lost.Load()
-	n.upstreams.tell(&news, have)
+	n.upstreams.addTo(&news, have)
 	return news
 }
 
-// listeners are the sockets of a node.
+// listeners holds the sockets of a node. metrics may be nil.
 type listeners struct {
 	callers, ready, peers, metrics net.Listener
 }
 
-// listen opens all sockets, so that a node that cannot serve does not start.
+// listen opens all sockets, so that a node that cannot serve fails at startup.
+// The error is a *ListenError.
 func (n *Node) listen(ctx context.Context) (*listeners, error) {
 	config := net.ListenConfig{Control: upconn.GuardSilence, KeepAlive: -1}
 	l := &listeners{}
-	for _, one := range []struct {
+	for _, socket := range []struct {
 		to      *net.Listener
 		address string
 	}{
@@ -277,18 +291,18 @@
 		{&l.peers, n.settings.PeerAddr},
 		{&l.metrics, n.settings.MetricsAddr},
 	} {
-		if one.address == "" {
+		if socket.address == "" {
 			continue
 		}
 		var err error
-		if *one.to, err = config.Listen(ctx, "tcp", one.address); err != nil {
-			return nil, &ListenError{Address: one.address, Cause: err}
+		if *socket.to, err = config.Listen(ctx, "tcp", socket.address); err != nil {
+			return nil, &ListenError{Address: socket.address, Cause: err}
 		}
 	}
 	return l, nil
 }
 
-// ListenError tells that a socket could not be opened.
+// ListenError is returned when a socket cannot be opened.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -297,12 +311,13 @@
 // Error implements error.
 func (e *ListenError) Error() string { return "listen on " + e.Address + ": " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the underlying network error.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// Run serves until ctx ends, and then stops as planned: callers' answers under
-// way are finished within the grace. Calls of other duties may still be under
-// way then; the process is expected to exit. The error is a *ListenError.
+// Run serves until ctx ends and then shuts down: it finishes callers' requests
+// in flight within the grace period. Background calls may still be in progress
+// when it returns, so the process is expected to exit. The error is a
+// *ListenError.
 func (n *Node) Run(ctx context.Context) error {
 	l, err := n.listen(ctx)
 	if err != nil {
@@ -310,49 +325,49 @@
 	}
 	n.log.Info().Str("event", "started").Str("vm", string(n.settings.VM)).Str("zone", string(n.settings.Zone)).
 		Str("callers", n.settings.CallerAddr).Send()
-	work, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	n.start(work, l)
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	n.start(runCtx, l)
 	<-ctx.Done()
-	n.stop(work, l)
+	n.stop(runCtx, l)
 	return nil
 }
 
-// start begins all duties, a goroutine each.
+// start starts the servers and the background tasks, one goroutine each.
 func (n *Node) start(ctx context.Context, l *listeners) {
 	n.serveReady(l.ready)
 	if l.metrics != nil {
 		n.serveMetrics(l.metrics)
 	}
-	// Ends when its listener is closed, at the stop.
+	// These servers return when stop closes their listeners.
 	go func() { _ = relay.Serve(ctx, l.peers, n) }()
 	go func() { _ = n.server.Serve(ctx, l.callers) }()
-	go n.awaitFirst(ctx)
-	go n.follow(ctx)
+	go n.awaitInitialState(ctx)
+	go n.followConfig(ctx)
 	go n.followUpstreams(ctx)
 	go n.upstreams.expire(ctx)
-	go n.peers.run(ctx)
+	go n.membership.run(ctx)
 	go n.probe.run(ctx)
-	go n.tellVerdicts(ctx)
-	go n.tellCalls(ctx)
-	go n.keeper.Run(ctx)
+	go n.sendVerdicts(ctx)
+	go n.logCallsPeriodically(ctx)
+	go n.elector.Run(ctx)
 	go n.placer.Run(ctx)
 }
 
 // Names of the collections in logs.
 const (
-	configuration        = "configuration"
-	directoryOfUpstreams = "upstreams"
+	configCollection   = "configuration"
+	upstreamCollection = "upstreams"
 )
 
-// follow follows the configuration.
-func (n *Node) follow(ctx context.Context) {
-	options := listwatch.Options{Name: configuration, Log: n.log, Seed: n.settings.Seed}
+// followConfig keeps the configuration current until ctx ends.
+func (n *Node) followConfig(ctx context.Context) {
+	options := listwatch.Options{Name: configCollection, Log: n.log, Seed: n.settings.Seed}
 	listwatch.New(n.sharedConfigs(), n.configs, options).Run(ctx)
 }
 
-// followUpstreams follows the directory.
+// followUpstreams keeps the directory of upstreams current until ctx ends.
 func (n *Node) followUpstreams(ctx context.Context) {
-	options := listwatch.Options{Name: directoryOfUpstreams, Log: n.log, Seed: n.settings.Seed + 1}
+	options := listwatch.Options{Name: upstreamCollection, Log: n.log, Seed: n.settings.Seed + 1}
 	listwatch.New(n.sharedUpstreams(), n.upstreams, options).Run(ctx)
 }
--- a/node/entry/fleet.go
+++ b/node/entry/fleet.go
@@ -13,31 +13,36 @@
 	"mimosaarch.example/decide/roster"
 )
 
-// fleet is what the node knows of the others. Any goroutine may call its methods.
+// fleet is this node's view of the fleet: the list of nodes and the roster that
+// decides which of them to ask. It is safe for concurrent use.
 type fleet struct {
+	// now is the clock of the roster.
 	now func() time.Time
-	// changed is told of each list that is taken.
-	changed func(nodes int)
-	// known is closed once the roster can tell whom to learn from.
-	known chan struct{}
+	// onChanged is called with the number of nodes after each change of the
+	// list, with mu held.
+	onChanged func(nodes int)
+	// settledCh is closed once the roster has determined this node's role.
+	settledCh chan struct{}
 
-	mu      sync.Mutex
-	roster  *roster.Roster
+	mu     sync.Mutex
+	roster *roster.Roster
+	// edition is the revision and digest of members.
 	edition relay.Edition
 	members []roster.Member
 	settled bool
-	// unheard is closed while the store does not answer this node.
-	unheard chan struct{}
+	// silentCh is closed while the store does not answer this node. It is
+	// replaced when the store answers again.
+	silentCh chan struct{}
 }
 
-// newFleet makes the view of a node that knows no others.
-func newFleet(s Settings, now func() time.Time, changed func(nodes int)) *fleet {
-	return &fleet{now: now, changed: changed, known: make(chan struct{}), unheard: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
+// newFleet returns a view that contains no nodes.
+func newFleet(s Settings, now func() time.Time, onChanged func(nodes int)) *fleet {
+	return &fleet{now: now, onChanged: onChanged, settledCh: make(chan struct{}), silentCh: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
 }
 
-// set takes a list of the fleet's nodes as of a revision of the store's. An older
-// one than that before is ignored.
-func (f *fleet) set(members []roster.Member, revision int64) {
+// setMembers replaces the list of nodes by the list as of a revision of the
+// store. It ignores a list that is older than the current one.
+func (f *fleet) setMembers(members []roster.Member, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if revision < f.edition.Revision {
@@ -49,13 +54,14 @@
 	if edition.Digest != f.edition.Digest {
 		f.members = members
 		f.roster.Set(members)
-		f.changed(len(members))
+		f.onChanged(len(members))
 	}
 	f.edition = edition
-	f.settle()
+	f.markSettled()
 }
 
-// digest tells lists of nodes apart.
+// digest returns a hash of a sorted list of nodes. Equal lists have equal
+// digests.
 func digest(members []roster.Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
@@ -67,82 +73,87 @@
 	return h.Sum64()
 }
 
-// settle closes known once the roster is settled, with the lock held.
-func (f *fleet) settle() {
+// markSettled closes settledCh once the roster is settled. The caller must hold
+// the lock.
+func (f *fleet) markSettled() {
 	if f.settled || !f.roster.Settled() {
 		return
 	}
 	f.settled = true
-	close(f.known)
+	close(f.settledCh)
 }
 
-// goOn has the node go by the list as it is, without its own entry.
-func (f *fleet) goOn() {
+// settleWithoutSelf settles the roster although the list does not contain this
+// node.
+func (f *fleet) settleWithoutSelf() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roster.Settle()
-	f.settle()
+	f.markSettled()
 }
 
-// await waits until the node knows whom to learn from, or ctx ends.
-func (f *fleet) await(ctx context.Context) {
+// awaitSettled blocks until the roster is settled or ctx ends.
+func (f *fleet) awaitSettled(ctx context.Context) {
 	select {
-	case <-f.known:
+	case <-f.settledCh:
 	case <-ctx.Done():
 	}
 }
 
-// isSettled reports whether the node knows whom to learn from.
+// isSettled reports whether the roster has determined this node's role.
 func (f *fleet) isSettled() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.settled
 }
 
-// selector makes one that learns by the view.
-func (f *fleet) selector() *roster.Selector {
+// newSelector returns a selector of the sources for one collection.
+func (f *fleet) newSelector() *roster.Selector {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Selector()
 }
 
-// next tells where to learn what is new.
-func (f *fleet) next(a *roster.Selector) (roster.Way, roster.Member) {
+// nextSource returns whether to ask the store or a peer for changes, and which
+// peer.
+func (f *fleet) nextSource(s *roster.Selector) (roster.Way, roster.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.Next(f.now())
+	return s.Next(f.now())
 }
 
-// watches reports whether the node is one of those that watch the store for all.
-func (f *fleet) watches() bool {
+// isWatcher reports whether this node is one of those that watch the store on
+// behalf of the fleet.
+func (f *fleet) isWatcher() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Watcher(f.now())
 }
 
-// head reports whether the node is one of its zone's heads.
-func (f *fleet) head() bool {
+// isHead reports whether this node is one of its zone's heads.
+func (f *fleet) isHead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Head(f.now())
 }
 
-// others gives the nodes of all zones but the own.
+// others returns all nodes except this one.
 func (f *fleet) others() []roster.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Others()
 }
 
-// have names the list that is here.
-func (f *fleet) have() relay.Edition {
+// currentEdition returns the revision and digest of the current list.
+func (f *fleet) currentEdition() relay.Edition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.edition
 }
 
-// tell adds the list to the news for an asker whose own is another and older.
-func (f *fleet) tell(news *relay.News, have relay.Edition) {
+// addMembers adds the list of nodes to the news for a peer whose own list is
+// older and different.
+func (f *fleet) addMembers(news *relay.News, have relay.Edition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.edition.Digest != have.Digest && f.edition.Revision > have.Revision {
@@ -150,24 +161,24 @@
 	}
 }
 
-// beside gives a watcher to ask while a watch waits at the store; false where there is
-// none.
-func (f *fleet) beside(a *roster.Selector) (roster.Member, bool) {
+// otherWatcher returns another watcher to ask while this node's watch of the
+// store is in progress, or false if there is none.
+func (f *fleet) otherWatcher(s *roster.Selector) (roster.Member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.Beside(f.now())
+	return s.Beside(f.now())
 }
 
-// watchWait is how long a watch of the store is to wait where one that watches alone waits
-// so long.
+// watchWait returns how long a watch of the store should wait for a change.
+// alone is the wait time of a node that is the only watcher.
 func (f *fleet) watchWait(alone time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.WatchWait(alone)
 }
 
-// setSilent notes whether the store has stopped answering this node; changed tells that
-// this is new.
+// setSilent records whether the store has stopped answering this node, and
+// reports whether that changed.
 func (f *fleet) setSilent(silent bool) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,9 +186,9 @@
 		return false
 	}
 	if silent {
-		close(f.unheard)
+		close(f.silentCh)
 	} else {
-		f.unheard = make(chan struct{})
+		f.silentCh = make(chan struct{})
 	}
 	return true
 }
@@ -189,49 +200,57 @@
 	return f.roster.Silent()
 }
 
-// silence gives a channel that is closed once the store has stopped answering this node.
-func (f *fleet) silence() <-chan struct{} {
+// silenceSignal returns a channel that is closed when the store stops answering
+// this node.
+func (f *fleet) silenceSignal() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.unheard
+	return f.silentCh
 }
 
-// unanswered and reached tell whether a peer answered, behind and answered whether it had
-// news of the store, and served that the store answered.
-func (f *fleet) unanswered(a *roster.Selector, name ids.VM, took time.Duration) {
-	f.note(func() { a.Unanswered(f.now(), name, took) })
+// recordUnanswered records that a request to a peer failed after the given
+// time.
+func (f *fleet) recordUnanswered(s *roster.Selector, name ids.VM, took time.Duration) {
+	f.update(func() { s.Unanswered(f.now(), name, took) })
 }
 
-func (f *fleet) reached(name ids.VM) {
-	f.note(func() { f.roster.Reached(name) })
+// recordReached records that a peer answered a request made during a watch.
+func (f *fleet) recordReached(name ids.VM) {
+	f.update(func() { f.roster.Reached(name) })
 }
 
-func (f *fleet) behind(a *roster.Selector, name ids.VM) {
-	f.note(func() { a.Behind(f.now(), name) })
+// recordBehind records that a peer answered but had no recent news of the
+// store.
+func (f *fleet) recordBehind(s *roster.Selector, name ids.VM) {
+	f.update(func() { s.Behind(f.now(), name) })
 }
 
-func (f *fleet) answered(a *roster.Selector, name ids.VM) {
-	f.note(func() { a.Answered(name) })
+// recordAnswered records that a peer answered with recent news of the store.
+func (f *fleet) recordAnswered(s *roster.Selector, name ids.VM) {
+	f.update(func() { s.Answered(name) })
 }
 
-func (f *fleet) served(a *roster.Selector) {
-	f.note(func() { a.Served(f.now()) })
+// recordServed records that the store answered.
+func (f *fleet) recordServed(s *roster.Selector) {
+	f.update(func() { s.Served(f.now()) })
 }
 
-// failed tells that a peer did not answer what was asked beside a watch.
-func (f *fleet) failed(name ids.VM) {
-	f.note(func() { f.roster.Failed(f.now(), name) })
+// recordFailed records that a peer did not answer a request made during a
+// watch.
+func (f *fleet) recordFailed(name ids.VM) {
+	f.update(func() { f.roster.Failed(f.now(), name) })
 }
 
-// givesUp reports whether a search for news is over without.
-func (f *fleet) givesUp(a *roster.Selector, began time.Time) bool {
+// givesUp reports whether a search for news that started at the given time
+// should end without a result.
+func (f *fleet) givesUp(s *roster.Selector, start time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.GivesUp(f.now(), began)
+	return s.GivesUp(f.now(), start)
 }
 
-// note changes the roster, or what one that asks knows.
-func (f *fleet) note(change func()) {
+// update changes the roster or a selector under the lock.
+func (f *fleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
--- a/node/entry/http.go
+++ b/node/entry/http.go
@@ -8,7 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// serveReady answers the platform's balancer.
+// serveReady serves the readiness check of the platform's load balancer: 200 if
+// the node accepts callers, 503 otherwise.
 func (n *Node) serveReady(l net.Listener) {
 	n.serveHTTP(l, func(ctx *fasthttp.RequestCtx) {
 		switch {
@@ -20,7 +21,7 @@
 	})
 }
 
-// serveMetrics shows counters and histograms as text.
+// serveMetrics serves all metrics as text.
 func (n *Node) serveMetrics(l net.Listener) {
 	n.serveHTTP(l, func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) != n.settings.MetricsPath {
@@ -33,7 +34,7 @@
 	})
 }
 
-// serveHTTP serves until the listener is closed.
+// serveHTTP serves requests in a new goroutine until the listener is closed.
 func (n *Node) serveHTTP(l net.Listener, handler fasthttp.RequestHandler) {
 	server := &fasthttp.Server{Handler: handler, NoDefaultServerHeader: true, ReduceMemoryUsage: true}
 	go func() {
--- /dev/null
+++ b/node/entry/membership.go
@@ -0,0 +1,171 @@
+package entry
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"mimosaarch.example/adapter/relay"
+	"mimosaarch.example/core/backoff"
+	"mimosaarch.example/core/boottime"
+	"mimosaarch.example/core/every"
+	"mimosaarch.example/core/ids"
+	"mimosaarch.example/decide/roster"
+)
+
+// Intervals and delays of membership.
+const (
+	// listInterval is the interval between reads of the list of nodes by the
+	// nodes that watch the store. All others learn the list from them.
+	listInterval = 5 * time.Second
+	// startupListInterval replaces listInterval for every node until its roster
+	// is settled, and for watchers during startupPeriod, while other nodes may
+	// be joining. A node that is not in the list after startupPeriod uses the
+	// list as it is.
+	startupListInterval = time.Second
+	startupPeriod       = 3 * time.Second
+	// listDelayAfterJoin is the delay between writing this node's entry and the
+	// next read of the list. Nodes that start together join within 0.3 s of
+	// each other.
+	listDelayAfterJoin = 500 * time.Millisecond
+	// joinRetryMin is the delay after a failed attempt to write this node's
+	// entry. It doubles with each further failure, up to joinRetryMax.
+	joinRetryMin = 500 * time.Millisecond
+	joinRetryMax = 4 * time.Second
+	// askInterval is the interval between requests to peers while the store
+	// does not answer. A configuration must be active within two seconds of its
+	// acceptance, and some of the peers asked may be dead or behind.
+	askInterval = 200 * time.Millisecond
+)
+
+// membership keeps this node's entry and the list of nodes current. While the
+// store does not answer, it also asks random peers for news.
+type membership struct {
+	settings Settings
+	members  Members
+	node     *Node
+	log      zerolog.Logger
+	rand     *rand.Rand
+
+	joined    bool
+	startedAt time.Time
+	// joinAt and listAt are the times at which the next call of each kind is
+	// due.
+	joinAt, listAt time.Time
+	joinFailures   int
+}
+
+// newMembership returns a membership that has not joined yet.
+func newMembership(s Settings, members Members, n *Node, log zerolog.Logger) *membership {
+	return &membership{settings: s, members: members, node: n, log: log, rand: rand.New(rand.NewPCG(s.Seed, randStream))}
+}
+
+// randStream selects a random sequence that differs from other users of the
+// same seed.
+const randStream = 0x7065657273
+
+// run reads the list of nodes once and then calls tick until ctx ends.
+func (m *membership) run(ctx context.Context) {
+	m.startedAt = time.Now()
+	// Callers may connect at once, and the number of nodes determines this
+	// node's share of upstream capacity and of the retry budget.
+	m.list(ctx)
+	every.Do(ctx, askInterval, func() { m.tick(ctx) })
+}
+
+// tick settles the roster when startupPeriod is over, and makes at most one
+// call that is due: to a peer if the store is lost, otherwise to the store.
+func (m *membership) tick(ctx context.Context) {
+	now := time.Now()
+	settled := m.node.fleet.isSettled()
+	if !settled && now.Sub(m.startedAt) >= startupPeriod {
+		m.node.fleet.settleWithoutSelf()
+	}
+	switch {
+	case m.node.configs.lost.Load() || m.node.upstreams.lost.Load():
+		m.askPeer(ctx)
+	case !m.joined && !now.Before(m.joinAt):
+		m.join(ctx)
+	case (!settled || m.node.fleet.isWatcher()) && !now.Before(m.listAt):
+		m.list(ctx)
+	}
+}
+
+// join writes this node's entry to the list of nodes.
+func (m *membership) join(ctx context.Context) {
+	err := m.members.Join(ctx, roster.Member{Name: m.settings.VM, Zone: m.settings.Zone, Peer: m.settings.PeerAddr})
+	if err != nil {
+		m.log.Info().Str("event", "join_failed").Err(err).Send()
+		m.joinAt = time.Now().Add(backoff.Doubled(joinRetryMin, joinRetryMax, m.joinFailures))
+		m.joinFailures++
+		return
+	}
+	m.joined = true
+	m.listAt = time.Now().Add(listDelayAfterJoin)
+}
+
+// list reads the list of nodes from the store.
+func (m *membership) list(ctx context.Context) {
+	m.listAt = time.Now().Add(m.listWait())
+	list, err := m.members.List(ctx)
+	if err != nil {
+		m.log.Info().Str("event", "members_unread").Err(err).Send()
+		return
+	}
+	for _, bad := range list.Malformed {
+		m.node.reportMalformed("node", bad)
+	}
+	m.node.fleet.setMembers(list.Items, list.Revision)
+}
+
+// listWait returns the delay until the next read of the list.
+func (m *membership) listWait() time.Duration {
+	if time.Since(m.startedAt) < startupPeriod {
+		return startupListInterval
+	}
+	return listInterval
+}
+
+// askPeer asks one random peer for news and applies them.
+func (m *membership) askPeer(ctx context.Context) {
+	name, peer := m.pickPeer()
+	if peer == "" {
+		return
+	}
+	have := m.node.upstreams.have(name)
+	have.ConfigVersion, have.Want = m.node.configs.version(), ""
+	have.Members = m.node.fleet.currentEdition()
+	askedAt := boottime.Now()
+	news, err := relay.Ask(ctx, peer, have)
+	if err != nil {
+		m.log.Debug().Str("event", "peer_silent").Err(err).Send()
+		return
+	}
+	if news.Members != nil {
+		m.node.fleet.setMembers(news.Members, news.MembersRevision)
+	}
+	if news.Config != nil {
+		m.node.configs.apply(news.Config, fromPeer(name, &news, askedAt))
+	}
+	if news.Revision > have.Revision {
+		m.node.upstreams.merge(name, news, askedAt)
+	}
+}
+
+// pickPeer returns the name and address of a random peer, or empty strings if
+// none is known. Seed peers have an address only.
+func (m *membership) pickPeer() (ids.VM, string) {
+	all := m.node.fleet.others()
+	for _, seed := range m.settings.SeedPeers {
+		if seed != m.settings.PeerAddr {
+			all = append(all, roster.Member{Peer: seed})
+		}
+	}
+	if len(all) == 0 {
+		return "", ""
+	}
+	picked := all[m.rand.IntN(len(all))]
+	return picked.Name, picked.Peer
+}
--- a/node/entry/origin.go
+++ b/node/entry/origin.go
@@ -10,31 +10,34 @@
 	"mimosaarch.example/core/ids"
 )
 
-// origin is whom news came from.
+// origin describes where a change came from, for logs.
 type origin struct {
-	// from is "store", "peer", or what the node itself noticed.
+	// from is "store", "peer", or the event on this node that caused the
+	// change.
 	from string
-	// peer is the node that told it, with how long ago the store had last answered
-	// that one, over how many hops, and how long the question to it took.
+	// peer is the node that reported the change. age is the time since the
+	// store had last answered that node, hops the number of nodes that passed
+	// the answer on, and took the duration of the request to the peer.
 	peer ids.VM
 	age  time.Duration
 	hops int
 	took time.Duration
 }
 
-// fromStore is the origin of the store's own answers.
+// fromStore is the origin of changes read from the store.
 var fromStore = origin{from: "store"}
 
-// fromPeer is the origin of a peer's news, asked for at a moment.
-func fromPeer(peer ids.VM, news *relay.News, asked time.Time) origin {
+// fromPeer returns the origin of a peer's news. askedAt is the time at which the
+// peer was asked.
+func fromPeer(peer ids.VM, news *relay.News, askedAt time.Time) origin {
 	return origin{
 		from: "peer", peer: peer, age: time.Duration(news.AgeMs) * time.Millisecond, hops: news.Hops,
-		took: boottime.Now().Sub(asked),
+		took: boottime.Now().Sub(askedAt),
 	}
 }
 
-// log adds the origin to a line.
-func (o origin) log(line *zerolog.Event) *zerolog.Event {
+// addTo adds the origin to a addTo line.
+func (o origin) addTo(line *zerolog.Event) *zerolog.Event {
 	line.Str("from", o.from)
 	if o.peer != "" {
 		line.Str("peer", string(o.peer)).Dur("age_ms", o.age).Int("hops", o.hops).Dur("took_ms", o.took)
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -11,88 +11,94 @@
 	"mimosaarch.example/decide/roster"
 )
 
-// Prober is the platform's store as far as it answers at all.
+// Prober checks whether the platform's store answers.
 type Prober interface {
-	// Probe makes a call that costs the store little. The error tells that no answer
-	// came, of whatever kind.
+	// Probe makes a cheap call to the store. Any answer counts as success. The
+	// error means that no answer arrived.
 	Probe(ctx context.Context) error
 }
 
-// probe finds out whether the store still answers this node while it waits there.
+// probe checks whether the store still answers this node while a watch waits
+// there.
 type probe struct {
 	store    Prober
 	fleet    *fleet
-	contacts []*contact
+	contacts []*storeContact
 	log      zerolog.Logger
 	timing   roster.Probe
-	// soon is told that one is wanted before its time.
-	soon chan struct{}
+	// trigger requests a probe before the next interval.
+	trigger chan struct{}
 }
 
-// newProbe makes the duty for watches of some collections.
-func newProbe(store Prober, f *fleet, log zerolog.Logger, contacts ...*contact) *probe {
-	return &probe{store: store, fleet: f, contacts: contacts, log: log, soon: make(chan struct{}, 1)}
+// newProbe creates a probe that vouches for the watches of the given
+// collections.
+func newProbe(store Prober, f *fleet, log zerolog.Logger, contacts ...*storeContact) *probe {
+	return &probe{store: store, fleet: f, contacts: contacts, log: log, trigger: make(chan struct{}, 1)}
 }
 
-// hurry has a probe sent at once, or after the one under way. A watch that begins tells
-// nothing until something changes; its view counts once a probe is answered.
-func (p *probe) hurry() {
+// probeNow requests a probe at once, or directly after the one in progress. A
+// new watch yields no answer until something changes, so without a probe the
+// node's state would not count as recent.
+func (p *probe) probeNow() {
 	select {
-	case p.soon <- struct{}{}:
+	case p.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// run works until ctx ends.
+// run sends probes until ctx ends.
 func (p *probe) run(ctx context.Context) {
-	every.DoOrSooner(ctx, roster.ProbeEvery, p.soon, func() {
+	every.DoOrSooner(ctx, roster.ProbeEvery, p.trigger, func() {
 		if p.due() {
 			p.send(ctx)
 		}
 	})
 }
 
-// due reports whether a watch waits at the store, or would if that answered.
+// due reports whether probes are needed: while a watch waits at the store, and
+// while the store is silent.
 func (p *probe) due() bool {
 	for _, c := range p.contacts {
-		if c.waits.Load() {
+		if c.watching.Load() {
 			return true
 		}
 	}
 	return p.fleet.isSilent()
 }
 
-// send sends one probe and waits for what becomes of it.
+// send sends one probe and waits for its end. The store is marked as silent if
+// the probe exceeds its time limit.
 func (p *probe) send(ctx context.Context) {
 	p.timing.Sent(boottime.Now())
 	answered := make(chan error, 1)
 	go func() { answered <- p.store.Probe(ctx) }()
-	late := time.NewTimer(p.timing.Allowed())
-	defer late.Stop()
+	limit := time.NewTimer(p.timing.Allowed())
+	defer limit.Stop()
 	select {
 	case err := <-answered:
-		p.ended(err)
-	case <-late.C:
-		p.set(true)
-		p.ended(<-answered)
+		p.handleResult(err)
+	case <-limit.C:
+		p.setSilent(true)
+		p.handleResult(<-answered)
 	}
 }
 
-// ended takes the end of a probe. One without an answer leaves things as they are: a call
-// that failed at once, as its connection was reset, tells nothing of the next.
-func (p *probe) ended(err error) {
+// handleResult handles the end of a probe. An error changes nothing: a call
+// that failed at once, for example because its connection was reset, does not
+// predict the result of the next one.
+func (p *probe) handleResult(err error) {
 	if err != nil {
 		return
 	}
 	p.timing.Answered(boottime.Now())
-	p.set(false)
+	p.setSilent(false)
 	for _, c := range p.contacts {
-		c.probed()
+		c.probeAnswered()
 	}
 }
 
-// set notes whether the store has stopped answering.
-func (p *probe) set(silent bool) {
+// setSilent records whether the store is silent, and logs changes.
+func (p *probe) setSilent(silent bool) {
 	if p.fleet.setSilent(silent) {
 		p.log.Info().Str("event", "store_silent").Bool("silent", silent).Dur("allowed_ms", p.timing.Allowed()).Send()
 	}
--- /dev/null
+++ b/node/entry/shared_source_test.go
@@ -0,0 +1,371 @@
+package entry
+
+import (
+	"context"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"mimosaarch.example/adapter/listwatch"
+	"mimosaarch.example/adapter/relay"
+	"mimosaarch.example/core/boottime"
+	"mimosaarch.example/core/ids"
+	"mimosaarch.example/decide/quarantine"
+	"mimosaarch.example/decide/roster"
+	"mimosaarch.example/decide/routing"
+)
+
+// fixedPeer is a peer that always returns the same news.
+type fixedPeer struct {
+	news     relay.News
+	requests chan relay.Have
+}
+
+func (p *fixedPeer) News(_ context.Context, have relay.Have) relay.News {
+	p.requests <- have
+	return p.news
+}
+
+func (*fixedPeer) Judged(quarantine.Verdict) {}
+
+// startPeer starts a peer with fixed news and returns it with its address.
+func startPeer(t *testing.T, news relay.News) (*fixedPeer, string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	p := &fixedPeer{news: news, requests: make(chan relay.Have, 100)}
+	go func() { _ = relay.Serve(t.Context(), l, p) }()
+	return p, l.Addr().String()
+}
+
+// refusingStore is a store that fails every call and counts watches.
+type refusingStore struct{ watches int }
+
+var errRefused = errors.New("away")
+
+func (*refusingStore) List(context.Context, bool) (listwatch.List[routing.Config], error) {
+	return listwatch.List[routing.Config]{}, errRefused
+}
+
+func (s *refusingStore) Watch(context.Context, int64, time.Duration) (listwatch.Changes[routing.Config], error) {
+	s.watches++
+	return listwatch.Changes[routing.Config]{}, errRefused
+}
+
+// newFollower returns the source of the fourth node of a zone, which asks the
+// zone's first three nodes. The first has the address first, and the other two
+// have the address second.
+func newFollower(first, second string) (*sharedSource[routing.Config], *refusingStore) {
+	members := zoneMembers("a", 4)
+	members[0].Peer, members[1].Peer, members[2].Peer = first, second, second
+	f := newFleet(Settings{VM: members[3].Name, Zone: "a"}, boottime.Now, func(int) {})
+	f.setMembers(members, 1)
+	store := &refusingStore{}
+	return &sharedSource[routing.Config]{
+		store: store, fleet: f, selector: f.newSelector(), contact: &storeContact{}, probeNow: func() {},
+		observe: func(string, time.Duration) {},
+		have:    func(ids.VM) relay.Have { return relay.Have{Want: relay.WantConfig} },
+		apply:   func(_ ids.VM, news relay.News, _ time.Time) int64 { return news.ConfigRevision },
+	}, store
+}
+
+// TestStalePeerIsReplacedByAnother checks that news come from another peer if
+// the store has stopped answering the first one.
+func TestStalePeerIsReplacedByAnother(t *testing.T) {
+	_, behind := startPeer(t, relay.News{ConfigRevision: 5, AgeMs: 60_000})
+	_, good := startPeer(t, relay.News{ConfigRevision: 7, AgeMs: 100})
+	s, store := newFollower(behind, good)
+	for range 4 {
+		changes, err := s.Watch(t.Context(), 5, time.Second)
+		if err != nil || changes.Revision != 7 {
+			t.Fatalf("%+v, %v", changes, err)
+		}
+	}
+	if store.watches != 0 {
+		t.Errorf("the store was called %d times", store.watches)
+	}
+	if age, hops := s.contact.age(boottime.Now()); age > time.Second || hops != 1 {
+		t.Errorf("the last answer of the store is %v old, after %d hops", age, hops)
+	}
+}
+
+// TestPeerThatLostTheStoreIsSkipped checks that a peer whose calls the store
+// rejects is skipped even if its last answer of the store is recent.
+func TestPeerThatLostTheStoreIsSkipped(t *testing.T) {
+	_, lost := startPeer(t, relay.News{ConfigRevision: 5, AgeMs: 10, Lost: true})
+	_, good := startPeer(t, relay.News{ConfigRevision: 7, AgeMs: 100})
+	s, _ := newFollower(lost, good)
+	for range 4 {
+		changes, err := s.Watch(t.Context(), 5, time.Second)
+		if err != nil || changes.Revision != 7 {
+			t.Fatalf("%+v, %v", changes, err)
+		}
+	}
+}
+
+// TestWaitingPeersLearnOfTheLossOfTheStore checks that a node answers waiting
+// peers at once when it loses the store.
+func TestWaitingPeersLearnOfTheLossOfTheStore(t *testing.T) {
+	settings := Settings{VM: "a-00", Zone: "a"}
+	updates := newNotifier()
+	n := &Node{updates: updates, configs: &configs{updates: updates}, fleet: newFleet(settings, boottime.Now, func(int) {})}
+	got := make(chan relay.News)
+	go func() { got <- n.News(t.Context(), relay.Have{Want: relay.WantConfig, WaitMs: 60_000}) }()
+	n.configs.Lost(errRefused)
+	if told := <-got; !told.Lost {
+		t.Errorf("told %+v", told)
+	}
+}
+
+func TestWatchFailsWithoutAStoreCallWhenAllPeersAreStale(t *testing.T) {
+	_, one := startPeer(t, relay.News{AgeMs: 60_000})
+	// News with too many hops may have been passed around in a circle.
+	_, other := startPeer(t, relay.News{AgeMs: 100, Hops: roster.MaxHops + 1})
+	s, store := newFollower(one, other)
+	_, err := s.Watch(t.Context(), 5, time.Second)
+	var behind *StalePeerError
+	if !errors.As(err, &behind) {
+		t.Errorf("error %v", err)
+	}
+	if store.watches != 0 {
+		t.Errorf("the store was called %d times although peers answered", store.watches)
+	}
+}
+
+func TestWatchFallsBackToTheStoreWhenPeersAreUnreachable(t *testing.T) {
+	s, store := newFollower("127.0.0.1:1", "127.0.0.1:1")
+	if _, err := s.Watch(t.Context(), 5, time.Second); !errors.Is(err, errRefused) || store.watches != 1 {
+		t.Errorf("error %v after %d calls", err, store.watches)
+	}
+}
+
+// TestWatchFallsBackToTheStoreWhenPeersAnswerTooLate covers peers that accept a
+// connection and do not answer in time, for example because their links are
+// saturated. The store must be asked at once.
+func TestWatchFallsBackToTheStoreWhenPeersAnswerTooLate(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	s, store := newFollower(l.Addr().String(), l.Addr().String())
+	if _, err := s.Watch(t.Context(), 5, time.Second); !errors.Is(err, errRefused) || store.watches != 1 {
+		t.Errorf("error %v after %d calls", err, store.watches)
+	}
+}
+
+// TestListOfNodesComesFromPeers checks that a node that read an outdated list
+// of nodes receives the current one from a peer.
+func TestListOfNodesComesFromPeers(t *testing.T) {
+	all := append(zoneMembers("a", 4), zoneMembers("b", 2)...)
+	peer, address := startPeer(t, relay.News{ConfigRevision: 7, Members: all, MembersRevision: 9})
+	s, _ := newFollower(address, address)
+	if _, err := s.Watch(t.Context(), 5, time.Second); err != nil {
+		t.Fatal(err)
+	}
+	if got := s.fleet.currentEdition(); got.Revision != 9 || len(s.fleet.others()) != len(all)-1 {
+		t.Errorf("edition %+v with %d others", got, len(s.fleet.others()))
+	}
+	if have := <-peer.requests; have.Members.Revision != 1 || have.Members.Digest == 0 {
+		t.Errorf("request with edition %+v", have.Members)
+	}
+}
+
+func TestOlderListOfNodesIsIgnored(t *testing.T) {
+	told := 0
+	f := newFleet(Settings{VM: "a-00", Zone: "a"}, boottime.Now, func(nodes int) { told = nodes })
+	f.setMembers(zoneMembers("a", 4), 9)
+	f.setMembers(zoneMembers("a", 2), 8)
+	if told != 4 {
+		t.Errorf("%d nodes after an older list, want 4", told)
+	}
+	var news relay.News
+	f.addMembers(&news, relay.Edition{Revision: 3, Digest: f.currentEdition().Digest})
+	if news.Members != nil {
+		t.Error("the list is sent to a peer that has it")
+	}
+	f.addMembers(&news, relay.Edition{Revision: 10, Digest: 1})
+	if news.Members != nil {
+		t.Error("the list is sent to a peer with a newer one")
+	}
+	f.addMembers(&news, relay.Edition{Revision: 3, Digest: 1})
+	if len(news.Members) != 4 || news.MembersRevision != 9 {
+		t.Errorf("told %+v", news)
+	}
+}
+
+func TestNodeWaitsForTheListOfNodes(t *testing.T) {
+	f := newFleet(Settings{VM: "a-03", Zone: "a"}, boottime.Now, func(int) {})
+	f.setMembers(zoneMembers("a", 1), 1)
+	if f.isSettled() || f.isHead() || f.isWatcher() {
+		t.Error("a node acts on a list that does not contain it")
+	}
+	f.setMembers(zoneMembers("a", 4), 2)
+	f.awaitSettled(t.Context())
+	if way, _ := f.nextSource(f.newSelector()); way != roster.Peer {
+		t.Errorf("way %v", way)
+	}
+}
+
+// hangingStore is a store that never answers, and signals each watch.
+type hangingStore struct {
+	refusingStore
+	called chan struct{}
+}
+
+func (s *hangingStore) Watch(ctx context.Context, _ int64, _ time.Duration) (listwatch.Changes[routing.Config], error) {
+	s.called <- struct{}{}
+	<-ctx.Done()
+	return listwatch.Changes[routing.Config]{}, ctx.Err()
+}
+
+// newWatcher returns the source of a node that watches the given store, in a
+// zone whose other nodes all have one address.
+func newWatcher(store listwatch.Source[routing.Config], others string) *sharedSource[routing.Config] {
+	s, _ := newFollower(others, others)
+	members := zoneMembers("a", 4)
+	for i := range members {
+		members[i].Peer = others
+	}
+	s.store, s.fleet = store, newFleet(Settings{VM: members[0].Name, Zone: "a"}, boottime.Now, func(int) {})
+	s.fleet.setMembers(members, 1)
+	s.selector = s.fleet.newSelector()
+	return s
+}
+
+// TestWatchEndsWhenTheStoreStopsAnswering checks that a waiting watch ends once
+// the store is marked as silent, and that no watch starts until the store
+// answers again.
+func TestWatchEndsWhenTheStoreStopsAnswering(t *testing.T) {
+	_, others := startPeer(t, relay.News{})
+	store := &hangingStore{called: make(chan struct{}, 10)}
+	s := newWatcher(store, others)
+	ended := make(chan error, 1)
+	go func() {
+		_, err := s.watchStore(t.Context(), 5, time.Minute)
+		ended <- err
+	}()
+	<-store.called
+	s.fleet.setSilent(true)
+	var silent *StoreSilentError
+	if err := <-ended; !errors.As(err, &silent) {
+		t.Errorf("error %v", err)
+	}
+	if _, err := s.watchStore(t.Context(), 5, time.Minute); !errors.As(err, &silent) || len(store.called) != 0 {
+		t.Errorf("error %v after %d more calls", err, len(store.called))
+	}
+	s.fleet.setSilent(false)
+	go func() { _, _ = s.watchStore(t.Context(), 5, time.Minute) }()
+	<-store.called
+}
+
+// TestWatcherAppliesNewsOfOtherWatchers covers a watch whose own connection has
+// gone silent: news of another watcher must be applied during the watch.
+func TestWatcherAppliesNewsOfOtherWatchers(t *testing.T) {
+	_, others := startPeer(t, relay.News{ConfigRevision: 7, AgeMs: 5})
+	s := newWatcher(&hangingStore{called: make(chan struct{}, 1)}, others)
+	took := make(chan int64, 100)
+	s.apply = func(_ ids.VM, news relay.News, _ time.Time) int64 {
+		took <- news.ConfigRevision
+		return news.ConfigRevision
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_, _ = s.watchStore(ctx, 5, time.Minute)
+	}()
+	if revision := <-took; revision != 7 {
+		t.Errorf("revision %d", revision)
+	}
+	// A peer that answers at once must not be asked again at once.
+	time.Sleep(2 * roster.PeerWait)
+	if n := len(took); n > 3 {
+		t.Errorf("%d more requests in %v", n, 2*roster.PeerWait)
+	}
+	cancel()
+	<-ended
+}
+
+// TestFallbackToTheStoreIsFast checks that a node whose peers refuse
+// connections reaches the store within the time limit of one peer request.
+func TestFallbackToTheStoreIsFast(t *testing.T) {
+	s, store := newFollower("127.0.0.1:1", "127.0.0.1:1")
+	start := time.Now()
+	if _, err := s.Watch(t.Context(), 5, time.Second); !errors.Is(err, errRefused) || store.watches != 1 {
+		t.Errorf("error %v after %d calls", err, store.watches)
+	}
+	if took := time.Since(start); took > roster.PeerWait+roster.PeerSilence {
+		t.Errorf("the store was called after %v", took)
+	}
+}
+
+// TestNewWatchIsProbedAtOnce checks that a probe vouches for a new watch
+// without delay. Until then the node has no recent news for its peers, and they
+// would ask the store themselves.
+func TestNewWatchIsProbedAtOnce(t *testing.T) {
+	_, others := startPeer(t, relay.News{})
+	s := newWatcher(&hangingStore{called: make(chan struct{}, 1)}, others)
+	store := &manualProber{ends: make(chan error)}
+	p := newProbe(store, s.fleet, zerolog.Nop(), s.contact)
+	s.probeNow = p.probeNow
+	go p.run(t.Context())
+	start := time.Now()
+	go func() { _, _ = s.watchStore(t.Context(), 5, time.Minute) }()
+	store.ends <- nil
+	if took := time.Since(start); took > roster.ProbeEvery/2 {
+		t.Errorf("probed after %v", took)
+	}
+}
+
+// manualProber is a store whose probes end when the test sends a result.
+type manualProber struct{ ends chan error }
+
+func (s *manualProber) Probe(context.Context) error { return <-s.ends }
+
+// TestProbeDetectsASilentStore checks that a probe without an answer in time
+// marks the store as silent, that a failed probe does not end the silence, and
+// that the next answer ends it and vouches for waiting watches only.
+func TestProbeDetectsASilentStore(t *testing.T) {
+	f := newFleet(Settings{VM: "a-00", Zone: "a"}, boottime.Now, func(int) {})
+	waiting, idle := &storeContact{}, &storeContact{}
+	waiting.watching.Store(true)
+	store := &manualProber{ends: make(chan error)}
+	p := newProbe(store, f, zerolog.Nop(), waiting, idle)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		p.send(t.Context())
+	}()
+	select {
+	case <-f.silenceSignal():
+	case <-time.After(2 * time.Second):
+		t.Fatal("the store was not marked as silent")
+	}
+	store.ends <- errRefused
+	<-ended
+	if !f.isSilent() || !p.due() {
+		t.Error("a probe without an answer ended the silence or stopped further probes")
+	}
+	go func() { store.ends <- nil }()
+	p.send(t.Context())
+	if f.isSilent() {
+		t.Error("an answer did not cancel the silence")
+	}
+	if age, _ := waiting.age(boottime.Now()); age > time.Second {
+		t.Errorf("the state of a waiting watch is %v old", age)
+	}
+	if age, _ := idle.age(boottime.Now()); age != neverAnsweredAge {
+		t.Errorf("the state of a collection without a watch is %v old", age)
+	}
+	waiting.watching.Store(false)
+	if p.due() {
+		t.Error("probes are due although no watch waits at the store")
+	}
+}
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -18,109 +18,114 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// holder names this process for the lease: unique across restarts.
-func holder(s Settings) string { return fmt.Sprintf("%s-%x", s.VM, s.Seed) }
+// holderID identifies this process as a lease holder and to peers. It is unique
+// across restarts.
+func holderID(s Settings) string { return fmt.Sprintf("%s-%x", s.VM, s.Seed) }
 
-// notice wakes all who wait for something new.
-type notice struct {
+// notifier wakes all goroutines that wait for a change of the node's state.
+type notifier struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// newNotice makes a notice.
-func newNotice() *notice { return &notice{ch: make(chan struct{})} }
+// newNotifier creates a notifier.
+func newNotifier() *notifier { return &notifier{ch: make(chan struct{})} }
 
-// next gives a channel that is closed with the next change.
-func (n *notice) next() <-chan struct{} {
+// next returns a channel that is closed at the next change.
+func (n *notifier) next() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ch
 }
 
-// give tells of a change.
-func (n *notice) give() {
+// notify wakes all waiting goroutines.
+func (n *notifier) notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.ch)
 	n.ch = make(chan struct{})
 }
 
-// contact is when the store last answered about one collection.
-type contact struct {
-	heard atomic.Pointer[sighting]
-	// waits tells that a watch waits at the store.
-	waits atomic.Bool
+// storeContact records the store's last known answer about one collection.
+type storeContact struct {
+	lastAnswer atomic.Pointer[storeAnswer]
+	// watching is set while a watch of the collection is waiting at the store.
+	watching atomic.Bool
 }
 
-// sighting is an answer of the store that this node knows of.
-type sighting struct {
+// storeAnswer describes an answer of the store to this node or to a peer.
+type storeAnswer struct {
 	at time.Time
-	// hops counts the nodes through which it came.
+	// hops counts the nodes that passed the answer on to this one.
 	hops int
 }
 
-// storeAnswered notes an answer to this node.
-func (c *contact) storeAnswered() { c.heard.Store(&sighting{at: boottime.Now()}) }
+// storeAnswered records that the store answered this node just now.
+func (c *storeContact) storeAnswered() { c.lastAnswer.Store(&storeAnswer{at: boottime.Now()}) }
 
-// probed notes that the store answers this node: a watch that waits there would tell of
-// changes.
-func (c *contact) probed() {
-	if c.waits.Load() {
+// probeAnswered records that the store answered a probe. The answer vouches for
+// a waiting watch, because the store would have reported a change to it.
+func (c *storeContact) probeAnswered() {
+	if c.watching.Load() {
 		c.storeAnswered()
 	}
 }
 
-// peerAnswered notes the answer of a peer that the store answered that long ago,
-// over so many hops.
-func (c *contact) peerAnswered(age time.Duration, hops int) {
-	c.heard.Store(&sighting{at: boottime.Now().Add(-age), hops: hops})
+// peerAnswered records a peer's report of the age of the store's last answer
+// and of the number of hops that it took.
+func (c *storeContact) peerAnswered(age time.Duration, hops int) {
+	c.lastAnswer.Store(&storeAnswer{at: boottime.Now().Add(-age), hops: hops})
 }
 
-// never is the age of a collection that the store never told of.
-const never = time.Hour
+// neverAnsweredAge is the reported age of a collection about which no answer of
+// the store is known.
+const neverAnsweredAge = time.Hour
 
-// age gives the time since the sighting, which may be nil for none.
-func (s *sighting) age(now time.Time) time.Duration {
+// age returns the time since the answer, or neverAnsweredAge if s is nil.
+func (s *storeAnswer) age(now time.Time) time.Duration {
 	if s == nil {
-		return never
+		return neverAnsweredAge
 	}
 	return now.Sub(s.at)
 }
 
-// age gives the time since the store's last answer that this node knows of, and
-// the hops over which it came.
-func (c *contact) age(now time.Time) (time.Duration, int) {
-	last := c.heard.Load()
+// age returns the time since the store's last known answer and the number of
+// hops that it took.
+func (c *storeContact) age(now time.Time) (time.Duration, int) {
+	last := c.lastAnswer.Load()
 	if last == nil {
-		return never, 0
+		return neverAnsweredAge, 0
 	}
 	return last.age(now), last.hops
 }
 
-// configs is the configuration in force. It only goes forward.
+// configs holds the active configuration. Its version only increases.
 type configs struct {
-	contact
-	log  zerolog.Logger
-	news *notice
-	// revision is the store's up to which changes are known.
+	storeContact
+	log     zerolog.Logger
+	updates *notifier
+	// revision is the store's revision up to which changes are included.
 	revision atomic.Int64
 	table    atomic.Pointer[routing.Table]
-	// inForce is told of the services of each configuration that comes in force.
-	inForce func([]ids.Service)
-	// malformed is told of configurations that cannot be read.
-	malformed func(listwatch.Removal)
-	newest    atomic.Pointer[edition]
-	lost      atomic.Bool
-	mu        sync.Mutex
+	// onActivated is called with the services of each configuration that
+	// becomes active.
+	onActivated func([]ids.Service)
+	// onMalformed is called for each configuration that cannot be decoded.
+	onMalformed func(listwatch.Removal)
+	// newest is the active configuration in the form that peers receive. lost
+	// is set while the collection cannot be followed. mu serializes apply.
+	newest atomic.Pointer[packableConfig]
+	lost   atomic.Bool
+	mu     sync.Mutex
 }
 
 // Listed implements listwatch.Sink.
 func (c *configs) Listed(list listwatch.List[routing.Config]) {
 	for _, bad := range list.Malformed {
-		c.malformed(bad)
+		c.onMalformed(bad)
 	}
 	for i := range list.Items {
-		c.offer(&list.Items[i], fromStore)
+		c.apply(&list.Items[i], fromStore)
 	}
 	c.revision.Store(list.Revision)
 }
@@ -130,26 +135,27 @@
 	for _, e := range changes.Events {
 		switch {
 		case e.Put != nil:
-			c.offer(e.Put, fromStore)
+			c.apply(e.Put, fromStore)
 		case e.Removed.Malformed != nil:
-			c.malformed(e.Removed)
+			c.onMalformed(e.Removed)
 		}
 	}
 	c.revision.Store(changes.Revision)
 }
 
-// Lost implements listwatch.Sink. Peers that wait here are told at once.
+// Lost implements listwatch.Sink. It wakes waiting peers so that they can ask
+// another node.
 func (c *configs) Lost(error) {
 	if !c.lost.Swap(true) {
-		c.news.give()
+		c.updates.notify()
 	}
 }
 
 // Returned implements listwatch.Sink.
 func (c *configs) Returned() { c.lost.Store(false) }
 
-// offer puts a configuration in force if it is newer and valid.
-func (c *configs) offer(config *routing.Config, from origin) {
+// apply activates a configuration if it is valid and newer than the active one.
+func (c *configs) apply(config *routing.Config, from origin) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now := c.table.Load(); now != nil && now.Version() >= config.Version {
@@ -157,34 +163,37 @@
 	}
 	table, err := routing.Build(*config)
 	if err != nil {
-		from.log(c.log.Error().Str("event", "configuration_refused")).Int64("version", config.Version).Err(err).Send()
+		from.addTo(c.log.Error().Str("event", "configuration_refused")).Int64("version", config.Version).Err(err).Send()
 		return
 	}
-	c.newest.Store(&edition{config: config, packed: sync.OnceValue(func() relay.Packed { return c.pack(config) })})
+	c.newest.Store(&packableConfig{config: config, packed: sync.OnceValue(func() relay.Packed { return c.pack(config) })})
 	c.table.Store(table)
-	c.inForce(table.ServiceNames())
-	c.news.give()
-	from.log(c.log.Info().Str("event", "configuration")).Int64("version", config.Version).
+	c.onActivated(table.ServiceNames())
+	c.updates.notify()
+	from.addTo(c.log.Info().Str("event", "configuration")).Int64("version", config.Version).
 		Int("routes", len(config.Routes)).Int("accounts", len(config.Accounts)).Send()
 }
 
-// edition is a configuration with what peers get of it, made when the first asks.
-type edition struct {
+// packableConfig is a configuration and its packed form for peers, which is
+// created on first use.
+type packableConfig struct {
 	config *routing.Config
 	packed func() relay.Packed
 }
 
-// tell adds the configuration to the news of an asker.
-func (e *edition) tell(news *relay.News, unpacks bool) {
+// addTo adds the configuration to the news for a peer, packed if the peer can
+// unpack it.
+func (p *packableConfig) addTo(news *relay.News, unpacks bool) {
 	if unpacks {
-		news.Packed = e.packed()
+		news.Packed = p.packed()
 	}
 	if news.Packed == nil {
-		news.Config = e.config
+		news.Config = p.config
 	}
 }
 
-// pack packs a configuration; nil, so that it is told as it is, if it cannot be.
+// pack returns the packed form of a configuration. It returns nil after an
+// error, so that the configuration is sent unpacked.
 func (c *configs) pack(config *routing.Config) relay.Packed {
 	packed, err := relay.Pack(config)
 	if err != nil {
@@ -194,7 +203,8 @@
 	return packed
 }
 
-// version gives the version in force, 0 for none.
+// version returns the version of the active configuration, or 0 if there is
+// none.
 func (c *configs) version() int64 {
 	if table := c.table.Load(); table != nil {
 		return table.Version()
@@ -202,45 +212,50 @@
 	return 0
 }
 
-// upstreams is the directory. Its goroutines take turns by mu.
+// upstreams holds the directory of upstreams. mu serializes its changes.
 type upstreams struct {
-	contact
-	// holder names this process to peers.
-	holder string
-	log    zerolog.Logger
-	news   *notice
-	// gone is told of upstreams that went.
-	gone func(*directory.Upstream)
-	// reached is told when the store is heard of again after it was lost.
-	reached func()
-	// malformed is told of entries that cannot be read.
-	malformed func(listwatch.Removal)
-	view      atomic.Pointer[directory.View]
-	lost      atomic.Bool
+	storeContact
+	// holder identifies this process to peers.
+	holder  string
+	log     zerolog.Logger
+	updates *notifier
+	// onRemoved is called for each upstream that was removed.
+	onRemoved func(*directory.Upstream)
+	// onStoreRecovered is called when news of the store arrives again after the
+	// store was lost.
+	onStoreRecovered func()
+	// onMalformed is called for each entry that cannot be decoded.
+	onMalformed func(listwatch.Removal)
+	view        atomic.Pointer[directory.View]
+	// lost is set while the collection cannot be followed.
+	lost atomic.Bool
 
 	mu        sync.Mutex
 	directory *directory.Directory
-	// bases are the states of peers that were last taken over.
+	// bases holds, for each peer, the state of the peer's directory that was
+	// last merged.
 	bases map[ids.VM]relay.Base
-	// graced tells that a peer told of the directory since the store was lost.
-	graced bool
-	// heardBefore is the last answer of the store before it was lost, nil for none.
-	heardBefore *sighting
+	// heardFromPeer is set when a peer's directory was merged since the store
+	// was lost.
+	heardFromPeer bool
+	// lastBeforeLoss is the last answer of the store before it was lost, or nil
+	// if there was none.
+	lastBeforeLoss *storeAnswer
 }
 
-// newUpstreams makes an empty directory.
-func newUpstreams(holder string, log zerolog.Logger, news *notice) *upstreams {
-	u := &upstreams{holder: holder, log: log, news: news, directory: directory.New(), bases: make(map[ids.VM]relay.Base)}
+// newUpstreams returns an empty directory.
+func newUpstreams(holder string, log zerolog.Logger, updates *notifier) *upstreams {
+	u := &upstreams{holder: holder, log: log, updates: updates, directory: directory.New(), bases: make(map[ids.VM]relay.Base)}
 	u.view.Store(u.directory.View())
 	return u
 }
 
 // Listed implements listwatch.Sink.
 func (u *upstreams) Listed(list listwatch.List[directory.Upstream]) {
-	u.change(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
+	u.update(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
 		var all []directory.Change
 		for _, bad := range list.Malformed {
-			u.malformed(bad)
+			u.onMalformed(bad)
 			all = append(all, d.Invalidate(ids.Upstream(bad.Name), bad.Revision)...)
 		}
 		return append(all, d.Replace(now, list.Items, list.Revision)...)
@@ -249,7 +264,7 @@
 
 // Changed implements listwatch.Sink.
 func (u *upstreams) Changed(changes listwatch.Changes[directory.Upstream]) {
-	u.change(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
+	u.update(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
 		var all []directory.Change
 		for _, e := range changes.Events {
 			id := ids.Upstream(e.Removed.Name)
@@ -257,7 +272,7 @@
 			case e.Put != nil:
 				all = append(all, d.Put(*e.Put)...)
 			case e.Removed.Malformed != nil:
-				u.malformed(e.Removed)
+				u.onMalformed(e.Removed)
 				all = append(all, d.Invalidate(id, e.Removed.Revision)...)
 			default:
 				all = append(all, d.Remove(now, id, e.Removed.Revision)...)
@@ -267,22 +282,22 @@
 	})
 }
 
-// maxBases bounds the peers whose states are remembered; a node asks two in turn,
-// and others while one of these does not answer.
+// maxBases limits the number of peers whose states are remembered. A node
+// normally asks two peers in turn, and others if one of them does not answer.
 const maxBases = 16
 
-// merge takes a peer's news, asked for at a moment.
-func (u *upstreams) merge(peer ids.VM, news relay.News, asked time.Time) {
-	u.change(fromPeer(peer, &news, asked), func(d *directory.Directory, now time.Time) []directory.Change {
+// merge applies a peer's news. askedAt is the time at which the peer was asked.
+func (u *upstreams) merge(peer ids.VM, news relay.News, askedAt time.Time) {
+	u.update(fromPeer(peer, &news, askedAt), func(d *directory.Directory, now time.Time) []directory.Change {
 		if news.Revision < d.Revision() {
 			return nil
 		}
-		if u.lost.Load() && !u.graced {
-			// Upstreams that were cut off from the store together with this
-			// node are missing from what others know.
-			d.RegistryRecovered(now, u.heardBefore.age(now))
-			u.graced = true
-			u.reached()
+		if u.lost.Load() && !u.heardFromPeer {
+			// Upstreams that lost the store together with this node are missing
+			// from the peer's directory, but may still be running.
+			d.RegistryRecovered(now, u.lastBeforeLoss.age(now))
+			u.heardFromPeer = true
+			u.onStoreRecovered()
 		}
 		if len(u.bases) >= maxBases {
 			clear(u.bases)
@@ -295,51 +310,52 @@
 	})
 }
 
-// have tells a peer what is here.
+// have returns the state of this directory for a request to the peer.
 func (u *upstreams) have(peer ids.VM) relay.Have {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return relay.Have{Revision: u.directory.Revision(), Base: u.bases[peer], Want: relay.WantUpstreams}
 }
 
-// tell adds to the news what an asker does not have.
-func (u *upstreams) tell(news *relay.News, have relay.Have) {
+// addTo adds the changes that the asking peer does not have to the news.
+func (u *upstreams) addTo(news *relay.News, have relay.Have) {
 	view := u.view.Load()
 	var changed []*directory.Upstream
 	known := have.Base.Holder == u.holder
 	if known {
 		changed, news.Gone, news.Delta = view.Since(have.Base.Mark)
 	}
-	// One without a base may lack what has no revision, as the end of a grace.
+	// A peer without a known base may also lack changes that have no revision of
+	// their own, such as the end of a removal grace period.
 	nothing := known && len(changed)+len(news.Gone) == 0
 	if view.Revision < have.Revision || view.Revision == have.Revision && nothing {
 		return
 	}
 	news.Revision, news.Base = view.Revision, relay.Base{Holder: u.holder, Mark: view.Mark}
 	if news.Delta {
-		news.Upstreams = values(changed)
+		news.Upstreams = copyUpstreams(changed)
 		return
 	}
-	for _, one := range view.All() {
-		news.Present = append(news.Present, one.ID.Upstream)
-		if one.Revision > have.Revision {
-			news.Upstreams = append(news.Upstreams, *one)
+	for _, up := range view.All() {
+		news.Present = append(news.Present, up.ID.Upstream)
+		if up.Revision > have.Revision {
+			news.Upstreams = append(news.Upstreams, *up)
 		}
 	}
 }
 
-// restarted takes what a process says of its own start.
-func (u *upstreams) restarted(life ids.Life) {
-	u.change(origin{from: "report"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.Restarted(life) })
+// recordRestart applies a process's own report that it has restarted.
+func (u *upstreams) recordRestart(life ids.Life) {
+	u.update(origin{from: "report"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.Restarted(life) })
 }
 
-// configured takes the services of the configuration in force.
-func (u *upstreams) configured(services []ids.Service) {
-	u.change(origin{from: "configuration"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.SetServices(services) })
+// setServices applies the services of the active configuration.
+func (u *upstreams) setServices(services []ids.Service) {
+	u.update(origin{from: "configuration"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.SetServices(services) })
 }
 
-// values copies upstreams out of a view.
-func values(list []*directory.Upstream) []directory.Upstream {
+// copyUpstreams copies upstreams of a view.
+func copyUpstreams(list []*directory.Upstream) []directory.Upstream {
 	var out []directory.Upstream
 	for _, u := range list {
 		out = append(out, *u)
@@ -347,43 +363,47 @@
 	return out
 }
 
-// Lost implements listwatch.Sink. Peers that wait here are told at once.
+// Lost implements listwatch.Sink. It wakes waiting peers so that they can ask
+// another node.
 func (u *upstreams) Lost(error) {
 	if u.lost.Load() {
 		return
 	}
 	u.mu.Lock()
-	u.heardBefore = u.heard.Load()
+	u.lastBeforeLoss = u.lastAnswer.Load()
 	u.mu.Unlock()
 	u.lost.Store(true)
-	u.news.give()
+	u.updates.notify()
 }
 
 // Returned implements listwatch.Sink.
 func (u *upstreams) Returned() {
 	u.lost.Store(false)
-	u.change(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
-		if !u.graced {
-			u.reached()
+	u.update(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
+		if !u.heardFromPeer {
+			u.onStoreRecovered()
 		}
-		u.graced = false
-		d.RegistryRecovered(now, u.heardBefore.age(now))
+		u.heardFromPeer = false
+		d.RegistryRecovered(now, u.lastBeforeLoss.age(now))
 		return nil
 	})
 }
 
-// expiry is the time between two looks at entries that are missing.
-const expiry = 100 * time.Millisecond
+// expireInterval is the interval between checks for missing entries whose
+// removal grace period has ended.
+const expireInterval = 100 * time.Millisecond
 
-// expire removes missing entries whose time is over, until ctx ends.
+// expire removes missing entries at the end of their removal grace period,
+// until ctx ends.
 func (u *upstreams) expire(ctx context.Context) {
-	every.Do(ctx, expiry, func() {
-		u.change(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change { return d.Expire(now) })
+	every.Do(ctx, expireInterval, func() {
+		u.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change { return d.Expire(now) })
 	})
 }
 
-// change changes the directory and publishes its new view.
-func (u *upstreams) change(from origin, apply func(*directory.Directory, time.Time) []directory.Change) {
+// update changes the directory, publishes its new view, wakes waiting peers and
+// logs the changes.
+func (u *upstreams) update(from origin, apply func(*directory.Directory, time.Time) []directory.Change) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	before, mark := u.directory.Revision(), u.directory.Mark()
@@ -392,13 +412,13 @@
 		return
 	}
 	u.view.Store(u.directory.View())
-	u.news.give()
+	u.updates.notify()
 	for _, c := range changes {
-		from.log(u.log.Info().Str("event", "upstream_"+string(c.Kind))).Str("upstream", c.Upstream.ID.String()).
+		from.addTo(u.log.Info().Str("event", "upstream_"+string(c.Kind))).Str("upstream", c.Upstream.ID.String()).
 			Str("service", string(c.Upstream.Service)).Str("address", c.Upstream.Address).Str("zone", string(c.Upstream.Zone)).
 			Str("layers", c.Upstream.Layers.String()).Int64("revision", u.directory.Revision()).Send()
 		if c.Kind == directory.Removed {
-			u.gone(c.Upstream)
+			u.onRemoved(c.Upstream)
 		}
 	}
 }
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -8,40 +8,42 @@
 	"mimosaarch.example/core/every"
 )
 
-// Times of a planned stop.
+// Time limits of a shutdown.
 const (
-	// readinessLag is how long callers may still be sent here after the node
-	// says that it is not ready: two questions a second apart, and a slow one.
-	readinessLag = 2300 * time.Millisecond
-	// killSlack is left of the grace to cut what is still under way and exit.
-	killSlack = 600 * time.Millisecond
-	// lastPause lets answers that were just written leave the node.
-	lastPause = 50 * time.Millisecond
+	// readinessDelay is how long callers may still be sent to this node after
+	// it reports that it is not ready: two readiness checks one second apart,
+	// and a slow one.
+	readinessDelay = 2300 * time.Millisecond
+	// stopMargin is the part of the grace period reserved for cutting off
+	// remaining requests and exiting.
+	stopMargin = 600 * time.Millisecond
+	// flushPause lets the last answers leave the node before the process exits.
+	flushPause = 50 * time.Millisecond
 )
 
-// stop ends the node as planned: not ready first, and every connection ends with
-// its answer; once no callers are sent here any more, no connections are taken
-// and idle ones are closed, and work under way is finished as far as the grace
-// allows.
+// stop shuts the node down. It first reports that the node is not ready and
+// closes each connection after its answer. When no more callers are sent to
+// this node, it closes the listener and idle connections, and waits for
+// requests in flight within the grace period.
 func (n *Node) stop(ctx context.Context, l *listeners) {
-	began := time.Now()
+	start := time.Now()
 	n.stopping.Store(true)
 	n.server.DisableKeepAlives()
-	n.keeper.Resign()
+	n.elector.Resign()
 	n.log.Info().Str("event", "stopping").Int64("active", n.server.Active()).Send()
-	limit, done := context.WithDeadline(ctx, began.Add(n.settings.StopGrace-killSlack))
-	defer done()
-	every.Pause(limit, readinessLag)
-	// What comes later could no longer be finished within the grace.
+	drainCtx, cancel := context.WithDeadline(ctx, start.Add(n.settings.StopGrace-stopMargin))
+	defer cancel()
+	every.Pause(drainCtx, readinessDelay)
+	// Requests that arrive later could not be finished within the grace period.
 	_ = l.callers.Close()
-	whole := n.server.Drain(limit)
+	allAnswered := n.server.Drain(drainCtx)
 	for _, listener := range []net.Listener{l.ready, l.peers, l.metrics} {
 		if listener != nil {
-			_ = listener.Close() // the process ends next
+			_ = listener.Close() // the process exits next
 		}
 	}
-	n.log.Info().Str("event", "stopped").Bool("all_answered", whole).Int64("active", n.server.Active()).
-		Dur("took_ms", time.Since(began)).Send()
+	n.log.Info().Str("event", "stopped").Bool("all_answered", allAnswered).Int64("active", n.server.Active()).
+		Dur("took_ms", time.Since(start)).Send()
 	n.logCalls()
-	time.Sleep(lastPause)
+	time.Sleep(flushPause)
 }
--- /dev/null
+++ b/node/entry/upstreams_test.go
@@ -0,0 +1,189 @@
+package entry
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/rs/zerolog"
+
+	"mimosaarch.example/adapter/listwatch"
+	"mimosaarch.example/adapter/relay"
+	"mimosaarch.example/core/boottime"
+	"mimosaarch.example/core/ids"
+	"mimosaarch.example/decide/directory"
+)
+
+// upstreamList returns n upstreams with revisions 1 to n.
+func upstreamList(n int) []directory.Upstream {
+	var out []directory.Upstream
+	for i := range n {
+		out = append(out, directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(fmt.Sprintf("u-%04d", i))}, Service: "s", Address: fmt.Sprint("at ", i), Revision: int64(i + 1)})
+	}
+	return out
+}
+
+// listedUpstreams returns the directory of a process that has listed the given
+// upstreams. A nil list leaves it empty.
+func listedUpstreams(holder string, list []directory.Upstream) *upstreams {
+	u := newUpstreams(holder, zerolog.Nop(), newNotifier())
+	u.onRemoved = func(*directory.Upstream) {}
+	u.onStoreRecovered = func() {}
+	if list != nil {
+		u.Listed(listwatch.List[directory.Upstream]{Items: list, Revision: int64(len(list))})
+	}
+	return u
+}
+
+// transferNews applies the news of one directory to another and returns the
+// news.
+func transferNews(to, from *upstreams) relay.News {
+	var news relay.News
+	peer := ids.VM(from.holder)
+	from.addTo(&news, to.have(peer))
+	if news.Revision > 0 {
+		to.merge(peer, news, boottime.Now())
+	}
+	return news
+}
+
+// removalOf returns the change that removes an upstream.
+func removalOf(name string, revision int64) listwatch.Changes[directory.Upstream] {
+	return listwatch.Changes[directory.Upstream]{
+		Events:   []listwatch.Event[directory.Upstream]{{Removed: listwatch.Removal{Name: name, Revision: revision}}},
+		Revision: revision,
+	}
+}
+
+func TestNewsContainOnlyChanges(t *testing.T) {
+	from, to := listedUpstreams("p", upstreamList(3000)), listedUpstreams("q", nil)
+	if first := transferNews(to, from); len(first.Upstreams) != 3000 || first.Delta {
+		t.Fatalf("first news contain %d upstreams", len(first.Upstreams))
+	}
+	from.Changed(removalOf("u-0007", 3001))
+	news := transferNews(to, from)
+	if len(news.Present) != 0 || len(news.Upstreams) != 0 || len(news.Gone) != 1 {
+		t.Errorf("news of tc removal contain %d present, %d changed and %d removed upstreams", len(news.Present), len(news.Upstreams), len(news.Gone))
+	}
+	if to.view.Load().Get(life("u-0007")) != nil || len(to.view.Load().All()) != 2999 {
+		t.Error("the removal did not take effect")
+	}
+	if again := transferNews(to, from); again.Revision != 0 {
+		t.Errorf("news without a change are not empty: %+v", again)
+	}
+}
+
+func TestRestartedPeerSendsItsWholeDirectory(t *testing.T) {
+	from, to := listedUpstreams("p", upstreamList(3)), listedUpstreams("q", nil)
+	transferNews(to, from)
+	from = listedUpstreams("p2", upstreamList(5)[1:])
+	from.Changed(removalOf("u-0001", 9))
+	if news := transferNews(to, from); news.Delta {
+		t.Error("a restarted process sends only changes")
+	}
+	if diff := cmp.Diff(from.view.Load().All(), to.view.Load().All()); diff != "" {
+		t.Error(diff)
+	}
+}
+
+func TestRemovalAfterTheGracePeriodReachesPeers(t *testing.T) {
+	from, to := listedUpstreams("p", upstreamList(3)), listedUpstreams("q", nil)
+	from.Returned()
+	from.Listed(listwatch.List[directory.Upstream]{Items: upstreamList(2), Revision: 9})
+	transferNews(to, from)
+	if to.view.Load().Get(life("u-0002")) == nil {
+		t.Fatal("a missing upstream was removed before the end of the grace period")
+	}
+	from.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
+		return d.Expire(now.Add(2 * directory.RemovalGrace))
+	})
+	transferNews(to, from)
+	if to.view.Load().Get(life("u-0002")) != nil {
+		t.Error("the removal at the end of the grace period, which has no store revision, did not reach the peer")
+	}
+}
+
+func TestUpstreamsCutOffWithTheNodeAreKeptForTheGracePeriod(t *testing.T) {
+	to := listedUpstreams("q", upstreamList(3))
+	recoveries := 0
+	to.onStoreRecovered = func() { recoveries++ }
+	to.Lost(context.DeadlineExceeded)
+	// The partition ends. A peer answers before the store does, and the store
+	// has expired the entries that were cut off.
+	from := listedUpstreams("p", upstreamList(3))
+	from.Changed(removalOf("u-0000", 8))
+	from.Changed(removalOf("u-0001", 9))
+	transferNews(to, from)
+	if left := len(to.view.Load().All()); left != 3 {
+		t.Errorf("%d of 3 upstreams are left after the first peer's news", left)
+	}
+	back := directory.Upstream{ID: ids.Life{Upstream: "u-0001"}, Service: "s", Address: "at 1", Revision: 10}
+	from.Changed(listwatch.Changes[directory.Upstream]{Events: []listwatch.Event[directory.Upstream]{{Put: &back}}, Revision: 10})
+	transferNews(to, from)
+	to.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
+		return d.Expire(now.Add(2 * directory.RemovalGrace))
+	})
+	if view := to.view.Load(); view.Get(life("u-0001")) == nil || view.Get(life("u-0000")) != nil {
+		t.Error("after the grace period, want u-0001, which returned, and not u-0000")
+	}
+	to.Returned()
+	if recoveries != 1 {
+		t.Errorf("onStoreRecovered was called %d times", recoveries)
+	}
+	if to.heardFromPeer {
+		t.Error("heardFromPeer was not reset for the next loss")
+	}
+}
+
+// TestRemovalAfterAShortStoreLossTakesEffectAtOnce guards against requests to
+// an upstream whose entry was removed 3.5 s before. The node had lost its
+// watchers and read the removal from the store 2 s late. It mistook the missing
+// entry for an effect of a store outage, in which entries expire, and kept the
+// upstream for another grace period of 1.5 s. Entries expire only after several
+// missed heartbeats, so a loss shorter than that cannot be the reason for a
+// missing entry.
+func TestRemovalAfterAShortStoreLossTakesEffectAtOnce(t *testing.T) {
+	for _, tc := range []struct {
+		lost    time.Duration
+		removed bool
+	}{{time.Second, true}, {1900 * time.Millisecond, true}, {4 * time.Second, false}} {
+		to := listedUpstreams("q", upstreamList(3))
+		to.lastAnswer.Store(&storeAnswer{at: boottime.Now().Add(-tc.lost)})
+		to.Lost(context.DeadlineExceeded)
+		to.storeAnswered()
+		to.Returned()
+		to.Changed(removalOf("u-0001", 9))
+		if removed := to.view.Load().Get(life("u-0001")) == nil; removed != tc.removed {
+			t.Errorf("store lost for %v: removed %t, want %t", tc.lost, removed, tc.removed)
+		}
+	}
+}
+
+// life returns the ID of an upstream with an unknown start time.
+func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+
+// TestUpstreamLogLineNamesItsOrigin checks that a log line names the peer, age
+// and hops of a change. With these, a late change can be traced from the store
+// through the nodes that passed it on.
+func TestUpstreamLogLineNamesItsOrigin(t *testing.T) {
+	var log bytes.Buffer
+	to := newUpstreams("to", zerolog.New(&log), newNotifier())
+	news := relay.News{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Life{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
+	to.merge("vm-2", news, boottime.Now().Add(-time.Second))
+	var line struct {
+		Event, From, Peer string
+		Age               float64 `json:"age_ms"`
+		Took              float64 `json:"took_ms"`
+		Hops              int
+	}
+	if err := json.Unmarshal(log.Bytes(), &line); err != nil {
+		t.Fatal(err)
+	}
+	if line.Event != "upstream_seen" || line.From != "peer" || line.Peer != "vm-2" || line.Age != 1500 || line.Hops != 1 || line.Took < 1000 {
+		t.Errorf("%+v", line)
+	}
+}
--- a/node/entry/verdicts.go
+++ b/node/entry/verdicts.go
@@ -7,12 +7,13 @@
 	"mimosaarch.example/decide/quarantine"
 )
 
-// maxVerdicts is the most verdicts that wait to be told; further ones are
-// dropped and counted. Each stands for two crashed upstreams.
-const maxVerdicts = 64
+// maxQueuedVerdicts is the capacity of the queue of verdicts to send to other
+// nodes. Further verdicts are dropped and counted. Each verdict results from
+// two crashed upstreams.
+const maxQueuedVerdicts = 64
 
-// judged takes a verdict of the own server's, to be told to all other nodes.
-func (n *Node) judged(v quarantine.Verdict) {
+// queueVerdict queues a verdict of this node's server for all other nodes.
+func (n *Node) queueVerdict(v quarantine.Verdict) {
 	select {
 	case n.verdicts <- v:
 	default:
@@ -20,15 +21,16 @@
 	}
 }
 
-// Judged implements relay.Source.
+// Judged implements relay.Source. It applies a verdict received from a peer.
 func (n *Node) Judged(v quarantine.Verdict) {
 	n.log.Info().Str("event", "quarantine_heard").Str("fingerprint", string(v.Fingerprint)).Dur("for_ms", v.For).Send()
 	n.server.AddVerdict(v)
 }
 
-// tellVerdicts tells the other nodes of verdicts until ctx ends. One that does
-// not answer finds out by itself.
-func (n *Node) tellVerdicts(ctx context.Context) {
+// sendVerdicts sends queued verdicts to all other nodes until ctx ends. A
+// failed call is not repeated, because that node can reach the same verdict on
+// its own.
+func (n *Node) sendVerdicts(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/node/entry/verdicts_test.go
+++ b/node/entry/verdicts_test.go
@@ -16,8 +16,8 @@
 	"mimosaarch.example/node/telemetry"
 )
 
-// zone makes the nodes of a zone.
-func zone(name string, n int) []roster.Member {
+// zoneMembers returns n nodes of a zone.
+func zoneMembers(name string, n int) []roster.Member {
 	var out []roster.Member
 	for i := range n {
 		out = append(out, roster.Member{Name: ids.VM(fmt.Sprintf("%s-%02d", name, i)), Zone: ids.Zone(name), Peer: fmt.Sprint(name, i)})
@@ -25,21 +25,21 @@
 	return out
 }
 
-// listener is a node that notes verdicts.
-type listener struct{ heard chan quarantine.Verdict }
+// verdictRecorder is a relay.Source that records the verdicts it receives.
+type verdictRecorder struct{ heard chan quarantine.Verdict }
 
-func (listener) News(context.Context, relay.Have) relay.News { return relay.News{} }
+func (verdictRecorder) News(context.Context, relay.Have) relay.News { return relay.News{} }
 
-func (l listener) Judged(v quarantine.Verdict) { l.heard <- v }
+func (l verdictRecorder) Judged(v quarantine.Verdict) { l.heard <- v }
 
 func TestVerdictsReachAllOtherNodes(t *testing.T) {
 	settings := Settings{VM: "a-00", Zone: "a"}
 	n := &Node{
 		log: zerolog.Nop(), metrics: telemetry.New(), fleet: newFleet(settings, time.Now, func(int) {}),
-		verdicts: make(chan quarantine.Verdict, maxVerdicts),
+		verdicts: make(chan quarantine.Verdict, maxQueuedVerdicts),
 	}
-	members := append(zone("a", 3), zone("b", 2)...)
-	// The own node has nobody at its address, and one other is gone.
+	members := append(zoneMembers("a", 3), zoneMembers("b", 2)...)
+	// Nothing listens at the addresses of this node and of one other.
 	members[0].Peer, members[1].Peer = "127.0.0.1:1", "127.0.0.1:1"
 	heard := make(chan quarantine.Verdict, len(members))
 	for i := 2; i < len(members); i++ {
@@ -49,22 +49,22 @@
 		}
 		defer func() { _ = l.Close() }()
 		members[i].Peer = l.Addr().String()
-		go func() { _ = relay.Serve(t.Context(), l, listener{heard}) }()
+		go func() { _ = relay.Serve(t.Context(), l, verdictRecorder{heard}) }()
 	}
-	n.fleet.set(members, 1)
-	n.judged(quarantine.Verdict{Fingerprint: "f", For: time.Minute})
-	go n.tellVerdicts(t.Context())
+	n.fleet.setMembers(members, 1)
+	n.queueVerdict(quarantine.Verdict{Fingerprint: "f", For: time.Minute})
+	go n.sendVerdicts(t.Context())
 	for range 3 {
 		if v := <-heard; v.Fingerprint != "f" || v.For != time.Minute {
-			t.Errorf("heard %+v", v)
+			t.Errorf("received %+v", v)
 		}
 	}
 }
 
-func TestVerdictsWithoutRoomAreCounted(t *testing.T) {
+func TestVerdictsDroppedFromAFullQueueAreCounted(t *testing.T) {
 	n := &Node{metrics: telemetry.New(), verdicts: make(chan quarantine.Verdict, 1)}
-	n.judged(quarantine.Verdict{})
-	n.judged(quarantine.Verdict{})
+	n.queueVerdict(quarantine.Verdict{})
+	n.queueVerdict(quarantine.Verdict{})
 	if n.metrics.Registry().Get("verdicts.dropped") == nil {
 		t.Error("a dropped verdict is not counted")
 	}
