--- a/node/logring/logring.go
+++ b/node/logring/logring.go
@@ -1,6 +1,6 @@
-// Package logring writes a process's log without ever holding the process up.
-// Lines wait in a bounded ring for the log's reader; when it is slower, the
-// oldest are dropped, and a line says how many.
+// Package logring writes log lines without blocking the caller. Lines wait in a
+// bounded ring buffer for a background goroutine. If the output is slower than
+// the callers, the oldest lines are dropped and a log line reports how many.
 package logring
 
 import (
@@ -13,25 +13,28 @@
 )
 
 const (
-	// lines may wait for the reader: some seconds of a busy node's.
-	lines = 4096
-	// closeWithin bounds the wait for the reader at the end of the process.
-	closeWithin = 200 * time.Millisecond
+	// ringCapacity is the capacity of the ring buffer: a few seconds of output
+	// of a busy node.
+	ringCapacity = 4096
+	// closeTimeout is the maximum time that Close waits for the output.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Writer takes lines. Any goroutine may write.
+// Writer is a non-blocking io.Writer for log lines. It is safe for concurrent
+// use.
 type Writer struct {
 	ring    diode.Writer
 	dropped atomic.Int64
 }
 
-// New makes a Writer before out, which may block.
+// New returns a Writer that forwards lines to out from a background goroutine.
+// Writes to out may block.
 func New(out io.Writer) *Writer {
 	w := &Writer{}
-	w.ring = diode.NewWriter(out, lines, 0, func(missed int) {
+	w.ring = diode.NewWriter(out, ringCapacity, 0, func(missed int) {
 		w.dropped.Add(int64(missed))
-		// Called by the ring's own goroutine, between two lines. A failure of
-		// the log's reader can be told nowhere.
+		// The ring buffer's goroutine calls this between two lines. A write
+		// error is ignored because there is no other place to report it.
 		_, _ = fmt.Fprintf(out, `{"level":"warn","event":"log_lines_dropped","lines":%d}`+"\n", missed)
 	})
 	return w
@@ -40,18 +43,19 @@
 // Write implements io.Writer. It never blocks.
 func (w *Writer) Write(p []byte) (int, error) { return w.ring.Write(p) }
 
-// Dropped counts the lines dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits, as far as the reader takes it in time.
+// Close flushes the buffered lines and returns after closeTimeout at the
+// latest, even if the output still blocks.
 func (w *Writer) Close() {
 	done := make(chan struct{})
 	go func() {
-		_ = w.ring.Close() // closing a ring does not fail
+		_ = w.ring.Close() // always nil
 		close(done)
 	}()
 	select {
 	case <-done:
-	case <-time.After(closeWithin):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/node/logring/logring_test.go
+++ b/node/logring/logring_test.go
@@ -9,20 +9,20 @@
 	"testing"
 )
 
-func TestReaderThatDoesNotReadHoldsNobodyUp(t *testing.T) {
+func TestWriteDoesNotBlockOnAStalledReader(t *testing.T) {
 	r, out, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := New(out)
 	line := []byte(strings.Repeat("x", 300) + "\n")
-	for range 10 * lines {
+	for range 10 * ringCapacity {
 		if _, err := w.Write(line); err != nil {
 			t.Fatal(err)
 		}
 	}
 	w.Close()
-	// Both ends are closed so that the ring's goroutine ends as well.
+	// Closing both ends of the pipe ends the ring buffer's goroutine.
 	if err := r.Close(); err != nil {
 		t.Error(err)
 	}
@@ -31,14 +31,14 @@
 	}
 }
 
-// slow is a reader that stands still until it is released.
-type slow struct {
+// blockedWriter blocks every Write until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	b       bytes.Buffer
 }
 
-func (s *slow) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,9 +46,9 @@
 }
 
 func TestDroppedLinesAreCounted(t *testing.T) {
-	out := &slow{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	w := New(out)
-	for i := range 3 * lines {
+	for i := range 3 * ringCapacity {
 		_, _ = fmt.Fprintf(w, "line %d\n", i) // never fails
 	}
 	close(out.release)
@@ -59,6 +59,6 @@
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	if !strings.Contains(out.b.String(), `"event":"log_lines_dropped"`) {
-		t.Error("the log does not say that lines were dropped")
+		t.Error("the log does not report the dropped lines")
 	}
 }
