--- a/node/record/record.go
+++ b/node/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps the newest decisions of a node in bounded memory, so
-// that what happened to a request can be explained.
+// Package record keeps the most recent routing decisions of a node in bounded
+// memory, so that operators can ask what happened to a request.
 package record
 
 import (
@@ -9,52 +9,55 @@
 	"mimosaarch.example/decide/router"
 )
 
-// History holds the newest decisions. Any goroutine may call any method.
+// History is a ring buffer of routing decisions, indexed by request. It is safe
+// for concurrent use.
 type History struct {
-	mu    sync.Mutex
-	steps []router.Decision
-	// next is the place of the next decision in steps.
+	mu        sync.Mutex
+	decisions []router.Decision
+	// next is the position that the next decision is written to.
 	next int
-	// places lists where each request's decisions stand in steps.
-	places map[ids.Request][]int
+	// indexes holds the positions in the ring of each request's decisions,
+	// oldest first.
+	indexes map[ids.Request][]int
 }
 
-// New makes a Book that holds the given count of decisions, at least 1.
+// New returns a History that keeps up to capacity decisions, at least one.
 func New(capacity int) *History {
 	return &History{
-		steps:  make([]router.Decision, max(1, capacity)),
-		places: make(map[ids.Request][]int),
+		decisions: make([]router.Decision, max(1, capacity)),
+		indexes:   make(map[ids.Request][]int),
 	}
 }
 
-// Add keeps a decision in place of the oldest one.
-func (b *History) Add(d router.Decision) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.evict(b.steps[b.next].ID)
-	b.steps[b.next] = d
-	b.places[d.ID] = append(b.places[d.ID], b.next)
-	b.next = (b.next + 1) % len(b.steps)
+// Add stores a decision and overwrites the oldest one if the buffer is full.
+func (h *History) Add(d router.Decision) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.evict(h.decisions[h.next].ID)
+	h.decisions[h.next] = d
+	h.indexes[d.ID] = append(h.indexes[d.ID], h.next)
+	h.next = (h.next + 1) % len(h.decisions)
 }
 
-// evict forgets the oldest decision of the request, which is about to be
-// overwritten; an empty name means that the place is free.
-func (b *History) evict(id ids.Request) {
-	places := b.places[id]
-	if len(places) <= 1 {
-		delete(b.places, id)
+// evict removes the oldest index entry of the request whose decision is about
+// to be overwritten. An empty id means that the slot is unused.
+func (h *History) evict(id ids.Request) {
+	indexes := h.indexes[id]
+	if len(indexes) <= 1 {
+		delete(h.indexes, id)
 		return
 	}
-	b.places[id] = places[1:]
+	h.indexes[id] = indexes[1:]
 }
 
-// Decisions gives the decisions of a request, oldest first; nil when none is kept.
-func (b *History) Decisions(id ids.Request) []router.Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Decisions returns the stored decisions of a request, oldest first, or nil if
+// there are none.
+func (h *History) Decisions(id ids.Request) []router.Decision {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var found []router.Decision
-	for _, place := range b.places[id] {
-		found = append(found, b.steps[place])
+	for _, index := range h.indexes[id] {
+		found = append(found, h.decisions[index])
 	}
 	return found
 }
--- a/node/record/record_test.go
+++ b/node/record/record_test.go
@@ -9,10 +9,10 @@
 	"mimosaarch.example/decide/router"
 )
 
-func TestBookKeepsTheNewest(t *testing.T) {
-	b := New(3)
+func TestHistoryKeepsTheNewestDecisions(t *testing.T) {
+	h := New(3)
 	add := func(id ids.Request, step router.DecisionStep) {
-		b.Add(router.Decision{ID: id, Step: step})
+		h.Add(router.Decision{ID: id, Step: step})
 	}
 	add("a", router.StepAdmitted)
 	add("b", router.StepAdmitted)
@@ -20,7 +20,7 @@
 	add("a", router.StepFinished)
 	steps := func(id ids.Request) []router.DecisionStep {
 		var found []router.DecisionStep
-		for _, d := range b.Decisions(id) {
+		for _, d := range h.Decisions(id) {
 			found = append(found, d.Step)
 		}
 		return found
@@ -29,7 +29,7 @@
 		t.Error(diff)
 	}
 	add("c", router.StepAdmitted)
-	if got := b.Decisions("b"); got != nil {
-		t.Errorf("overwritten decisions are still given: %v", got)
+	if got := h.Decisions("b"); got != nil {
+		t.Errorf("overwritten decisions are still returned: %v", got)
 	}
 }
