--- a/node/settings/check.go
+++ b/node/settings/check.go
@@ -15,7 +15,7 @@
 	"mimosaarch.example/core/fleet"
 )
 
-// ReadError tells that the settings file could not be read.
+// ReadError is returned when the settings file cannot be read.
 type ReadError struct {
 	Path  string
 	Cause error
@@ -24,11 +24,11 @@
 // Error implements error.
 func (e *ReadError) Error() string { return fmt.Sprintf("settings %s: %v", e.Path, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the underlying file error.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// Load reads a settings file. The error is a *ReadError or a
-// *fleet.InvalidError that lists every violation.
+// Load reads and parses the settings file at path. The error is a *ReadError or
+// a *fleet.InvalidError that lists every violation.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -37,14 +37,15 @@
 	return Parse(data)
 }
 
-// Parse checks settings and fills in their defaults. Unknown fields are
-// refused. The error is a *fleet.InvalidError that lists every violation.
+// Parse decodes and validates settings and fills in defaults. Unknown fields
+// are violations. The error is a *fleet.InvalidError that lists every violation
+// in the order of the lines.
 func Parse(data []byte) (Settings, error) {
 	var s Settings
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
 	violations := decodeViolations(decoder.Decode(&s))
-	c := checker{lines: lines(data)}
+	c := checker{lines: lineNumbers(data)}
 	c.check(s)
 	violations = append(violations, c.violations...)
 	if len(violations) > 0 {
@@ -54,7 +55,7 @@
 	return s.WithDefaults(), nil
 }
 
-// decodeViolations turns the YAML library's error into violations.
+// decodeViolations converts an error of the YAML decoder to violations.
 func decodeViolations(err error) []fleet.Violation {
 	if err == nil {
 		return nil
@@ -70,7 +71,8 @@
 	return violations
 }
 
-// decodeViolation takes the line out of one of the YAML library's texts.
+// decodeViolation converts one message of a yaml.TypeError to a violation, with
+// the line number that the message starts with.
 func decodeViolation(text string) fleet.Violation {
 	var line int
 	rest := text
@@ -80,23 +82,23 @@
 	return fleet.Violation{Line: line, Value: rest, Expected: "a known field of the right type"}
 }
 
-// checker gathers violations of values.
+// checker collects the violations of field values.
 type checker struct {
-	// lines gives the line of each path that is present.
+	// lines maps the path of each field in the file to its line number.
 	lines      map[string]int
 	violations []fleet.Violation
 }
 
-// Bounds of settings.
+// Limits of the values of settings.
 const (
-	minInterval = 10 * time.Millisecond
-	maxInterval = time.Minute
-	maxRequests = 1 << 20
-	maxBody     = 64 << 20
-	maxRecords  = 1 << 20
+	minInterval  = 10 * time.Millisecond
+	maxInterval  = time.Minute
+	maxRequests  = 1 << 20
+	maxBodyBytes = 64 << 20
+	maxRecords   = 1 << 20
 )
 
-// check checks every value.
+// check validates every field of s.
 func (c *checker) check(s Settings) {
 	c.name("vm", s.VM)
 	c.name("zone", s.Zone)
@@ -108,33 +110,34 @@
 	if len(s.Platform) == 0 {
 		c.fail("platform", "", "at least one IP address and port")
 	}
-	c.within("max_requests", s.MaxRequests, maxRequests)
-	c.within("max_body", s.MaxBody, maxBody)
-	c.within("records", s.Records, maxRecords)
+	c.count("max_requests", s.MaxRequests, maxRequests)
+	c.count("max_body", s.MaxBodyBytes, maxBodyBytes)
+	c.count("records", s.Records, maxRecords)
 	c.interval("poll_interval", s.PollInterval)
 	c.interval("vm_list_interval", s.VMListInterval)
 	if s.DrainTimeout < 0 {
 		c.fail("drain_timeout", s.DrainTimeout.String(), "a duration of 0 or more")
 	}
-	c.level(s.LogLevel)
+	c.logLevel(s.LogLevel)
 	c.tls(s.TLS)
 }
 
-// fail notes a violation.
+// fail records a violation.
 func (c *checker) fail(path, value, expected string) {
 	c.violations = append(c.violations, fleet.Violation{
 		Path: path, Line: c.lines[path], Value: value, Expected: expected,
 	})
 }
 
-// name checks a required name.
+// name requires a non-empty name without spaces or slashes.
 func (c *checker) name(path, value string) {
 	if value == "" || strings.ContainsAny(value, " /\t\n") {
 		c.fail(path, value, "a name without spaces or slashes")
 	}
 }
 
-// address checks one address.
+// address requires an IP address and port. An empty value is valid unless
+// required is set.
 func (c *checker) address(path, value string, required bool) {
 	if value == "" && !required {
 		return
@@ -144,35 +147,36 @@
 	}
 }
 
-// addresses checks a list of addresses.
+// addresses validates each address of a list.
 func (c *checker) addresses(path string, values []string) {
 	for i, v := range values {
 		c.address(fmt.Sprintf("%s[%d]", path, i), v, true)
 	}
 }
 
-// within checks a count; 0 stands for the default.
-func (c *checker) within(path string, value, most int) {
+// count requires a count from 0 to most. 0 selects the default.
+func (c *checker) count(path string, value, most int) {
 	if value < 0 || value > most {
 		c.fail(path, fmt.Sprint(value), fmt.Sprintf("1 to %d", most))
 	}
 }
 
-// interval checks a pace; 0 stands for the default.
+// interval requires a duration from minInterval to maxInterval. 0 selects the
+// default.
 func (c *checker) interval(path string, value time.Duration) {
 	if value != 0 && (value < minInterval || value > maxInterval) {
 		c.fail(path, value.String(), fmt.Sprintf("%v to %v", minInterval, maxInterval))
 	}
 }
 
-// level checks the log level.
-func (c *checker) level(value string) {
+// logLevel requires a known log level or an empty value.
+func (c *checker) logLevel(value string) {
 	if !slices.Contains([]string{"", "debug", "info", "warn", "error"}, value) {
 		c.fail("log_level", value, "one of debug, info, warn, error")
 	}
 }
 
-// tls checks that all files of an identity are named.
+// tls requires all three file names if the section is present.
 func (c *checker) tls(t *TLS) {
 	if t == nil {
 		return
@@ -188,29 +192,31 @@
 	}
 }
 
-// lines maps each path of a document to its line.
-func lines(data []byte) map[string]int {
+// lineNumbers maps the path of each field in the document to its line number.
+// It returns an empty map for malformed YAML.
+func lineNumbers(data []byte) map[string]int {
 	found := make(map[string]int)
 	var root yaml.Node
 	if err := yaml.Unmarshal(data, &root); err != nil || len(root.Content) == 0 {
 		return found
 	}
-	walk(root.Content[0], "", found)
+	collectLineNumbers(root.Content[0], "", found)
 	return found
 }
 
-// walk notes the lines of a node and what it holds.
-func walk(node *yaml.Node, path string, found map[string]int) {
+// collectLineNumbers records the line numbers of a YAML node and its
+// descendants in found.
+func collectLineNumbers(node *yaml.Node, path string, found map[string]int) {
 	found[path] = node.Line
 	switch node.Kind {
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(node.Content); i += 2 {
 			key := node.Content[i].Value
-			walk(node.Content[i+1], strings.TrimPrefix(path+"."+key, "."), found)
+			collectLineNumbers(node.Content[i+1], strings.TrimPrefix(path+"."+key, "."), found)
 		}
 	case yaml.SequenceNode:
 		for i, item := range node.Content {
-			walk(item, fmt.Sprintf("%s[%d]", path, i), found)
+			collectLineNumbers(item, fmt.Sprintf("%s[%d]", path, i), found)
 		}
 	}
 }
--- a/node/settings/check_test.go
+++ b/node/settings/check_test.go
@@ -30,7 +30,7 @@
 		Listen:         Listen{Callers: "127.0.0.1:8080", Operators: "127.0.0.1:8082"},
 		Platform:       []string{"127.0.0.1:9000"},
 		MaxRequests:    4096,
-		MaxBody:        1 << 20,
+		MaxBodyBytes:   1 << 20,
 		PollInterval:   100 * time.Millisecond,
 		VMListInterval: time.Second,
 		DrainTimeout:   10 * time.Minute,
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads and checks the YAML settings of one mimosad process.
-// What operators change while nodes run stands in profiles, not here.
+// Package settings reads and validates the YAML settings file of one mimosad
+// process. Configuration that operators change while nodes run is in fleet
+// profiles instead.
 package settings
 
 import (
@@ -7,39 +8,41 @@
 	"time"
 )
 
-// Settings of a node. Addresses are IP address and port.
+// Settings are the settings of one node. Addresses have the form IP:port.
 type Settings struct {
-	// VM is the entry VM's name, unique in the fleet. Required.
+	// VM is the name of the entry VM, unique in the fleet. Required.
 	VM string `yaml:"vm"`
-	// Zone is the availability zone the VM stands in. Required.
+	// Zone is the availability zone of the VM. Required.
 	Zone string `yaml:"zone"`
-	// Listen holds the node's own addresses.
+	// Listen holds the addresses that the node listens on.
 	Listen Listen `yaml:"listen"`
-	// Platform lists the addresses of the platform's object API. Required,
-	// at least one.
+	// Platform lists the addresses of the platform's object API. Required, at
+	// least one.
 	Platform []string `yaml:"platform"`
-	// Peers lists peer addresses of other nodes to start from, for when the
-	// platform cannot be asked for the list of VMs. Default none.
+	// Peers lists peer addresses of other nodes that are contacted while the
+	// list of VMs cannot be read from the platform. Default none.
 	Peers []string `yaml:"peers,omitempty"`
-	// TLS holds the keys of links between nodes and of the operator port.
-	// Default none: plain TCP, for tests on one machine only.
+	// TLS names the key files for connections between nodes and for the
+	// operator port. Default none, which means plain TCP and is meant only for
+	// tests on one machine.
 	TLS *TLS `yaml:"tls,omitempty"`
-	// MaxRequests is the most requests held at once. Default 4096. More are
-	// refused with queue_full.
+	// MaxRequests is the maximum number of requests held at once. Further
+	// requests are refused with queue_full. Default 4096.
 	MaxRequests int `yaml:"max_requests,omitempty"`
-	// MaxBody is the most bytes of a request's body. Default 1048576. Larger
-	// ones are refused with body_too_large.
-	MaxBody int `yaml:"max_body,omitempty"`
-	// PollInterval is the pace at which an engine's load is asked for.
-	// Default 250ms. Shorter notices failures earlier and costs more calls.
+	// MaxBodyBytes is the maximum size of a request body. Larger requests are
+	// refused with body_too_large. Default 1048576.
+	MaxBodyBytes int `yaml:"max_body,omitempty"`
+	// PollInterval is the interval between load polls of an engine. A shorter
+	// interval detects failures earlier and costs more calls. Default 250ms.
 	PollInterval time.Duration `yaml:"poll_interval,omitempty"`
-	// VMListInterval is the pace at which the platform's list of VMs is
-	// read. Default 1s.
+	// VMListInterval is the interval between reads of the platform's list of
+	// VMs. Default 1s.
 	VMListInterval time.Duration `yaml:"vm_list_interval,omitempty"`
-	// DrainTimeout is the longest a planned stop waits for requests in
-	// flight. Default 10m. It should exceed the longest deadline.
+	// DrainTimeout is the maximum time that a planned stop waits for requests
+	// in flight. It should exceed the longest request deadline. Default 10m.
 	DrainTimeout time.Duration `yaml:"drain_timeout,omitempty"`
-	// Records is the count of decisions kept for explanations. Default 20000.
+	// Records is the number of routing decisions kept for explanations. Default
+	// 20000.
 	Records int `yaml:"records,omitempty"`
 	// LogLevel is debug, info, warn or error. Default info.
 	LogLevel string `yaml:"log_level,omitempty"`
@@ -47,20 +50,22 @@
 
 // Listen holds the addresses a node listens on.
 type Listen struct {
-	// Callers is where callers' requests come in. Required.
+	// Callers is the address for callers' requests. Required.
 	Callers string `yaml:"callers"`
-	// Operators is where health checks, counters and explanations are asked
-	// for. Required.
+	// Operators is the address for health checks, metrics, status and
+	// explanations. Required.
 	Operators string `yaml:"operators"`
-	// Peers is where other nodes call. Default none: the node stands alone.
+	// Peers is the address for other nodes. Default none: the node runs without
+	// peers.
 	Peers string `yaml:"peers,omitempty"`
 }
 
-// TLS names the PEM files of a node's identity.
+// TLS names the PEM files of a node's TLS identity.
 type TLS struct {
-	// CA is the certificate that signs every member of the fleet. Required.
+	// CA is the certificate of the authority that signs the certificates of all
+	// members of the fleet. Required.
 	CA string `yaml:"ca"`
-	// Cert and Key are the node's own. Required.
+	// Cert and Key are the certificate and private key of this node. Required.
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
 }
@@ -68,7 +73,7 @@
 // Defaults of Settings.
 const (
 	DefaultMaxRequests    = 4096
-	DefaultMaxBody        = 1 << 20
+	DefaultMaxBodyBytes   = 1 << 20
 	DefaultPollInterval   = 250 * time.Millisecond
 	DefaultVMListInterval = time.Second
 	DefaultDrainTimeout   = 10 * time.Minute
@@ -76,10 +81,11 @@
 	DefaultLogLevel       = "info"
 )
 
-// WithDefaults fills the zero fields.
+// WithDefaults returns a copy of s in which zero fields have their defaults.
+// Fields without a default are unchanged.
 func (s Settings) WithDefaults() Settings {
 	s.MaxRequests = cmp.Or(s.MaxRequests, DefaultMaxRequests)
-	s.MaxBody = cmp.Or(s.MaxBody, DefaultMaxBody)
+	s.MaxBodyBytes = cmp.Or(s.MaxBodyBytes, DefaultMaxBodyBytes)
 	s.PollInterval = cmp.Or(s.PollInterval, DefaultPollInterval)
 	s.VMListInterval = cmp.Or(s.VMListInterval, DefaultVMListInterval)
 	s.DrainTimeout = cmp.Or(s.DrainTimeout, DefaultDrainTimeout)
