--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -1,5 +1,6 @@
-// Package telemetry holds a node's counters and histograms: one counter for
-// each refusal, retry and outcome reason.
+// Package telemetry holds the metrics of a node: counters for each reason of a
+// refusal, retry or failure and for each outcome, and histograms of request
+// times.
 package telemetry
 
 import (
@@ -11,7 +12,7 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Prefixes of counter names; a reason or outcome follows.
+// Prefixes of counter names. The reason, outcome or kind of error follows.
 const (
 	RefusalPrefix       = "refusal."
 	RetryPrefix         = "retry."
@@ -20,42 +21,44 @@
 	ErrorPrefix         = "error."
 )
 
-// Names of histograms, in microseconds.
+// Names of histograms, whose values are in microseconds since the arrival of a
+// request: until an attempt is sent upstream, and until the final answer.
 const (
-	QueueWaitHistogram = "wait_us"
-	TotalTimeHistogram = "total_us"
+	TimeToSendHistogram = "wait_us"
+	TotalTimeHistogram  = "total_us"
 )
 
-// Sample sizes of histograms.
+// Parameters of the exponentially decaying samples behind the histograms.
 const (
 	reservoirSize  = 1028
 	reservoirAlpha = 0.015
 )
 
-// Telemetry counts what the decisions say. Any goroutine may call any method.
+// Telemetry registers and updates the metrics of one node. It is safe for
+// concurrent use.
 type Telemetry struct {
 	registry metrics.Registry
 	wait     metrics.Histogram
 	total    metrics.Histogram
 }
 
-// New makes a Telemetry without counts.
+// New returns a Telemetry with an empty registry apart from its two histograms.
 func New() *Telemetry {
 	t := &Telemetry{registry: metrics.NewRegistry()}
-	t.wait = t.histogram(QueueWaitHistogram)
+	t.wait = t.histogram(TimeToSendHistogram)
 	t.total = t.histogram(TotalTimeHistogram)
 	return t
 }
 
-// histogram makes and registers one histogram.
+// histogram creates and registers a histogram.
 func (t *Telemetry) histogram(name string) metrics.Histogram {
 	h := metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, reservoirAlpha))
-	// A name is registered once only, so this cannot fail.
+	// Register fails only for a name that is already registered.
 	_ = t.registry.Register(name, h)
 	return h
 }
 
-// CountDecision counts one decision.
+// CountDecision updates the metrics for one routing decision.
 func (t *Telemetry) CountDecision(d router.Decision) {
 	switch d.Step {
 	case router.StepRefused:
@@ -71,7 +74,7 @@
 	}
 }
 
-// finished counts a final answer.
+// finished counts the final answer to a request.
 func (t *Telemetry) finished(d router.Decision) {
 	t.count(OutcomePrefix + string(d.Outcome))
 	t.total.Update(d.Wait.Microseconds())
@@ -80,37 +83,38 @@
 	}
 }
 
-// CountRefusal counts a refusal made before a request was held.
+// CountRefusal counts a request that was refused without being run, by reason.
 func (t *Telemetry) CountRefusal(reason outcome.Reason) {
 	t.count(OutcomePrefix + string(outcome.NotRun))
 	t.count(RefusalPrefix + string(reason))
 }
 
-// CountError counts an error that is not about one request, by its kind.
+// CountError counts an error that does not belong to a single request, by kind.
 func (t *Telemetry) CountError(kind string) { t.count(ErrorPrefix + kind) }
 
-// ObserveDuration notes how long a duty's step took.
+// ObserveDuration adds a duration to the timer with the given name.
 func (t *Telemetry) ObserveDuration(name string, d time.Duration) { t.Timer(name)(d) }
 
-// Timer gives ObserveDuration for one name, which is looked up once.
+// Timer returns a function that adds durations to the timer with the given
+// name. It avoids the lookup by name of ObserveDuration.
 func (t *Telemetry) Timer(name string) func(d time.Duration) {
 	return metrics.GetOrRegisterTimer(name, t.registry).Update
 }
 
-// Add adds to a counter.
+// Add adds n to the counter with the given name.
 func (t *Telemetry) Add(name string, n int64) {
 	metrics.GetOrRegisterCounter(name, t.registry).Inc(n)
 }
 
-// Gauge shows the value that f gives when the counters are read. Any goroutine
-// may call f.
+// Gauge registers a gauge whose value is read by calling f. f must be safe for
+// concurrent use.
 func (t *Telemetry) Gauge(name string, f func() int64) {
-	// A name is registered once only, so this cannot fail.
+	// Register fails only for a name that is already registered.
 	_ = t.registry.Register(name, metrics.NewFunctionalGauge(f))
 }
 
 // count adds one to a counter.
 func (t *Telemetry) count(name string) { t.Add(name, 1) }
 
-// Registry gives the counters for the operator port.
+// Registry returns the registry of all metrics, for the operator port.
 func (t *Telemetry) Registry() metrics.Registry { return t.registry }
