--- a/mimosad/app/app.go
+++ b/mimosad/app/app.go
@@ -1,5 +1,5 @@
-// Package app is the command line of mimosad, apart from its main package so
-// that scenario tests can run it as a command.
+// Package app implements the command line of mimosad. It is separate from
+// package main so that scenario tests can run it as a command.
 package app
 
 import (
@@ -18,7 +18,8 @@
 	"mimosaarch.example/node/settings"
 )
 
-// Exit codes.
+// Exit codes of mimosad. ExitFailed means that the node could not start,
+// ExitDrainIncomplete that a stop cut off requests in flight.
 const (
 	ExitOK              = 0
 	ExitFailed          = 1
@@ -27,14 +28,15 @@
 	ExitDrainIncomplete = 4
 )
 
-// options of the command line.
+// options are the command-line flags.
 type options struct {
 	Settings string `short:"s" long:"settings" required:"true" value-name:"FILE" description:"YAML settings of this node"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
 }
 
-// Main runs mimosad and gives its exit code. SIGTERM and SIGINT start a
-// planned stop: requests in flight end first. A second signal stops at once.
+// Main runs mimosad and returns its exit code. SIGTERM and SIGINT start a
+// planned stop, which waits for requests in flight. A second signal stops the
+// node at once.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var opts options
 	parser := flags.NewParser(&opts, flags.HelpFlag|flags.PassDoubleDash)
@@ -54,7 +56,8 @@
 	return run(s, stderr)
 }
 
-// usage prints help or what is wrong with the command line.
+// usage prints the help text to stdout, or the parse error to stderr, and
+// returns the exit code.
 func usage(err error, stdout, stderr io.Writer) int {
 	var flagsErr *flags.Error
 	if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
@@ -65,7 +68,8 @@
 	return ExitUsage
 }
 
-// run runs the node until a signal has stopped it.
+// run starts the node, waits for a signal and drains the node. It returns the
+// exit code.
 func run(s settings.Settings, stderr io.Writer) int {
 	log := newLog(s.LogLevel, stderr)
 	signals := make(chan os.Signal, 2)
@@ -80,7 +84,7 @@
 	return drain(n, s, signals, log)
 }
 
-// drain is the planned stop.
+// drain shuts the node down within the drain timeout or until a second signal.
 func drain(n *node.Node, s settings.Settings, signals <-chan os.Signal, log zerolog.Logger) int {
 	ctx, cancel := context.WithTimeout(context.Background(), s.DrainTimeout)
 	defer cancel()
@@ -98,7 +102,8 @@
 	return ExitOK
 }
 
-// newLog makes the log of the process: JSON lines on stderr.
+// newLog returns a logger that writes JSON lines to stderr. An unknown level
+// selects info.
 func newLog(level string, stderr io.Writer) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/mimosad/main.go
+++ b/mimosad/main.go
@@ -1,4 +1,4 @@
-// Command mimosad is the mimosaarch node of one entry VM.
+// Command mimosad runs the mimosaarch node of one entry VM.
 package main
 
 import (
