--- a/adapter/peer/pull.go
+++ b/adapter/peer/pull.go
@@ -79,13 +79,13 @@
 // fetchVMs asks for the list of VMs.
 func (p *puller) fetchVMs(ctx context.Context, job pull) {
 	var out peerapi.VMsReply
-	ask := peerapi.VMs{Above: p.vms.Load().Revision}
+	ask := peerapi.VMs{AfterRevision: p.vms.Load().Revision}
 	if err := p.call(ctx, job.conn, peerapi.MethodVMs, ask, &out); err != nil {
 		p.opts.Count(PullsFailed, 1)
 		return
 	}
 	if err := p.events.Offer(vmsSeen{list: out.List, fromPeer: true}); err != nil {
-		p.opts.Count(MessagesBusy, 1)
+		p.opts.Count(MessagesDropped, 1)
 	}
 }
 
@@ -121,7 +121,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ask := peerapi.Pull{Summary: tellSummary(summary)}
+	ask := peerapi.Pull{Summary: encodeSummary(summary)}
 	if err := ask.Validate(); err != nil {
 		return 0, err
 	}
--- a/core/layered/layered.go
+++ b/core/layered/layered.go
@@ -147,11 +147,11 @@
 // Life returns the life of the engine that sent the report: known, or a later one if
 // the report has a later start time. A known life without a start time is returned as
 // it is.
-func (r Report) Life(known ids.Life) ids.Life {
-	if known.Born == 0 {
+func (r Report) Life(known ids.Instance) ids.Instance {
+	if known.StartedMs == 0 {
 		return known
 	}
-	return ids.Life{Upstream: known.Upstream, Born: max(known.Born, r.Born)}
+	return ids.Instance{Upstream: known.Upstream, StartedMs: max(known.StartedMs, r.Born)}
 }
 
 // ZoneLinkUtilization returns the fraction of the capacity of the link between two
--- a/node/claims.go
+++ b/node/claims.go
@@ -38,15 +38,15 @@
 	node *Node
 	once sync.Once
 	// claims is nil until the first use, and always in a node without peers.
-	claims *peer.Claims
+	claims *peer.ClaimForwarder
 }
 
 // connections returns the connections to other nodes, or nil in a node without
 // peers.
-func (c *claimPeers) connections() *peer.Claims {
+func (c *claimPeers) connections() *peer.ClaimForwarder {
 	c.once.Do(func() {
 		if c.node.peers != nil {
-			c.claims = peer.NewClaims(c.node.ctx, c.node.peers)
+			c.claims = peer.NewClaimForwarder(c.node.ctx, c.node.peers)
 		}
 	})
 	return c.claims
--- a/node/config.go
+++ b/node/config.go
@@ -14,8 +14,8 @@
 func (n *Node) newFeed(client configfeed.Platform) *configfeed.Feed {
 	sink := func(config *router.Config) { n.postEvent(router.ConfigReceived{Config: config}) }
 	return configfeed.New(client, sink, configfeed.Settings{
-		Leads:     func() bool { return n.ownsTask(configTask) },
-		OnProblem: n.handleConfigError,
+		ShouldWatch: func() bool { return n.ownsTask(configTask) },
+		OnError:     n.handleConfigError,
 	})
 }
 
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -230,15 +230,15 @@
 	}
 }
 
-// News implements relay.Source. It returns as soon as there is news for the
+// UpdateSince implements relay.Source. It returns as soon as there is news for the
 // peer, and without news when the peer's wait time is over.
-func (n *Node) News(ctx context.Context, have relay.Have) relay.News {
+func (n *Node) UpdateSince(ctx context.Context, have relay.UpdateRequest) relay.Update {
 	timer := time.NewTimer(time.Duration(have.WaitMs) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		changed := n.updates.next()
 		news := n.newsSince(have)
-		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Lost || have.WaitMs <= 0 {
+		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Disconnected || have.WaitMs <= 0 {
 			return news
 		}
 		select {
@@ -252,22 +252,22 @@
 }
 
 // newsSince returns the state that is newer than the peer's, without waiting.
-func (n *Node) newsSince(have relay.Have) relay.News {
-	news := relay.News{ConfigRevision: n.configs.revision.Load()}
+func (n *Node) newsSince(have relay.UpdateRequest) relay.Update {
+	news := relay.Update{ConfigRevision: n.configs.revision.Load()}
 	n.fleet.addMembers(&news, have.Members)
 	now := boottime.Now()
 	if have.Want != relay.WantUpstreams {
-		news.Sighted(n.configs.age(now))
-		news.Lost = n.configs.lost.Load()
+		news.RecordAge(n.configs.age(now))
+		news.Disconnected = n.configs.lost.Load()
 		if newest := n.configs.newest.Load(); newest != nil && newest.config.Version > have.ConfigVersion {
-			newest.addTo(&news, have.Unpacks)
+			newest.addTo(&news, have.AcceptsPacked)
 		}
 	}
 	if have.Want == relay.WantConfig {
 		return news
 	}
-	news.Sighted(n.upstreams.age(now))
-	news.Lost = news.Lost || n.upstreams.lost.Load()
+	news.RecordAge(n.upstreams.age(now))
+	news.Disconnected = news.Disconnected || n.upstreams.lost.Load()
 	n.upstreams.addTo(&news, have)
 	return news
 }
@@ -280,7 +280,7 @@
 // listen opens all sockets, so that a node that cannot serve fails at startup.
 // The error is a *ListenError.
 func (n *Node) listen(ctx context.Context) (*listeners, error) {
-	config := net.ListenConfig{Control: upconn.GuardSilence, KeepAlive: -1}
+	config := net.ListenConfig{Control: upconn.SetUserTimeout, KeepAlive: -1}
 	l := &listeners{}
 	for _, socket := range []struct {
 		to      *net.Listener
--- a/node/entry/fleet.go
+++ b/node/entry/fleet.go
@@ -27,7 +27,7 @@
 	mu     sync.Mutex
 	roster *roster.Roster
 	// edition is the revision and digest of members.
-	edition relay.Edition
+	edition relay.MemberListVersion
 	members []roster.Member
 	settled bool
 	// silentCh is closed while the store does not answer this node. It is
@@ -50,7 +50,7 @@
 	}
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b roster.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
-	edition := relay.Edition{Revision: revision, Digest: digest(members)}
+	edition := relay.MemberListVersion{Revision: revision, Digest: digest(members)}
 	if edition.Digest != f.edition.Digest {
 		f.members = members
 		f.roster.Set(members)
@@ -65,7 +65,7 @@
 func digest(members []roster.Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
-		for _, part := range []string{string(m.Name), string(m.Zone), m.Peer} {
+		for _, part := range []string{string(m.Name), string(m.Zone), m.PeerAddress} {
 			_, _ = h.Write([]byte(part)) // never fails
 			_, _ = h.Write([]byte{0})
 		}
@@ -76,7 +76,7 @@
 // markSettled closes settledCh once the roster is settled. The caller must hold
 // the lock.
 func (f *fleet) markSettled() {
-	if f.settled || !f.roster.Settled() {
+	if f.settled || !f.roster.Ready() {
 		return
 	}
 	f.settled = true
@@ -88,7 +88,7 @@
 func (f *fleet) settleWithoutSelf() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.Settle()
+	f.roster.ForceReady()
 	f.markSettled()
 }
 
@@ -116,7 +116,7 @@
 
 // nextSource returns whether to ask the store or a peer for changes, and which
 // peer.
-func (f *fleet) nextSource(s *roster.Selector) (roster.Way, roster.Member) {
+func (f *fleet) nextSource(s *roster.Selector) (roster.Source, roster.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.Next(f.now())
@@ -127,14 +127,14 @@
 func (f *fleet) isWatcher() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Watcher(f.now())
+	return f.roster.IsWatcher(f.now())
 }
 
 // isHead reports whether this node is one of its zone's heads.
 func (f *fleet) isHead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Head(f.now())
+	return f.roster.IsLeaseCandidate(f.now())
 }
 
 // others returns all nodes except this one.
@@ -145,7 +145,7 @@
 }
 
 // currentEdition returns the revision and digest of the current list.
-func (f *fleet) currentEdition() relay.Edition {
+func (f *fleet) currentEdition() relay.MemberListVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.edition
@@ -153,7 +153,7 @@
 
 // addMembers adds the list of nodes to the news for a peer whose own list is
 // older and different.
-func (f *fleet) addMembers(news *relay.News, have relay.Edition) {
+func (f *fleet) addMembers(news *relay.Update, have relay.MemberListVersion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.edition.Digest != have.Digest && f.edition.Revision > have.Revision {
@@ -166,7 +166,7 @@
 func (f *fleet) otherWatcher(s *roster.Selector) (roster.Member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.Beside(f.now())
+	return s.NextDuringWatch(f.now())
 }
 
 // watchWait returns how long a watch of the store should wait for a change.
@@ -182,7 +182,7 @@
 func (f *fleet) setSilent(silent bool) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.roster.SetSilent(silent) {
+	if !f.roster.SetStoreUnresponsive(silent) {
 		return false
 	}
 	if silent {
@@ -197,7 +197,7 @@
 func (f *fleet) isSilent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.roster.Silent()
+	return f.roster.StoreUnresponsive()
 }
 
 // silenceSignal returns a channel that is closed when the store stops answering
@@ -211,34 +211,34 @@
 // recordUnanswered records that a request to a peer failed after the given
 // time.
 func (f *fleet) recordUnanswered(s *roster.Selector, name ids.VM, took time.Duration) {
-	f.update(func() { s.Unanswered(f.now(), name, took) })
+	f.update(func() { s.PeerFailed(f.now(), name, took) })
 }
 
 // recordReached records that a peer answered a request made during a watch.
 func (f *fleet) recordReached(name ids.VM) {
-	f.update(func() { f.roster.Reached(name) })
+	f.update(func() { f.roster.MarkReachable(name) })
 }
 
 // recordBehind records that a peer answered but had no recent news of the
 // store.
 func (f *fleet) recordBehind(s *roster.Selector, name ids.VM) {
-	f.update(func() { s.Behind(f.now(), name) })
+	f.update(func() { s.PeerStale(f.now(), name) })
 }
 
 // recordAnswered records that a peer answered with recent news of the store.
 func (f *fleet) recordAnswered(s *roster.Selector, name ids.VM) {
-	f.update(func() { s.Answered(name) })
+	f.update(func() { s.PeerFresh(name) })
 }
 
 // recordServed records that the store answered.
 func (f *fleet) recordServed(s *roster.Selector) {
-	f.update(func() { s.Served(f.now()) })
+	f.update(func() { s.StoreAnswered(f.now()) })
 }
 
 // recordFailed records that a peer did not answer a request made during a
 // watch.
 func (f *fleet) recordFailed(name ids.VM) {
-	f.update(func() { f.roster.Failed(f.now(), name) })
+	f.update(func() { f.roster.MarkUnreachable(f.now(), name) })
 }
 
 // givesUp reports whether a search for news that started at the given time
@@ -246,7 +246,7 @@
 func (f *fleet) givesUp(s *roster.Selector, start time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.GivesUp(f.now(), start)
+	return s.SearchExhausted(f.now(), start)
 }
 
 // update changes the roster or a selector under the lock.
--- a/node/entry/membership.go
+++ b/node/entry/membership.go
@@ -95,10 +95,10 @@
 
 // join writes this node's entry to the list of nodes.
 func (m *membership) join(ctx context.Context) {
-	err := m.members.Join(ctx, roster.Member{Name: m.settings.VM, Zone: m.settings.Zone, Peer: m.settings.PeerAddr})
+	err := m.members.Join(ctx, roster.Member{Name: m.settings.VM, Zone: m.settings.Zone, PeerAddress: m.settings.PeerAddr})
 	if err != nil {
 		m.log.Info().Str("event", "join_failed").Err(err).Send()
-		m.joinAt = time.Now().Add(backoff.Doubled(joinRetryMin, joinRetryMax, m.joinFailures))
+		m.joinAt = time.Now().Add(backoff.Exponential(joinRetryMin, joinRetryMax, m.joinFailures))
 		m.joinFailures++
 		return
 	}
@@ -138,7 +138,7 @@
 	have.ConfigVersion, have.Want = m.node.configs.version(), ""
 	have.Members = m.node.fleet.currentEdition()
 	askedAt := boottime.Now()
-	news, err := relay.Ask(ctx, peer, have)
+	news, err := relay.Fetch(ctx, peer, have)
 	if err != nil {
 		m.log.Debug().Str("event", "peer_silent").Err(err).Send()
 		return
@@ -160,12 +160,12 @@
 	all := m.node.fleet.others()
 	for _, seed := range m.settings.SeedPeers {
 		if seed != m.settings.PeerAddr {
-			all = append(all, roster.Member{Peer: seed})
+			all = append(all, roster.Member{PeerAddress: seed})
 		}
 	}
 	if len(all) == 0 {
 		return "", ""
 	}
 	picked := all[m.rand.IntN(len(all))]
-	return picked.Name, picked.Peer
+	return picked.Name, picked.PeerAddress
 }
--- a/node/entry/origin.go
+++ b/node/entry/origin.go
@@ -29,7 +29,7 @@
 
 // fromPeer returns the origin of a peer's news. askedAt is the time at which the
 // peer was asked.
-func fromPeer(peer ids.VM, news *relay.News, askedAt time.Time) origin {
+func fromPeer(peer ids.VM, news *relay.Update, askedAt time.Time) origin {
 	return origin{
 		from: "peer", peer: peer, age: time.Duration(news.AgeMs) * time.Millisecond, hops: news.Hops,
 		took: boottime.Now().Sub(askedAt),
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -48,7 +48,7 @@
 
 // run sends probes until ctx ends.
 func (p *probe) run(ctx context.Context) {
-	every.DoOrSooner(ctx, roster.ProbeEvery, p.trigger, func() {
+	every.DoOrOnSignal(ctx, roster.ProbeInterval, p.trigger, func() {
 		if p.due() {
 			p.send(ctx)
 		}
@@ -72,7 +72,7 @@
 	p.timing.Sent(boottime.Now())
 	answered := make(chan error, 1)
 	go func() { answered <- p.store.Probe(ctx) }()
-	limit := time.NewTimer(p.timing.Allowed())
+	limit := time.NewTimer(p.timing.Timeout())
 	defer limit.Stop()
 	select {
 	case err := <-answered:
@@ -100,6 +100,6 @@
 // setSilent records whether the store is silent, and logs changes.
 func (p *probe) setSilent(silent bool) {
 	if p.fleet.setSilent(silent) {
-		p.log.Info().Str("event", "store_silent").Bool("silent", silent).Dur("allowed_ms", p.timing.Allowed()).Send()
+		p.log.Info().Str("event", "store_silent").Bool("silent", silent).Dur("allowed_ms", p.timing.Timeout()).Send()
 	}
 }
--- a/node/entry/shared_source.go
+++ b/node/entry/shared_source.go
@@ -47,8 +47,8 @@
 	// have returns the state that this node has, for a request to a peer. apply
 	// applies a peer's news and returns the revision up to which changes are
 	// included. askedAt is the time at which the peer was asked.
-	have  func(peer ids.VM) relay.Have
-	apply func(peer ids.VM, news relay.News, askedAt time.Time) int64
+	have  func(peer ids.VM) relay.UpdateRequest
+	apply func(peer ids.VM, news relay.Update, askedAt time.Time) int64
 	// contact records answers of the store and of peers. probeNow requests a
 	// probe when a watch starts although the store has not answered recently.
 	// observe records the durations of calls to the store.
@@ -151,22 +151,22 @@
 		}
 		// A peer that has lost the store answers at once, so wait for the rest of
 		// the interval.
-		every.Pause(ctx, roster.PeerWait-boottime.Now().Sub(askedAt))
+		every.Sleep(ctx, roster.PeerPollWait-boottime.Now().Sub(askedAt))
 	}
 }
 
 // queryPeer requests news from a peer, which may delay its answer until there
 // is news. askedAt is the current time. The error is a *relay.CallError.
-func (s *sharedSource[T]) queryPeer(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.News, error) {
+func (s *sharedSource[T]) queryPeer(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.Update, error) {
 	have := s.have(peer.Name)
-	have.WaitMs = roster.PeerWait.Milliseconds()
+	have.WaitMs = roster.PeerPollWait.Milliseconds()
 	have.Members = s.fleet.currentEdition()
-	news, err := relay.Ask(ctx, peer.Peer, have)
+	news, err := relay.Fetch(ctx, peer.PeerAddress, have)
 	if err != nil {
 		if ctx.Err() == nil {
 			s.logPeerWithoutNews("peer_silent", peer.Name, askedAt).Err(err).Send()
 		}
-		return relay.News{}, err
+		return relay.Update{}, err
 	}
 	if news.Members != nil {
 		s.fleet.setMembers(news.Members, news.MembersRevision)
@@ -177,17 +177,17 @@
 // askForNews requests recent news of the store from a peer and records the
 // result in the roster. askedAt is the current time. The error is a
 // *relay.CallError or a *StalePeerError.
-func (s *sharedSource[T]) askForNews(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.News, error) {
+func (s *sharedSource[T]) askForNews(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.Update, error) {
 	news, err := s.queryPeer(ctx, peer, askedAt)
 	if err != nil {
 		s.fleet.recordUnanswered(s.selector, peer.Name, boottime.Now().Sub(askedAt))
-		return relay.News{}, err
+		return relay.Update{}, err
 	}
 	age := time.Duration(news.AgeMs) * time.Millisecond
-	if news.Lost || !roster.Fresh(age, news.Hops) {
-		s.logPeerWithoutNews("peer_behind", peer.Name, askedAt).Dur("age_ms", age).Int("hops", news.Hops).Bool("lost", news.Lost).Send()
+	if news.Disconnected || !roster.Fresh(age, news.Hops) {
+		s.logPeerWithoutNews("peer_behind", peer.Name, askedAt).Dur("age_ms", age).Int("hops", news.Hops).Bool("lost", news.Disconnected).Send()
 		s.fleet.recordBehind(s.selector, peer.Name)
-		return relay.News{}, &StalePeerError{Peer: peer.Name, Age: age}
+		return relay.Update{}, &StalePeerError{Peer: peer.Name, Age: age}
 	}
 	s.fleet.recordAnswered(s.selector, peer.Name)
 	s.contact.peerAnswered(age, news.Hops+1)
@@ -211,10 +211,10 @@
 		probeNow: n.probe.probeNow,
 		observe:  n.metrics.ObserveDuration,
 		log:      n.log,
-		have: func(ids.VM) relay.Have {
-			return relay.Have{ConfigVersion: n.configs.version(), Want: relay.WantConfig}
+		have: func(ids.VM) relay.UpdateRequest {
+			return relay.UpdateRequest{ConfigVersion: n.configs.version(), Want: relay.WantConfig}
 		},
-		apply: func(peer ids.VM, news relay.News, askedAt time.Time) int64 {
+		apply: func(peer ids.VM, news relay.Update, askedAt time.Time) int64 {
 			if news.Config != nil {
 				n.configs.apply(news.Config, fromPeer(peer, &news, askedAt))
 			}
@@ -235,7 +235,7 @@
 		observe:  n.metrics.ObserveDuration,
 		log:      n.log,
 		have:     n.upstreams.have,
-		apply: func(peer ids.VM, news relay.News, askedAt time.Time) int64 {
+		apply: func(peer ids.VM, news relay.Update, askedAt time.Time) int64 {
 			if news.Revision > 0 {
 				n.upstreams.merge(peer, news, askedAt)
 			}
--- a/node/entry/shared_source_test.go
+++ b/node/entry/shared_source_test.go
@@ -20,26 +20,26 @@
 
 // fixedPeer is a peer that always returns the same news.
 type fixedPeer struct {
-	news     relay.News
-	requests chan relay.Have
+	news     relay.Update
+	requests chan relay.UpdateRequest
 }
 
-func (p *fixedPeer) News(_ context.Context, have relay.Have) relay.News {
+func (p *fixedPeer) UpdateSince(_ context.Context, have relay.UpdateRequest) relay.Update {
 	p.requests <- have
 	return p.news
 }
 
-func (*fixedPeer) Judged(quarantine.Verdict) {}
+func (*fixedPeer) ApplyVerdict(quarantine.Verdict) {}
 
 // startPeer starts a peer with fixed news and returns it with its address.
-func startPeer(t *testing.T, news relay.News) (*fixedPeer, string) {
+func startPeer(t *testing.T, news relay.Update) (*fixedPeer, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	p := &fixedPeer{news: news, requests: make(chan relay.Have, 100)}
+	p := &fixedPeer{news: news, requests: make(chan relay.UpdateRequest, 100)}
 	go func() { _ = relay.Serve(t.Context(), l, p) }()
 	return p, l.Addr().String()
 }
@@ -63,23 +63,23 @@
 // have the address second.
 func newFollower(first, second string) (*sharedSource[routing.Config], *refusingStore) {
 	members := zoneMembers("a", 4)
-	members[0].Peer, members[1].Peer, members[2].Peer = first, second, second
+	members[0].PeerAddress, members[1].PeerAddress, members[2].PeerAddress = first, second, second
 	f := newFleet(Settings{VM: members[3].Name, Zone: "a"}, boottime.Now, func(int) {})
 	f.setMembers(members, 1)
 	store := &refusingStore{}
 	return &sharedSource[routing.Config]{
 		store: store, fleet: f, selector: f.newSelector(), contact: &storeContact{}, probeNow: func() {},
 		observe: func(string, time.Duration) {},
-		have:    func(ids.VM) relay.Have { return relay.Have{Want: relay.WantConfig} },
-		apply:   func(_ ids.VM, news relay.News, _ time.Time) int64 { return news.ConfigRevision },
+		have:    func(ids.VM) relay.UpdateRequest { return relay.UpdateRequest{Want: relay.WantConfig} },
+		apply:   func(_ ids.VM, news relay.Update, _ time.Time) int64 { return news.ConfigRevision },
 	}, store
 }
 
 // TestStalePeerIsReplacedByAnother checks that news come from another peer if
 // the store has stopped answering the first one.
 func TestStalePeerIsReplacedByAnother(t *testing.T) {
-	_, behind := startPeer(t, relay.News{ConfigRevision: 5, AgeMs: 60_000})
-	_, good := startPeer(t, relay.News{ConfigRevision: 7, AgeMs: 100})
+	_, behind := startPeer(t, relay.Update{ConfigRevision: 5, AgeMs: 60_000})
+	_, good := startPeer(t, relay.Update{ConfigRevision: 7, AgeMs: 100})
 	s, store := newFollower(behind, good)
 	for range 4 {
 		changes, err := s.Watch(t.Context(), 5, time.Second)
@@ -98,8 +98,8 @@
 // TestPeerThatLostTheStoreIsSkipped checks that a peer whose calls the store
 // rejects is skipped even if its last answer of the store is recent.
 func TestPeerThatLostTheStoreIsSkipped(t *testing.T) {
-	_, lost := startPeer(t, relay.News{ConfigRevision: 5, AgeMs: 10, Lost: true})
-	_, good := startPeer(t, relay.News{ConfigRevision: 7, AgeMs: 100})
+	_, lost := startPeer(t, relay.Update{ConfigRevision: 5, AgeMs: 10, Disconnected: true})
+	_, good := startPeer(t, relay.Update{ConfigRevision: 7, AgeMs: 100})
 	s, _ := newFollower(lost, good)
 	for range 4 {
 		changes, err := s.Watch(t.Context(), 5, time.Second)
@@ -115,18 +115,18 @@
 	settings := Settings{VM: "a-00", Zone: "a"}
 	updates := newNotifier()
 	n := &Node{updates: updates, configs: &configs{updates: updates}, fleet: newFleet(settings, boottime.Now, func(int) {})}
-	got := make(chan relay.News)
-	go func() { got <- n.News(t.Context(), relay.Have{Want: relay.WantConfig, WaitMs: 60_000}) }()
-	n.configs.Lost(errRefused)
-	if told := <-got; !told.Lost {
+	got := make(chan relay.Update)
+	go func() { got <- n.UpdateSince(t.Context(), relay.UpdateRequest{Want: relay.WantConfig, WaitMs: 60_000}) }()
+	n.configs.Failed(errRefused)
+	if told := <-got; !told.Disconnected {
 		t.Errorf("told %+v", told)
 	}
 }
 
 func TestWatchFailsWithoutAStoreCallWhenAllPeersAreStale(t *testing.T) {
-	_, one := startPeer(t, relay.News{AgeMs: 60_000})
+	_, one := startPeer(t, relay.Update{AgeMs: 60_000})
 	// News with too many hops may have been passed around in a circle.
-	_, other := startPeer(t, relay.News{AgeMs: 100, Hops: roster.MaxHops + 1})
+	_, other := startPeer(t, relay.Update{AgeMs: 100, Hops: roster.MaxHops + 1})
 	s, store := newFollower(one, other)
 	_, err := s.Watch(t.Context(), 5, time.Second)
 	var behind *StalePeerError
@@ -164,7 +164,7 @@
 // of nodes receives the current one from a peer.
 func TestListOfNodesComesFromPeers(t *testing.T) {
 	all := append(zoneMembers("a", 4), zoneMembers("b", 2)...)
-	peer, address := startPeer(t, relay.News{ConfigRevision: 7, Members: all, MembersRevision: 9})
+	peer, address := startPeer(t, relay.Update{ConfigRevision: 7, Members: all, MembersRevision: 9})
 	s, _ := newFollower(address, address)
 	if _, err := s.Watch(t.Context(), 5, time.Second); err != nil {
 		t.Fatal(err)
@@ -185,16 +185,16 @@
 	if told != 4 {
 		t.Errorf("%d nodes after an older list, want 4", told)
 	}
-	var news relay.News
-	f.addMembers(&news, relay.Edition{Revision: 3, Digest: f.currentEdition().Digest})
+	var news relay.Update
+	f.addMembers(&news, relay.MemberListVersion{Revision: 3, Digest: f.currentEdition().Digest})
 	if news.Members != nil {
 		t.Error("the list is sent to a peer that has it")
 	}
-	f.addMembers(&news, relay.Edition{Revision: 10, Digest: 1})
+	f.addMembers(&news, relay.MemberListVersion{Revision: 10, Digest: 1})
 	if news.Members != nil {
 		t.Error("the list is sent to a peer with a newer one")
 	}
-	f.addMembers(&news, relay.Edition{Revision: 3, Digest: 1})
+	f.addMembers(&news, relay.MemberListVersion{Revision: 3, Digest: 1})
 	if len(news.Members) != 4 || news.MembersRevision != 9 {
 		t.Errorf("told %+v", news)
 	}
@@ -231,7 +231,7 @@
 	s, _ := newFollower(others, others)
 	members := zoneMembers("a", 4)
 	for i := range members {
-		members[i].Peer = others
+		members[i].PeerAddress = others
 	}
 	s.store, s.fleet = store, newFleet(Settings{VM: members[0].Name, Zone: "a"}, boottime.Now, func(int) {})
 	s.fleet.setMembers(members, 1)
@@ -243,7 +243,7 @@
 // the store is marked as silent, and that no watch starts until the store
 // answers again.
 func TestWatchEndsWhenTheStoreStopsAnswering(t *testing.T) {
-	_, others := startPeer(t, relay.News{})
+	_, others := startPeer(t, relay.Update{})
 	store := &hangingStore{called: make(chan struct{}, 10)}
 	s := newWatcher(store, others)
 	ended := make(chan error, 1)
@@ -268,10 +268,10 @@
 // TestWatcherAppliesNewsOfOtherWatchers covers a watch whose own connection has
 // gone silent: news of another watcher must be applied during the watch.
 func TestWatcherAppliesNewsOfOtherWatchers(t *testing.T) {
-	_, others := startPeer(t, relay.News{ConfigRevision: 7, AgeMs: 5})
+	_, others := startPeer(t, relay.Update{ConfigRevision: 7, AgeMs: 5})
 	s := newWatcher(&hangingStore{called: make(chan struct{}, 1)}, others)
 	took := make(chan int64, 100)
-	s.apply = func(_ ids.VM, news relay.News, _ time.Time) int64 {
+	s.apply = func(_ ids.VM, news relay.Update, _ time.Time) int64 {
 		took <- news.ConfigRevision
 		return news.ConfigRevision
 	}
@@ -285,9 +285,9 @@
 		t.Errorf("revision %d", revision)
 	}
 	// A peer that answers at once must not be asked again at once.
-	time.Sleep(2 * roster.PeerWait)
+	time.Sleep(2 * roster.PeerPollWait)
 	if n := len(took); n > 3 {
-		t.Errorf("%d more requests in %v", n, 2*roster.PeerWait)
+		t.Errorf("%d more requests in %v", n, 2*roster.PeerPollWait)
 	}
 	cancel()
 	<-ended
@@ -301,7 +301,7 @@
 	if _, err := s.Watch(t.Context(), 5, time.Second); !errors.Is(err, errRefused) || store.watches != 1 {
 		t.Errorf("error %v after %d calls", err, store.watches)
 	}
-	if took := time.Since(start); took > roster.PeerWait+roster.PeerSilence {
+	if took := time.Since(start); took > roster.PeerPollWait+roster.PeerReadTimeout {
 		t.Errorf("the store was called after %v", took)
 	}
 }
@@ -310,7 +310,7 @@
 // without delay. Until then the node has no recent news for its peers, and they
 // would ask the store themselves.
 func TestNewWatchIsProbedAtOnce(t *testing.T) {
-	_, others := startPeer(t, relay.News{})
+	_, others := startPeer(t, relay.Update{})
 	s := newWatcher(&hangingStore{called: make(chan struct{}, 1)}, others)
 	store := &manualProber{ends: make(chan error)}
 	p := newProbe(store, s.fleet, zerolog.Nop(), s.contact)
@@ -319,7 +319,7 @@
 	start := time.Now()
 	go func() { _, _ = s.watchStore(t.Context(), 5, time.Minute) }()
 	store.ends <- nil
-	if took := time.Since(start); took > roster.ProbeEvery/2 {
+	if took := time.Since(start); took > roster.ProbeInterval/2 {
 		t.Errorf("probed after %v", took)
 	}
 }
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -143,16 +143,16 @@
 	c.revision.Store(changes.Revision)
 }
 
-// Lost implements listwatch.Sink. It wakes waiting peers so that they can ask
+// Failed implements listwatch.Sink. It wakes waiting peers so that they can ask
 // another node.
-func (c *configs) Lost(error) {
+func (c *configs) Failed(error) {
 	if !c.lost.Swap(true) {
 		c.updates.notify()
 	}
 }
 
-// Returned implements listwatch.Sink.
-func (c *configs) Returned() { c.lost.Store(false) }
+// Recovered implements listwatch.Sink.
+func (c *configs) Recovered() { c.lost.Store(false) }
 
 // apply activates a configuration if it is valid and newer than the active one.
 func (c *configs) apply(config *routing.Config, from origin) {
@@ -183,7 +183,7 @@
 
 // addTo adds the configuration to the news for a peer, packed if the peer can
 // unpack it.
-func (p *packableConfig) addTo(news *relay.News, unpacks bool) {
+func (p *packableConfig) addTo(news *relay.Update, unpacks bool) {
 	if unpacks {
 		news.Packed = p.packed()
 	}
@@ -287,7 +287,7 @@
 const maxBases = 16
 
 // merge applies a peer's news. askedAt is the time at which the peer was asked.
-func (u *upstreams) merge(peer ids.VM, news relay.News, askedAt time.Time) {
+func (u *upstreams) merge(peer ids.VM, news relay.Update, askedAt time.Time) {
 	u.update(fromPeer(peer, &news, askedAt), func(d *directory.Directory, now time.Time) []directory.Change {
 		if news.Revision < d.Revision() {
 			return nil
@@ -311,17 +311,17 @@
 }
 
 // have returns the state of this directory for a request to the peer.
-func (u *upstreams) have(peer ids.VM) relay.Have {
+func (u *upstreams) have(peer ids.VM) relay.UpdateRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return relay.Have{Revision: u.directory.Revision(), Base: u.bases[peer], Want: relay.WantUpstreams}
+	return relay.UpdateRequest{Revision: u.directory.Revision(), Base: u.bases[peer], Want: relay.WantUpstreams}
 }
 
 // addTo adds the changes that the asking peer does not have to the news.
-func (u *upstreams) addTo(news *relay.News, have relay.Have) {
+func (u *upstreams) addTo(news *relay.Update, have relay.UpdateRequest) {
 	view := u.view.Load()
 	var changed []*directory.Upstream
-	known := have.Base.Holder == u.holder
+	known := have.Base.Process == u.holder
 	if known {
 		changed, news.Gone, news.Delta = view.Since(have.Base.Mark)
 	}
@@ -331,7 +331,7 @@
 	if view.Revision < have.Revision || view.Revision == have.Revision && nothing {
 		return
 	}
-	news.Revision, news.Base = view.Revision, relay.Base{Holder: u.holder, Mark: view.Mark}
+	news.Revision, news.Base = view.Revision, relay.Base{Process: u.holder, Mark: view.Mark}
 	if news.Delta {
 		news.Upstreams = copyUpstreams(changed)
 		return
@@ -345,7 +345,7 @@
 }
 
 // recordRestart applies a process's own report that it has restarted.
-func (u *upstreams) recordRestart(life ids.Life) {
+func (u *upstreams) recordRestart(life ids.Instance) {
 	u.update(origin{from: "report"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.Restarted(life) })
 }
 
@@ -363,9 +363,9 @@
 	return out
 }
 
-// Lost implements listwatch.Sink. It wakes waiting peers so that they can ask
+// Failed implements listwatch.Sink. It wakes waiting peers so that they can ask
 // another node.
-func (u *upstreams) Lost(error) {
+func (u *upstreams) Failed(error) {
 	if u.lost.Load() {
 		return
 	}
@@ -376,8 +376,8 @@
 	u.updates.notify()
 }
 
-// Returned implements listwatch.Sink.
-func (u *upstreams) Returned() {
+// Recovered implements listwatch.Sink.
+func (u *upstreams) Recovered() {
 	u.lost.Store(false)
 	u.update(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
 		if !u.heardFromPeer {
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -33,7 +33,7 @@
 	n.log.Info().Str("event", "stopping").Int64("active", n.server.Active()).Send()
 	drainCtx, cancel := context.WithDeadline(ctx, start.Add(n.settings.StopGrace-stopMargin))
 	defer cancel()
-	every.Pause(drainCtx, readinessDelay)
+	every.Sleep(drainCtx, readinessDelay)
 	// Requests that arrive later could not be finished within the grace period.
 	_ = l.callers.Close()
 	allAnswered := n.server.Drain(drainCtx)
--- a/node/entry/upstreams_test.go
+++ b/node/entry/upstreams_test.go
@@ -22,7 +22,7 @@
 func upstreamList(n int) []directory.Upstream {
 	var out []directory.Upstream
 	for i := range n {
-		out = append(out, directory.Upstream{ID: ids.Life{Upstream: ids.Upstream(fmt.Sprintf("u-%04d", i))}, Service: "s", Address: fmt.Sprint("at ", i), Revision: int64(i + 1)})
+		out = append(out, directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(fmt.Sprintf("u-%04d", i))}, Service: "s", Address: fmt.Sprint("at ", i), Revision: int64(i + 1)})
 	}
 	return out
 }
@@ -41,8 +41,8 @@
 
 // transferNews applies the news of one directory to another and returns the
 // news.
-func transferNews(to, from *upstreams) relay.News {
-	var news relay.News
+func transferNews(to, from *upstreams) relay.Update {
+	var news relay.Update
 	peer := ids.VM(from.holder)
 	from.addTo(&news, to.have(peer))
 	if news.Revision > 0 {
@@ -92,7 +92,7 @@
 
 func TestRemovalAfterTheGracePeriodReachesPeers(t *testing.T) {
 	from, to := listedUpstreams("p", upstreamList(3)), listedUpstreams("q", nil)
-	from.Returned()
+	from.Recovered()
 	from.Listed(listwatch.List[directory.Upstream]{Items: upstreamList(2), Revision: 9})
 	transferNews(to, from)
 	if to.view.Load().Get(life("u-0002")) == nil {
@@ -111,7 +111,7 @@
 	to := listedUpstreams("q", upstreamList(3))
 	recoveries := 0
 	to.onStoreRecovered = func() { recoveries++ }
-	to.Lost(context.DeadlineExceeded)
+	to.Failed(context.DeadlineExceeded)
 	// The partition ends. A peer answers before the store does, and the store
 	// has expired the entries that were cut off.
 	from := listedUpstreams("p", upstreamList(3))
@@ -121,7 +121,7 @@
 	if left := len(to.view.Load().All()); left != 3 {
 		t.Errorf("%d of 3 upstreams are left after the first peer's news", left)
 	}
-	back := directory.Upstream{ID: ids.Life{Upstream: "u-0001"}, Service: "s", Address: "at 1", Revision: 10}
+	back := directory.Upstream{ID: ids.Instance{Upstream: "u-0001"}, Service: "s", Address: "at 1", Revision: 10}
 	from.Changed(listwatch.Changes[directory.Upstream]{Events: []listwatch.Event[directory.Upstream]{{Put: &back}}, Revision: 10})
 	transferNews(to, from)
 	to.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
@@ -130,7 +130,7 @@
 	if view := to.view.Load(); view.Get(life("u-0001")) == nil || view.Get(life("u-0000")) != nil {
 		t.Error("after the grace period, want u-0001, which returned, and not u-0000")
 	}
-	to.Returned()
+	to.Recovered()
 	if recoveries != 1 {
 		t.Errorf("onStoreRecovered was called %d times", recoveries)
 	}
@@ -153,9 +153,9 @@
 	}{{time.Second, true}, {1900 * time.Millisecond, true}, {4 * time.Second, false}} {
 		to := listedUpstreams("q", upstreamList(3))
 		to.lastAnswer.Store(&storeAnswer{at: boottime.Now().Add(-tc.lost)})
-		to.Lost(context.DeadlineExceeded)
+		to.Failed(context.DeadlineExceeded)
 		to.storeAnswered()
-		to.Returned()
+		to.Recovered()
 		to.Changed(removalOf("u-0001", 9))
 		if removed := to.view.Load().Get(life("u-0001")) == nil; removed != tc.removed {
 			t.Errorf("store lost for %v: removed %t, want %t", tc.lost, removed, tc.removed)
@@ -164,7 +164,7 @@
 }
 
 // life returns the ID of an upstream with an unknown start time.
-func life(name ids.Upstream) ids.Life { return ids.Life{Upstream: name} }
+func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // TestUpstreamLogLineNamesItsOrigin checks that a log line names the peer, age
 // and hops of a change. With these, a late change can be traced from the store
@@ -172,7 +172,7 @@
 func TestUpstreamLogLineNamesItsOrigin(t *testing.T) {
 	var log bytes.Buffer
 	to := newUpstreams("to", zerolog.New(&log), newNotifier())
-	news := relay.News{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Life{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
+	news := relay.Update{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Instance{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
 	to.merge("vm-2", news, boottime.Now().Add(-time.Second))
 	var line struct {
 		Event, From, Peer string
--- a/node/entry/verdicts_test.go
+++ b/node/entry/verdicts_test.go
@@ -20,7 +20,7 @@
 func zoneMembers(name string, n int) []roster.Member {
 	var out []roster.Member
 	for i := range n {
-		out = append(out, roster.Member{Name: ids.VM(fmt.Sprintf("%s-%02d", name, i)), Zone: ids.Zone(name), Peer: fmt.Sprint(name, i)})
+		out = append(out, roster.Member{Name: ids.VM(fmt.Sprintf("%s-%02d", name, i)), Zone: ids.Zone(name), PeerAddress: fmt.Sprint(name, i)})
 	}
 	return out
 }
@@ -28,9 +28,11 @@
 // verdictRecorder is a relay.Source that records the verdicts it receives.
 type verdictRecorder struct{ heard chan quarantine.Verdict }
 
-func (verdictRecorder) News(context.Context, relay.Have) relay.News { return relay.News{} }
+func (verdictRecorder) UpdateSince(context.Context, relay.UpdateRequest) relay.Update {
+	return relay.Update{}
+}
 
-func (l verdictRecorder) Judged(v quarantine.Verdict) { l.heard <- v }
+func (l verdictRecorder) ApplyVerdict(v quarantine.Verdict) { l.heard <- v }
 
 func TestVerdictsReachAllOtherNodes(t *testing.T) {
 	settings := Settings{VM: "a-00", Zone: "a"}
@@ -40,7 +42,7 @@
 	}
 	members := append(zoneMembers("a", 3), zoneMembers("b", 2)...)
 	// Nothing listens at the addresses of this node and of one other.
-	members[0].Peer, members[1].Peer = "127.0.0.1:1", "127.0.0.1:1"
+	members[0].PeerAddress, members[1].PeerAddress = "127.0.0.1:1", "127.0.0.1:1"
 	heard := make(chan quarantine.Verdict, len(members))
 	for i := 2; i < len(members); i++ {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +50,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = l.Close() }()
-		members[i].Peer = l.Addr().String()
+		members[i].PeerAddress = l.Addr().String()
 		go func() { _ = relay.Serve(t.Context(), l, verdictRecorder{heard}) }()
 	}
 	n.fleet.setMembers(members, 1)
--- a/node/node.go
+++ b/node/node.go
@@ -132,7 +132,7 @@
 		MaxRequests: s.MaxRequests,
 		Seed:        randomSeed(),
 	})
-	n.epochs = upstream.NewEpochs(upstream.DefaultEpochs)
+	n.epochs = upstream.NewEpochs(upstream.DefaultEpochCapacity)
 	n.runner = upstream.New(upstream.Options{
 		Epochs:     n.epochs,
 		CountStale: func(count int) { n.telemetry.Add("stale_tokens", int64(count)) },
@@ -180,12 +180,12 @@
 	}
 	n.callerListener = listener
 	n.callers = caller.New(caller.Options{
-		Gate:    n,
-		Ready:   n.Ready,
-		NewID:   n.newID,
-		MaxBody: n.settings.MaxBodyBytes,
-		Count:   n.telemetry.CountRefusal,
-		Log:     n.log,
+		Admitter:     n,
+		Ready:        n.Ready,
+		NewID:        n.newID,
+		MaxBodyBytes: n.settings.MaxBodyBytes,
+		Count:        n.telemetry.CountRefusal,
+		Log:          n.log,
 	})
 	n.operator, err = newOperatorServer(n)
 	if err != nil {
@@ -255,7 +255,7 @@
 	return n.peers.Addr()
 }
 
-// Admit implements caller.Gate. It queues the request for the decision loop, or
+// Admit implements caller.Admitter. It queues the request for the decision loop, or
 // refuses it at once if the event ring is full.
 func (n *Node) Admit(ev router.RequestArrived, cl *call.Call) *outcome.Error {
 	n.calls.add(cl)
@@ -271,11 +271,11 @@
 // refused because the event ring was full.
 const ringFullRetryAfter = time.Second
 
-// Gone implements caller.Gate. It reports to the decision loop that the caller
+// CallerGone implements caller.Admitter. It reports to the decision loop that the caller
 // of a request disconnected.
-func (n *Node) Gone(id ids.Request) {
+func (n *Node) CallerGone(id ids.Request) {
 	if cl := n.calls.get(id); cl != nil {
-		cl.Leave()
+		cl.MarkCallerGone()
 	}
 	n.postEvent(router.CallerGone{ID: id})
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -88,7 +88,7 @@
 }
 
 // PeerGone implements peer.Sink.
-func (n *Node) PeerGone(vm ids.VM, why member.Why) {
+func (n *Node) PeerGone(vm ids.VM, why member.GoneReason) {
 	n.postEvent(router.PeerGone{VM: vm, Why: why})
 }
 
@@ -100,8 +100,8 @@
 	out := peerapi.Digest{
 		Draining:   d.Draining,
 		InFlight:   d.InFlight,
-		Usage:      peer.Usage(d.Usage),
-		Quarantine: peer.Quarantine(d.Quarantine),
+		Usage:      peer.EncodeUsage(d.Usage),
+		Quarantine: peer.EncodeQuarantineEvents(d.Quarantine),
 		Leaving:    d.Leaving,
 	}
 	for _, o := range d.Health {
@@ -120,8 +120,8 @@
 	out := router.Digest{
 		Draining:   d.Draining,
 		InFlight:   d.InFlight,
-		Usage:      peer.LimitUsage(d.Usage),
-		Quarantine: peer.QuarantineEvents(d.Quarantine),
+		Usage:      peer.DecodeUsage(d.Usage),
+		Quarantine: peer.DecodeQuarantineEvents(d.Quarantine),
 		Leaving:    d.Leaving,
 	}
 	for _, o := range d.Health {
--- a/node/polls.go
+++ b/node/polls.go
@@ -131,7 +131,7 @@
 	}
 	p.revision = list.Revision
 	p.engines = engines
-	p.poller.Keep(addresses)
+	p.poller.Retain(addresses)
 }
 
 // pollLoads starts a load poll for each engine assigned to this node that has
@@ -170,7 +170,7 @@
 		p.node.postEvent(router.LoadPollFailed{Upstream: id})
 		return
 	}
-	p.node.epochs.Note(address, report.Epoch)
+	p.node.epochs.Record(address, report.Epoch)
 	p.node.reportOrders(report)
 	p.node.postEvent(reported)
 }
