--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -237,22 +237,22 @@
 	defer timer.Stop()
 	for {
 		changed := n.updates.next()
-		news := n.newsSince(have)
+		news := n.currentUpdate(have)
 		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Disconnected || have.WaitMs <= 0 {
 			return news
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return n.newsSince(have)
+			return n.currentUpdate(have)
 		case <-ctx.Done():
 			return news
 		}
 	}
 }
 
-// newsSince returns the state that is newer than the peer's, without waiting.
-func (n *Node) newsSince(have relay.UpdateRequest) relay.Update {
+// currentUpdate returns the state that is newer than the peer's, without waiting.
+func (n *Node) currentUpdate(have relay.UpdateRequest) relay.Update {
 	news := relay.Update{ConfigRevision: n.configs.revision.Load()}
 	n.fleet.addMembers(&news, have.Members)
 	now := boottime.Now()
--- a/node/entry/fleet.go
+++ b/node/entry/fleet.go
@@ -26,18 +26,18 @@
 
 	mu     sync.Mutex
 	roster *roster.Roster
-	// edition is the revision and digest of members.
-	edition relay.MemberListVersion
+	// listVersion is the revision and digest of members.
+	listVersion relay.MemberListVersion
 	members []roster.Member
 	settled bool
-	// silentCh is closed while the store does not answer this node. It is
+	// unresponsiveCh is closed while the store does not answer this node. It is
 	// replaced when the store answers again.
-	silentCh chan struct{}
+	unresponsiveCh chan struct{}
 }
 
 // newFleet returns a view that contains no nodes.
 func newFleet(s Settings, now func() time.Time, onChanged func(nodes int)) *fleet {
-	return &fleet{now: now, onChanged: onChanged, settledCh: make(chan struct{}), silentCh: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
+	return &fleet{now: now, onChanged: onChanged, settledCh: make(chan struct{}), unresponsiveCh: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
 }
 
 // setMembers replaces the list of nodes by the list as of a revision of the
@@ -45,18 +45,18 @@
 func (f *fleet) setMembers(members []roster.Member, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if revision < f.edition.Revision {
+	if revision < f.listVersion.Revision {
 		return
 	}
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b roster.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	edition := relay.MemberListVersion{Revision: revision, Digest: digest(members)}
-	if edition.Digest != f.edition.Digest {
+	if edition.Digest != f.listVersion.Digest {
 		f.members = members
 		f.roster.Set(members)
 		f.onChanged(len(members))
 	}
-	f.edition = edition
+	f.listVersion = edition
 	f.markSettled()
 }
 
@@ -144,11 +144,11 @@
 	return f.roster.Others()
 }
 
-// currentEdition returns the revision and digest of the current list.
-func (f *fleet) currentEdition() relay.MemberListVersion {
+// memberListVersion returns the revision and digest of the current list.
+func (f *fleet) memberListVersion() relay.MemberListVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.edition
+	return f.listVersion
 }
 
 // addMembers adds the list of nodes to the news for a peer whose own list is
@@ -156,8 +156,8 @@
 func (f *fleet) addMembers(news *relay.Update, have relay.MemberListVersion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.edition.Digest != have.Digest && f.edition.Revision > have.Revision {
-		news.Members, news.MembersRevision = f.members, f.edition.Revision
+	if f.listVersion.Digest != have.Digest && f.listVersion.Revision > have.Revision {
+		news.Members, news.MembersRevision = f.members, f.listVersion.Revision
 	}
 }
 
@@ -177,35 +177,35 @@
 	return f.roster.WatchWait(alone)
 }
 
-// setSilent records whether the store has stopped answering this node, and
+// setStoreUnresponsive records whether the store has stopped answering this node, and
 // reports whether that changed.
-func (f *fleet) setSilent(silent bool) (changed bool) {
+func (f *fleet) setStoreUnresponsive(silent bool) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.roster.SetStoreUnresponsive(silent) {
 		return false
 	}
 	if silent {
-		close(f.silentCh)
+		close(f.unresponsiveCh)
 	} else {
-		f.silentCh = make(chan struct{})
+		f.unresponsiveCh = make(chan struct{})
 	}
 	return true
 }
 
-// isSilent reports whether the store has stopped answering this node.
-func (f *fleet) isSilent() bool {
+// isStoreUnresponsive reports whether the store has stopped answering this node.
+func (f *fleet) isStoreUnresponsive() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.StoreUnresponsive()
 }
 
-// silenceSignal returns a channel that is closed when the store stops answering
+// unresponsiveSignal returns a channel that is closed when the store stops answering
 // this node.
-func (f *fleet) silenceSignal() <-chan struct{} {
+func (f *fleet) unresponsiveSignal() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.silentCh
+	return f.unresponsiveCh
 }
 
 // recordUnanswered records that a request to a peer failed after the given
--- a/node/entry/membership.go
+++ b/node/entry/membership.go
@@ -136,7 +136,7 @@
 	}
 	have := m.node.upstreams.have(name)
 	have.ConfigVersion, have.Want = m.node.configs.version(), ""
-	have.Members = m.node.fleet.currentEdition()
+	have.Members = m.node.fleet.memberListVersion()
 	askedAt := boottime.Now()
 	news, err := relay.Fetch(ctx, peer, have)
 	if err != nil {
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -63,7 +63,7 @@
 			return true
 		}
 	}
-	return p.fleet.isSilent()
+	return p.fleet.isStoreUnresponsive()
 }
 
 // send sends one probe and waits for its end. The store is marked as silent if
@@ -99,7 +99,7 @@
 
 // setSilent records whether the store is silent, and logs changes.
 func (p *probe) setSilent(silent bool) {
-	if p.fleet.setSilent(silent) {
+	if p.fleet.setStoreUnresponsive(silent) {
 		p.log.Info().Str("event", "store_silent").Bool("silent", silent).Dur("allowed_ms", p.timing.Timeout()).Send()
 	}
 }
--- a/node/entry/shared_source.go
+++ b/node/entry/shared_source.go
@@ -29,11 +29,11 @@
 	return "peer " + string(e.Peer) + " had no answer of the store for " + e.Age.String()
 }
 
-// StoreSilentError is returned when the store has stopped answering this node.
-type StoreSilentError struct{}
+// StoreUnresponsiveError is returned when the store has stopped answering this node.
+type StoreUnresponsiveError struct{}
 
 // Error implements error.
-func (*StoreSilentError) Error() string { return "the store does not answer" }
+func (*StoreUnresponsiveError) Error() string { return "the store does not answer" }
 
 // sharedSource is a listwatch.Source that receives changes from a peer, or from
 // the store if this node is a watcher or no peer answers. Package roster
@@ -98,9 +98,9 @@
 // this node's own connection may have gone silent. It returns a
 // *StoreSilentError once the store has stopped answering this node.
 func (s *sharedSource[T]) watchStore(ctx context.Context, since int64, wait time.Duration) (listwatch.Changes[T], error) {
-	silence := s.fleet.silenceSignal()
-	if s.fleet.isSilent() {
-		return listwatch.Changes[T]{}, &StoreSilentError{}
+	silence := s.fleet.unresponsiveSignal()
+	if s.fleet.isStoreUnresponsive() {
+		return listwatch.Changes[T]{}, &StoreUnresponsiveError{}
 	}
 	s.contact.watching.Store(true)
 	defer s.contact.watching.Store(false)
@@ -129,7 +129,7 @@
 		}
 		return changes, err
 	case <-silence:
-		return listwatch.Changes[T]{}, &StoreSilentError{}
+		return listwatch.Changes[T]{}, &StoreUnresponsiveError{}
 	}
 }
 
@@ -160,7 +160,7 @@
 func (s *sharedSource[T]) queryPeer(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.Update, error) {
 	have := s.have(peer.Name)
 	have.WaitMs = roster.PeerPollWait.Milliseconds()
-	have.Members = s.fleet.currentEdition()
+	have.Members = s.fleet.memberListVersion()
 	news, err := relay.Fetch(ctx, peer.PeerAddress, have)
 	if err != nil {
 		if ctx.Err() == nil {
--- a/node/entry/shared_source_test.go
+++ b/node/entry/shared_source_test.go
@@ -169,7 +169,7 @@
 	if _, err := s.Watch(t.Context(), 5, time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.fleet.currentEdition(); got.Revision != 9 || len(s.fleet.others()) != len(all)-1 {
+	if got := s.fleet.memberListVersion(); got.Revision != 9 || len(s.fleet.others()) != len(all)-1 {
 		t.Errorf("edition %+v with %d others", got, len(s.fleet.others()))
 	}
 	if have := <-peer.requests; have.Members.Revision != 1 || have.Members.Digest == 0 {
@@ -186,7 +186,7 @@
 		t.Errorf("%d nodes after an older list, want 4", told)
 	}
 	var news relay.Update
-	f.addMembers(&news, relay.MemberListVersion{Revision: 3, Digest: f.currentEdition().Digest})
+	f.addMembers(&news, relay.MemberListVersion{Revision: 3, Digest: f.memberListVersion().Digest})
 	if news.Members != nil {
 		t.Error("the list is sent to a peer that has it")
 	}
@@ -252,15 +252,15 @@
 		ended <- err
 	}()
 	<-store.called
-	s.fleet.setSilent(true)
-	var silent *StoreSilentError
+	s.fleet.setStoreUnresponsive(true)
+	var silent *StoreUnresponsiveError
 	if err := <-ended; !errors.As(err, &silent) {
 		t.Errorf("error %v", err)
 	}
 	if _, err := s.watchStore(t.Context(), 5, time.Minute); !errors.As(err, &silent) || len(store.called) != 0 {
 		t.Errorf("error %v after %d more calls", err, len(store.called))
 	}
-	s.fleet.setSilent(false)
+	s.fleet.setStoreUnresponsive(false)
 	go func() { _, _ = s.watchStore(t.Context(), 5, time.Minute) }()
 	<-store.called
 }
@@ -344,18 +344,18 @@
 		p.send(t.Context())
 	}()
 	select {
-	case <-f.silenceSignal():
+	case <-f.unresponsiveSignal():
 	case <-time.After(2 * time.Second):
 		t.Fatal("the store was not marked as silent")
 	}
 	store.ends <- errRefused
 	<-ended
-	if !f.isSilent() || !p.due() {
+	if !f.isStoreUnresponsive() || !p.due() {
 		t.Error("a probe without an answer ended the silence or stopped further probes")
 	}
 	go func() { store.ends <- nil }()
 	p.send(t.Context())
-	if f.isSilent() {
+	if f.isStoreUnresponsive() {
 		t.Error("an answer did not cancel the silence")
 	}
 	if age, _ := waiting.age(boottime.Now()); age > time.Second {
