--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -133,7 +133,7 @@
 		n.server.SetNodes(nodes)
 	})
 	n.configs = &configs{log: log, updates: n.updates}
-	n.upstreams = newUpstreams(holderID(settings), log, n.updates)
+	n.upstreams = newUpstreams(processID(settings), log, n.updates)
 	n.membership = newMembership(settings, &timedMembers{ports.Members, n.metrics.ObserveDuration}, n, log)
 	n.probe = newProbe(ports.Prober, n.fleet, log, &n.configs.storeContact, &n.upstreams.storeContact)
 	n.server = forward.New(forward.Options{
@@ -157,7 +157,7 @@
 	n.upstreams.onRemoved, n.upstreams.onStoreRecovered = n.server.UpstreamRemoved, n.server.StoreReconnected
 	n.elector = leader.New(leader.Options{
 		Lease: lease.Options{
-			Holder:       holderID(settings),
+			Holder:       processID(settings),
 			Duration:     settings.LeaseDuration,
 			ReadInterval: settings.LeaseDuration / leaseReadsPerDuration,
 			StaleReads:   true,
@@ -165,7 +165,7 @@
 		},
 		Store:     &timedLease{ports.Lease, n.metrics.ObserveDuration},
 		Now:       boottime.Now,
-		Candidate: n.fleet.isHead,
+		Candidate: n.fleet.isLeaseCandidate,
 		KeepHeld:  true,
 		Log:       log,
 	})
@@ -230,46 +230,47 @@
 	}
 }
 
-// UpdateSince implements relay.Source. It returns as soon as there is news for the
-// peer, and without news when the peer's wait time is over.
-func (n *Node) UpdateSince(ctx context.Context, have relay.UpdateRequest) relay.Update {
-	timer := time.NewTimer(time.Duration(have.WaitMs) * time.Millisecond)
+// UpdateSince implements relay.Source. It returns as soon as there is something
+// newer than the peer's state, and an empty update when the peer's wait time is
+// over.
+func (n *Node) UpdateSince(ctx context.Context, req relay.UpdateRequest) relay.Update {
+	timer := time.NewTimer(time.Duration(req.WaitMs) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		changed := n.updates.next()
-		news := n.currentUpdate(have)
-		if news.Config != nil || news.Packed != nil || news.Revision > 0 || news.Members != nil || news.Disconnected || have.WaitMs <= 0 {
-			return news
+		update := n.currentUpdate(req)
+		if update.Config != nil || update.Packed != nil || update.Revision > 0 || update.Members != nil || update.Disconnected || req.WaitMs <= 0 {
+			return update
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return n.currentUpdate(have)
+			return n.currentUpdate(req)
 		case <-ctx.Done():
-			return news
+			return update
 		}
 	}
 }
 
-// currentUpdate returns the state that is newer than the peer's, without waiting.
-func (n *Node) currentUpdate(have relay.UpdateRequest) relay.Update {
-	news := relay.Update{ConfigRevision: n.configs.revision.Load()}
-	n.fleet.addMembers(&news, have.Members)
+// currentUpdate returns what is newer than the peer's state, without waiting.
+func (n *Node) currentUpdate(req relay.UpdateRequest) relay.Update {
+	update := relay.Update{ConfigRevision: n.configs.revision.Load()}
+	n.fleet.addMembers(&update, req.Members)
 	now := boottime.Now()
-	if have.Want != relay.WantUpstreams {
-		news.RecordAge(n.configs.age(now))
-		news.Disconnected = n.configs.lost.Load()
-		if newest := n.configs.newest.Load(); newest != nil && newest.config.Version > have.ConfigVersion {
-			newest.addTo(&news, have.AcceptsPacked)
+	if req.Want != relay.WantUpstreams {
+		update.RecordAge(n.configs.age(now))
+		update.Disconnected = n.configs.disconnected.Load()
+		if newest := n.configs.newest.Load(); newest != nil && newest.config.Version > req.ConfigVersion {
+			newest.addTo(&update, req.AcceptsPacked)
 		}
 	}
-	if have.Want == relay.WantConfig {
-		return news
+	if req.Want == relay.WantConfig {
+		return update
 	}
-	news.RecordAge(n.upstreams.age(now))
-	news.Disconnected = news.Disconnected || n.upstreams.lost.Load()
-	n.upstreams.addTo(&news, have)
-	return news
+	update.RecordAge(n.upstreams.age(now))
+	update.Disconnected = update.Disconnected || n.upstreams.disconnected.Load()
+	n.upstreams.addTo(&update, req)
+	return update
 }
 
 // listeners holds the sockets of a node. metrics may be nil.
--- a/node/entry/fleet.go
+++ b/node/entry/fleet.go
@@ -21,15 +21,15 @@
 	// onChanged is called with the number of nodes after each change of the
 	// list, with mu held.
 	onChanged func(nodes int)
-	// settledCh is closed once the roster has determined this node's role.
-	settledCh chan struct{}
+	// readyCh is closed once the roster has determined this node's role.
+	readyCh chan struct{}
 
 	mu     sync.Mutex
 	roster *roster.Roster
 	// listVersion is the revision and digest of members.
 	listVersion relay.MemberListVersion
-	members []roster.Member
-	settled bool
+	members     []roster.Member
+	ready       bool
 	// unresponsiveCh is closed while the store does not answer this node. It is
 	// replaced when the store answers again.
 	unresponsiveCh chan struct{}
@@ -37,7 +37,7 @@
 
 // newFleet returns a view that contains no nodes.
 func newFleet(s Settings, now func() time.Time, onChanged func(nodes int)) *fleet {
-	return &fleet{now: now, onChanged: onChanged, settledCh: make(chan struct{}), unresponsiveCh: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
+	return &fleet{now: now, onChanged: onChanged, readyCh: make(chan struct{}), unresponsiveCh: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
 }
 
 // setMembers replaces the list of nodes by the list as of a revision of the
@@ -50,14 +50,14 @@
 	}
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b roster.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
-	edition := relay.MemberListVersion{Revision: revision, Digest: digest(members)}
-	if edition.Digest != f.listVersion.Digest {
+	version := relay.MemberListVersion{Revision: revision, Digest: digest(members)}
+	if version.Digest != f.listVersion.Digest {
 		f.members = members
 		f.roster.Set(members)
 		f.onChanged(len(members))
 	}
-	f.listVersion = edition
-	f.markSettled()
+	f.listVersion = version
+	f.markReady()
 }
 
 // digest returns a hash of a sorted list of nodes. Equal lists have equal
@@ -73,38 +73,37 @@
 	return h.Sum64()
 }
 
-// markSettled closes settledCh once the roster is settled. The caller must hold
-// the lock.
-func (f *fleet) markSettled() {
-	if f.settled || !f.roster.Ready() {
+// markReady closes readyCh once the roster is ready. The caller must hold mu.
+func (f *fleet) markReady() {
+	if f.ready || !f.roster.Ready() {
 		return
 	}
-	f.settled = true
-	close(f.settledCh)
+	f.ready = true
+	close(f.readyCh)
 }
 
-// settleWithoutSelf settles the roster although the list does not contain this
+// forceReady makes the roster ready although the list does not contain this
 // node.
-func (f *fleet) settleWithoutSelf() {
+func (f *fleet) forceReady() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roster.ForceReady()
-	f.markSettled()
+	f.markReady()
 }
 
-// awaitSettled blocks until the roster is settled or ctx ends.
-func (f *fleet) awaitSettled(ctx context.Context) {
+// awaitReady blocks until the roster is ready or ctx ends.
+func (f *fleet) awaitReady(ctx context.Context) {
 	select {
-	case <-f.settledCh:
+	case <-f.readyCh:
 	case <-ctx.Done():
 	}
 }
 
-// isSettled reports whether the roster has determined this node's role.
-func (f *fleet) isSettled() bool {
+// isReady reports whether the roster has determined this node's role.
+func (f *fleet) isReady() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.settled
+	return f.ready
 }
 
 // newSelector returns a selector of the sources for one collection.
@@ -130,8 +129,9 @@
 	return f.roster.IsWatcher(f.now())
 }
 
-// isHead reports whether this node is one of its zone's heads.
-func (f *fleet) isHead() bool {
+// isLeaseCandidate reports whether this node is one of those of its zone that
+// compete for the lease for orders to engines.
+func (f *fleet) isLeaseCandidate() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.IsLeaseCandidate(f.now())
@@ -151,19 +151,19 @@
 	return f.listVersion
 }
 
-// addMembers adds the list of nodes to the news for a peer whose own list is
+// addMembers adds the list of nodes to an update for a peer whose own list is
 // older and different.
-func (f *fleet) addMembers(news *relay.Update, have relay.MemberListVersion) {
+func (f *fleet) addMembers(update *relay.Update, peer relay.MemberListVersion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.listVersion.Digest != have.Digest && f.listVersion.Revision > have.Revision {
-		news.Members, news.MembersRevision = f.members, f.listVersion.Revision
+	if f.listVersion.Digest != peer.Digest && f.listVersion.Revision > peer.Revision {
+		update.Members, update.MembersRevision = f.members, f.listVersion.Revision
 	}
 }
 
-// otherWatcher returns another watcher to ask while this node's watch of the
+// nextDuringWatch returns another watcher to ask while this node's watch of the
 // store is in progress, or false if there is none.
-func (f *fleet) otherWatcher(s *roster.Selector) (roster.Member, bool) {
+func (f *fleet) nextDuringWatch(s *roster.Selector) (roster.Member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.NextDuringWatch(f.now())
@@ -177,15 +177,15 @@
 	return f.roster.WatchWait(alone)
 }
 
-// setStoreUnresponsive records whether the store has stopped answering this node, and
-// reports whether that changed.
-func (f *fleet) setStoreUnresponsive(silent bool) (changed bool) {
+// setStoreUnresponsive records whether the store has stopped answering this
+// node, and reports whether that changed.
+func (f *fleet) setStoreUnresponsive(unresponsive bool) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.roster.SetStoreUnresponsive(silent) {
+	if !f.roster.SetStoreUnresponsive(unresponsive) {
 		return false
 	}
-	if silent {
+	if unresponsive {
 		close(f.unresponsiveCh)
 	} else {
 		f.unresponsiveCh = make(chan struct{})
@@ -193,57 +193,59 @@
 	return true
 }
 
-// isStoreUnresponsive reports whether the store has stopped answering this node.
+// isStoreUnresponsive reports whether the store has stopped answering this
+// node.
 func (f *fleet) isStoreUnresponsive() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.StoreUnresponsive()
 }
 
-// unresponsiveSignal returns a channel that is closed when the store stops answering
-// this node.
+// unresponsiveSignal returns a channel that is closed when the store stops
+// answering this node.
 func (f *fleet) unresponsiveSignal() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unresponsiveCh
 }
 
-// recordUnanswered records that a request to a peer failed after the given
+// recordPeerFailed records that a request to a peer failed after the given
 // time.
-func (f *fleet) recordUnanswered(s *roster.Selector, name ids.VM, took time.Duration) {
+func (f *fleet) recordPeerFailed(s *roster.Selector, name ids.VM, took time.Duration) {
 	f.update(func() { s.PeerFailed(f.now(), name, took) })
 }
 
-// recordReached records that a peer answered a request made during a watch.
-func (f *fleet) recordReached(name ids.VM) {
+// markReachable records that a peer answered a request made during a watch.
+func (f *fleet) markReachable(name ids.VM) {
 	f.update(func() { f.roster.MarkReachable(name) })
 }
 
-// recordBehind records that a peer answered but had no recent news of the
+// recordPeerStale records that a peer answered but had no recent answer of the
 // store.
-func (f *fleet) recordBehind(s *roster.Selector, name ids.VM) {
+func (f *fleet) recordPeerStale(s *roster.Selector, name ids.VM) {
 	f.update(func() { s.PeerStale(f.now(), name) })
 }
 
-// recordAnswered records that a peer answered with recent news of the store.
-func (f *fleet) recordAnswered(s *roster.Selector, name ids.VM) {
+// recordPeerFresh records that a peer answered and had a recent answer of the
+// store.
+func (f *fleet) recordPeerFresh(s *roster.Selector, name ids.VM) {
 	f.update(func() { s.PeerFresh(name) })
 }
 
-// recordServed records that the store answered.
-func (f *fleet) recordServed(s *roster.Selector) {
+// recordStoreAnswered records that the store answered a watch.
+func (f *fleet) recordStoreAnswered(s *roster.Selector) {
 	f.update(func() { s.StoreAnswered(f.now()) })
 }
 
-// recordFailed records that a peer did not answer a request made during a
+// markUnreachable records that a peer did not answer a request made during a
 // watch.
-func (f *fleet) recordFailed(name ids.VM) {
+func (f *fleet) markUnreachable(name ids.VM) {
 	f.update(func() { f.roster.MarkUnreachable(f.now(), name) })
 }
 
-// givesUp reports whether a search for news that started at the given time
-// should end without a result.
-func (f *fleet) givesUp(s *roster.Selector, start time.Time) bool {
+// searchExhausted reports whether a search for a fresh peer that started at the
+// given time has taken too long.
+func (f *fleet) searchExhausted(s *roster.Selector, start time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.SearchExhausted(f.now(), start)
--- a/node/entry/membership.go
+++ b/node/entry/membership.go
@@ -21,9 +21,9 @@
 	// nodes that watch the store. All others learn the list from them.
 	listInterval = 5 * time.Second
 	// startupListInterval replaces listInterval for every node until its roster
-	// is settled, and for watchers during startupPeriod, while other nodes may
-	// be joining. A node that is not in the list after startupPeriod uses the
-	// list as it is.
+	// is ready, and for watchers during startupPeriod, while other nodes may be
+	// joining. A node that is not in the list after startupPeriod uses the list
+	// as it is.
 	startupListInterval = time.Second
 	startupPeriod       = 3 * time.Second
 	// listDelayAfterJoin is the delay between writing this node's entry and the
@@ -34,14 +34,15 @@
 	// entry. It doubles with each further failure, up to joinRetryMax.
 	joinRetryMin = 500 * time.Millisecond
 	joinRetryMax = 4 * time.Second
-	// askInterval is the interval between requests to peers while the store
-	// does not answer. A configuration must be active within two seconds of its
-	// acceptance, and some of the peers asked may be dead or behind.
-	askInterval = 200 * time.Millisecond
+	// peerFetchInterval is the interval between requests to peers while the
+	// store does not answer. A configuration must be active within two seconds
+	// of its acceptance, and some of the peers asked may be dead or stale.
+	peerFetchInterval = 200 * time.Millisecond
 )
 
-// membership keeps this node's entry and the list of nodes current. While the
-// store does not answer, it also asks random peers for news.
+// membership keeps this node's entry and the list of nodes current. While this
+// node is disconnected from the store, it also requests updates from random
+// peers.
 type membership struct {
 	settings Settings
 	members  Members
@@ -72,23 +73,24 @@
 	// Callers may connect at once, and the number of nodes determines this
 	// node's share of upstream capacity and of the retry budget.
 	m.list(ctx)
-	every.Do(ctx, askInterval, func() { m.tick(ctx) })
+	every.Do(ctx, peerFetchInterval, func() { m.tick(ctx) })
 }
 
-// tick settles the roster when startupPeriod is over, and makes at most one
-// call that is due: to a peer if the store is lost, otherwise to the store.
+// tick makes the roster ready when startupPeriod is over, and makes at most one
+// call that is due: to a peer while this node is disconnected from the store,
+// otherwise to the store.
 func (m *membership) tick(ctx context.Context) {
 	now := time.Now()
-	settled := m.node.fleet.isSettled()
-	if !settled && now.Sub(m.startedAt) >= startupPeriod {
-		m.node.fleet.settleWithoutSelf()
+	ready := m.node.fleet.isReady()
+	if !ready && now.Sub(m.startedAt) >= startupPeriod {
+		m.node.fleet.forceReady()
 	}
 	switch {
-	case m.node.configs.lost.Load() || m.node.upstreams.lost.Load():
-		m.askPeer(ctx)
+	case m.node.configs.disconnected.Load() || m.node.upstreams.disconnected.Load():
+		m.fetchFromPeer(ctx)
 	case !m.joined && !now.Before(m.joinAt):
 		m.join(ctx)
-	case (!settled || m.node.fleet.isWatcher()) && !now.Before(m.listAt):
+	case (!ready || m.node.fleet.isWatcher()) && !now.Before(m.listAt):
 		m.list(ctx)
 	}
 }
@@ -128,29 +130,29 @@
 	return listInterval
 }
 
-// askPeer asks one random peer for news and applies them.
-func (m *membership) askPeer(ctx context.Context) {
+// fetchFromPeer requests an update from one random peer and applies it.
+func (m *membership) fetchFromPeer(ctx context.Context) {
 	name, peer := m.pickPeer()
 	if peer == "" {
 		return
 	}
-	have := m.node.upstreams.have(name)
-	have.ConfigVersion, have.Want = m.node.configs.version(), ""
-	have.Members = m.node.fleet.memberListVersion()
+	req := m.node.upstreams.updateRequest(name)
+	req.ConfigVersion, req.Want = m.node.configs.version(), ""
+	req.Members = m.node.fleet.memberListVersion()
 	askedAt := boottime.Now()
-	news, err := relay.Fetch(ctx, peer, have)
+	update, err := relay.Fetch(ctx, peer, req)
 	if err != nil {
 		m.log.Debug().Str("event", "peer_silent").Err(err).Send()
 		return
 	}
-	if news.Members != nil {
-		m.node.fleet.setMembers(news.Members, news.MembersRevision)
+	if update.Members != nil {
+		m.node.fleet.setMembers(update.Members, update.MembersRevision)
 	}
-	if news.Config != nil {
-		m.node.configs.apply(news.Config, fromPeer(name, &news, askedAt))
+	if update.Config != nil {
+		m.node.configs.apply(update.Config, fromPeer(name, &update, askedAt))
 	}
-	if news.Revision > have.Revision {
-		m.node.upstreams.merge(name, news, askedAt)
+	if update.Revision > req.Revision {
+		m.node.upstreams.merge(name, update, askedAt)
 	}
 }
 
--- a/node/entry/origin.go
+++ b/node/entry/origin.go
@@ -27,11 +27,11 @@
 // fromStore is the origin of changes read from the store.
 var fromStore = origin{from: "store"}
 
-// fromPeer returns the origin of a peer's news. askedAt is the time at which the
-// peer was asked.
-func fromPeer(peer ids.VM, news *relay.Update, askedAt time.Time) origin {
+// fromPeer returns the origin of a peer's update. askedAt is the time at which
+// the peer was asked.
+func fromPeer(peer ids.VM, update *relay.Update, askedAt time.Time) origin {
 	return origin{
-		from: "peer", peer: peer, age: time.Duration(news.AgeMs) * time.Millisecond, hops: news.Hops,
+		from: "peer", peer: peer, age: time.Duration(update.AgeMs) * time.Millisecond, hops: update.Hops,
 		took: boottime.Now().Sub(askedAt),
 	}
 }
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -56,7 +56,7 @@
 }
 
 // due reports whether probes are needed: while a watch waits at the store, and
-// while the store is silent.
+// while the store is unresponsive.
 func (p *probe) due() bool {
 	for _, c := range p.contacts {
 		if c.watching.Load() {
@@ -66,8 +66,8 @@
 	return p.fleet.isStoreUnresponsive()
 }
 
-// send sends one probe and waits for its end. The store is marked as silent if
-// the probe exceeds its time limit.
+// send sends one probe and waits for its end. The store is marked as
+// unresponsive if the probe exceeds its timeout.
 func (p *probe) send(ctx context.Context) {
 	p.timing.Sent(boottime.Now())
 	answered := make(chan error, 1)
@@ -78,7 +78,7 @@
 	case err := <-answered:
 		p.handleResult(err)
 	case <-limit.C:
-		p.setSilent(true)
+		p.setUnresponsive(true)
 		p.handleResult(<-answered)
 	}
 }
@@ -91,15 +91,15 @@
 		return
 	}
 	p.timing.Answered(boottime.Now())
-	p.setSilent(false)
+	p.setUnresponsive(false)
 	for _, c := range p.contacts {
 		c.probeAnswered()
 	}
 }
 
-// setSilent records whether the store is silent, and logs changes.
-func (p *probe) setSilent(silent bool) {
-	if p.fleet.setStoreUnresponsive(silent) {
-		p.log.Info().Str("event", "store_silent").Bool("silent", silent).Dur("allowed_ms", p.timing.Timeout()).Send()
+// setUnresponsive records whether the store is unresponsive, and logs changes.
+func (p *probe) setUnresponsive(unresponsive bool) {
+	if p.fleet.setStoreUnresponsive(unresponsive) {
+		p.log.Info().Str("event", "store_silent").Bool("silent", unresponsive).Dur("allowed_ms", p.timing.Timeout()).Send()
 	}
 }
--- a/node/entry/shared_source.go
+++ b/node/entry/shared_source.go
@@ -17,8 +17,8 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// StalePeerError is returned when no peer has recent news of the store. Age is
-// the time since the store last answered the peer that was asked last.
+// StalePeerError is returned when no peer has a recent answer of the store. Age
+// is the time since the store last answered the peer that was asked last.
 type StalePeerError struct {
 	Peer ids.VM
 	Age  time.Duration
@@ -29,7 +29,8 @@
 	return "peer " + string(e.Peer) + " had no answer of the store for " + e.Age.String()
 }
 
-// StoreUnresponsiveError is returned when the store has stopped answering this node.
+// StoreUnresponsiveError is returned when the store has stopped answering this
+// node.
 type StoreUnresponsiveError struct{}
 
 // Error implements error.
@@ -44,18 +45,19 @@
 	store    listwatch.Source[T]
 	fleet    *fleet
 	selector *roster.Selector
-	// have returns the state that this node has, for a request to a peer. apply
-	// applies a peer's news and returns the revision up to which changes are
-	// included. askedAt is the time at which the peer was asked.
-	have  func(peer ids.VM) relay.UpdateRequest
-	apply func(peer ids.VM, news relay.Update, askedAt time.Time) int64
+	// request returns the request to a peer, with the state that this node has.
+	// apply applies a peer's update and returns the revision up to which
+	// changes are included. askedAt is the time at which the peer was asked.
+	request func(peer ids.VM) relay.UpdateRequest
+	apply   func(peer ids.VM, update relay.Update, askedAt time.Time) int64
 	// contact records answers of the store and of peers. probeNow requests a
 	// probe when a watch starts although the store has not answered recently.
 	// observe records the durations of calls to the store.
 	contact  *storeContact
 	probeNow func()
 	observe  func(name string, d time.Duration)
-	// log receives a line for each request to a peer that yielded no news.
+	// log receives a line for each request to a peer that yielded no fresh
+	// update.
 	log zerolog.Logger
 }
 
@@ -72,11 +74,11 @@
 	return list, err
 }
 
-// Watch implements listwatch.Source. It asks peers until one has recent news,
-// or watches the store. It returns the last peer's error if the search for a
-// peer takes too long.
+// Watch implements listwatch.Source. It asks peers until one has a recent
+// answer of the store, or watches the store itself. It returns the last peer's
+// error if the search for a peer takes too long.
 func (s *sharedSource[T]) Watch(ctx context.Context, since int64, wait time.Duration) (listwatch.Changes[T], error) {
-	s.fleet.awaitSettled(ctx)
+	s.fleet.awaitReady(ctx)
 	start := boottime.Now()
 	for {
 		way, peer := s.fleet.nextSource(s.selector)
@@ -84,21 +86,21 @@
 			return s.watchStore(ctx, since, wait)
 		}
 		askedAt := boottime.Now()
-		news, err := s.askForNews(ctx, peer, askedAt)
+		update, err := s.fetchFresh(ctx, peer, askedAt)
 		if err == nil {
-			return listwatch.Changes[T]{Revision: max(since, s.apply(peer.Name, news, askedAt))}, nil
+			return listwatch.Changes[T]{Revision: max(since, s.apply(peer.Name, update, askedAt))}, nil
 		}
-		if ctx.Err() != nil || s.fleet.givesUp(s.selector, start) {
+		if ctx.Err() != nil || s.fleet.searchExhausted(s.selector, start) {
 			return listwatch.Changes[T]{}, err
 		}
 	}
 }
 
 // watchStore watches the store. Meanwhile it asks the other watchers, because
-// this node's own connection may have gone silent. It returns a
-// *StoreSilentError once the store has stopped answering this node.
+// this node's own connection may have stalled. It returns a
+// *StoreUnresponsiveError once the store has stopped answering this node.
 func (s *sharedSource[T]) watchStore(ctx context.Context, since int64, wait time.Duration) (listwatch.Changes[T], error) {
-	silence := s.fleet.unresponsiveSignal()
+	unresponsive := s.fleet.unresponsiveSignal()
 	if s.fleet.isStoreUnresponsive() {
 		return listwatch.Changes[T]{}, &StoreUnresponsiveError{}
 	}
@@ -125,78 +127,77 @@
 	case err := <-answered:
 		if err == nil {
 			s.contact.storeAnswered()
-			s.fleet.recordServed(s.selector)
+			s.fleet.recordStoreAnswered(s.selector)
 		}
 		return changes, err
-	case <-silence:
+	case <-unresponsive:
 		return listwatch.Changes[T]{}, &StoreUnresponsiveError{}
 	}
 }
 
-// pollOtherWatchers asks the other watchers in turn for news until ctx ends.
+// pollOtherWatchers asks the other watchers in turn for updates until ctx ends.
 func (s *sharedSource[T]) pollOtherWatchers(ctx context.Context) {
 	for ctx.Err() == nil {
-		peer, known := s.fleet.otherWatcher(s.selector)
+		peer, known := s.fleet.nextDuringWatch(s.selector)
 		if !known {
 			return
 		}
 		askedAt := boottime.Now()
-		news, err := s.queryPeer(ctx, peer, askedAt)
+		update, err := s.fetch(ctx, peer, askedAt)
 		switch {
 		case err == nil:
-			s.fleet.recordReached(peer.Name)
-			s.apply(peer.Name, news, askedAt)
+			s.fleet.markReachable(peer.Name)
+			s.apply(peer.Name, update, askedAt)
 		case ctx.Err() == nil:
-			s.fleet.recordFailed(peer.Name)
+			s.fleet.markUnreachable(peer.Name)
 		}
-		// A peer that has lost the store answers at once, so wait for the rest of
-		// the interval.
+		// A disconnected peer answers at once, so wait for the rest of the interval.
 		every.Sleep(ctx, roster.PeerPollWait-boottime.Now().Sub(askedAt))
 	}
 }
 
-// queryPeer requests news from a peer, which may delay its answer until there
-// is news. askedAt is the current time. The error is a *relay.CallError.
-func (s *sharedSource[T]) queryPeer(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.Update, error) {
-	have := s.have(peer.Name)
-	have.WaitMs = roster.PeerPollWait.Milliseconds()
-	have.Members = s.fleet.memberListVersion()
-	news, err := relay.Fetch(ctx, peer.PeerAddress, have)
+// fetch requests an update from a peer, which may delay its answer until it has
+// one. askedAt is the current time. The error is a *relay.CallError.
+func (s *sharedSource[T]) fetch(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.Update, error) {
+	req := s.request(peer.Name)
+	req.WaitMs = roster.PeerPollWait.Milliseconds()
+	req.Members = s.fleet.memberListVersion()
+	update, err := relay.Fetch(ctx, peer.PeerAddress, req)
 	if err != nil {
 		if ctx.Err() == nil {
-			s.logPeerWithoutNews("peer_silent", peer.Name, askedAt).Err(err).Send()
+			s.logFailedFetch("peer_silent", peer.Name, askedAt).Err(err).Send()
 		}
 		return relay.Update{}, err
 	}
-	if news.Members != nil {
-		s.fleet.setMembers(news.Members, news.MembersRevision)
+	if update.Members != nil {
+		s.fleet.setMembers(update.Members, update.MembersRevision)
 	}
-	return news, nil
+	return update, nil
 }
 
-// askForNews requests recent news of the store from a peer and records the
-// result in the roster. askedAt is the current time. The error is a
-// *relay.CallError or a *StalePeerError.
-func (s *sharedSource[T]) askForNews(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.Update, error) {
-	news, err := s.queryPeer(ctx, peer, askedAt)
+// fetchFresh requests an update from a peer, accepts it only if the peer has a
+// recent answer of the store, and records the result in the roster. askedAt is
+// the current time. The error is a *relay.CallError or a *StalePeerError.
+func (s *sharedSource[T]) fetchFresh(ctx context.Context, peer roster.Member, askedAt time.Time) (relay.Update, error) {
+	update, err := s.fetch(ctx, peer, askedAt)
 	if err != nil {
-		s.fleet.recordUnanswered(s.selector, peer.Name, boottime.Now().Sub(askedAt))
+		s.fleet.recordPeerFailed(s.selector, peer.Name, boottime.Now().Sub(askedAt))
 		return relay.Update{}, err
 	}
-	age := time.Duration(news.AgeMs) * time.Millisecond
-	if news.Disconnected || !roster.Fresh(age, news.Hops) {
-		s.logPeerWithoutNews("peer_behind", peer.Name, askedAt).Dur("age_ms", age).Int("hops", news.Hops).Bool("lost", news.Disconnected).Send()
-		s.fleet.recordBehind(s.selector, peer.Name)
+	age := time.Duration(update.AgeMs) * time.Millisecond
+	if update.Disconnected || !roster.Fresh(age, update.Hops) {
+		s.logFailedFetch("peer_behind", peer.Name, askedAt).Dur("age_ms", age).Int("hops", update.Hops).Bool("lost", update.Disconnected).Send()
+		s.fleet.recordPeerStale(s.selector, peer.Name)
 		return relay.Update{}, &StalePeerError{Peer: peer.Name, Age: age}
 	}
-	s.fleet.recordAnswered(s.selector, peer.Name)
-	s.contact.peerAnswered(age, news.Hops+1)
-	return news, nil
+	s.fleet.recordPeerFresh(s.selector, peer.Name)
+	s.contact.peerAnswered(age, update.Hops+1)
+	return update, nil
 }
 
-// logPeerWithoutNews starts a log line about a request to a peer that yielded no
-// news.
-func (s *sharedSource[T]) logPeerWithoutNews(event string, peer ids.VM, askedAt time.Time) *zerolog.Event {
+// logFailedFetch starts a log line about a request to a peer that failed or
+// yielded no fresh update.
+func (s *sharedSource[T]) logFailedFetch(event string, peer ids.VM, askedAt time.Time) *zerolog.Event {
 	return s.log.Info().Str("event", event).Str("kind", s.name).Str("peer", string(peer)).Dur("took_ms", boottime.Now().Sub(askedAt))
 }
 
@@ -211,14 +212,14 @@
 		probeNow: n.probe.probeNow,
 		observe:  n.metrics.ObserveDuration,
 		log:      n.log,
-		have: func(ids.VM) relay.UpdateRequest {
+		request: func(ids.VM) relay.UpdateRequest {
 			return relay.UpdateRequest{ConfigVersion: n.configs.version(), Want: relay.WantConfig}
 		},
-		apply: func(peer ids.VM, news relay.Update, askedAt time.Time) int64 {
-			if news.Config != nil {
-				n.configs.apply(news.Config, fromPeer(peer, &news, askedAt))
+		apply: func(peer ids.VM, update relay.Update, askedAt time.Time) int64 {
+			if update.Config != nil {
+				n.configs.apply(update.Config, fromPeer(peer, &update, askedAt))
 			}
-			return news.ConfigRevision
+			return update.ConfigRevision
 		},
 	}
 }
@@ -234,12 +235,12 @@
 		probeNow: n.probe.probeNow,
 		observe:  n.metrics.ObserveDuration,
 		log:      n.log,
-		have:     n.upstreams.have,
-		apply: func(peer ids.VM, news relay.Update, askedAt time.Time) int64 {
-			if news.Revision > 0 {
-				n.upstreams.merge(peer, news, askedAt)
+		request:  n.upstreams.updateRequest,
+		apply: func(peer ids.VM, update relay.Update, askedAt time.Time) int64 {
+			if update.Revision > 0 {
+				n.upstreams.merge(peer, update, askedAt)
 			}
-			return news.Revision
+			return update.Revision
 		},
 	}
 }
--- a/node/entry/shared_source_test.go
+++ b/node/entry/shared_source_test.go
@@ -18,28 +18,28 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// fixedPeer is a peer that always returns the same news.
+// fixedPeer is a peer that always returns the same update.
 type fixedPeer struct {
-	news     relay.Update
+	update   relay.Update
 	requests chan relay.UpdateRequest
 }
 
 func (p *fixedPeer) UpdateSince(_ context.Context, have relay.UpdateRequest) relay.Update {
 	p.requests <- have
-	return p.news
+	return p.update
 }
 
 func (*fixedPeer) ApplyVerdict(quarantine.Verdict) {}
 
-// startPeer starts a peer with fixed news and returns it with its address.
-func startPeer(t *testing.T, news relay.Update) (*fixedPeer, string) {
+// startPeer starts a peer with a fixed update and returns it with its address.
+func startPeer(t *testing.T, update relay.Update) (*fixedPeer, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	p := &fixedPeer{news: news, requests: make(chan relay.UpdateRequest, 100)}
+	p := &fixedPeer{update: update, requests: make(chan relay.UpdateRequest, 100)}
 	go func() { _ = relay.Serve(t.Context(), l, p) }()
 	return p, l.Addr().String()
 }
@@ -70,13 +70,13 @@
 	return &sharedSource[routing.Config]{
 		store: store, fleet: f, selector: f.newSelector(), contact: &storeContact{}, probeNow: func() {},
 		observe: func(string, time.Duration) {},
-		have:    func(ids.VM) relay.UpdateRequest { return relay.UpdateRequest{Want: relay.WantConfig} },
-		apply:   func(_ ids.VM, news relay.Update, _ time.Time) int64 { return news.ConfigRevision },
+		request: func(ids.VM) relay.UpdateRequest { return relay.UpdateRequest{Want: relay.WantConfig} },
+		apply:   func(_ ids.VM, update relay.Update, _ time.Time) int64 { return update.ConfigRevision },
 	}, store
 }
 
-// TestStalePeerIsReplacedByAnother checks that news come from another peer if
-// the store has stopped answering the first one.
+// TestStalePeerIsReplacedByAnother checks that the update comes from another
+// peer if the store has stopped answering the first one.
 func TestStalePeerIsReplacedByAnother(t *testing.T) {
 	_, behind := startPeer(t, relay.Update{ConfigRevision: 5, AgeMs: 60_000})
 	_, good := startPeer(t, relay.Update{ConfigRevision: 7, AgeMs: 100})
@@ -119,13 +119,13 @@
 	go func() { got <- n.UpdateSince(t.Context(), relay.UpdateRequest{Want: relay.WantConfig, WaitMs: 60_000}) }()
 	n.configs.Failed(errRefused)
 	if told := <-got; !told.Disconnected {
-		t.Errorf("told %+v", told)
+		t.Errorf("update %+v", told)
 	}
 }
 
 func TestWatchFailsWithoutAStoreCallWhenAllPeersAreStale(t *testing.T) {
 	_, one := startPeer(t, relay.Update{AgeMs: 60_000})
-	// News with too many hops may have been passed around in a circle.
+	// An update with too many hops may have been passed around in a circle.
 	_, other := startPeer(t, relay.Update{AgeMs: 100, Hops: roster.MaxHops + 1})
 	s, store := newFollower(one, other)
 	_, err := s.Watch(t.Context(), 5, time.Second)
@@ -185,29 +185,29 @@
 	if told != 4 {
 		t.Errorf("%d nodes after an older list, want 4", told)
 	}
-	var news relay.Update
-	f.addMembers(&news, relay.MemberListVersion{Revision: 3, Digest: f.memberListVersion().Digest})
-	if news.Members != nil {
+	var update relay.Update
+	f.addMembers(&update, relay.MemberListVersion{Revision: 3, Digest: f.memberListVersion().Digest})
+	if update.Members != nil {
 		t.Error("the list is sent to a peer that has it")
 	}
-	f.addMembers(&news, relay.MemberListVersion{Revision: 10, Digest: 1})
-	if news.Members != nil {
+	f.addMembers(&update, relay.MemberListVersion{Revision: 10, Digest: 1})
+	if update.Members != nil {
 		t.Error("the list is sent to a peer with a newer one")
 	}
-	f.addMembers(&news, relay.MemberListVersion{Revision: 3, Digest: 1})
-	if len(news.Members) != 4 || news.MembersRevision != 9 {
-		t.Errorf("told %+v", news)
+	f.addMembers(&update, relay.MemberListVersion{Revision: 3, Digest: 1})
+	if len(update.Members) != 4 || update.MembersRevision != 9 {
+		t.Errorf("update %+v", update)
 	}
 }
 
 func TestNodeWaitsForTheListOfNodes(t *testing.T) {
 	f := newFleet(Settings{VM: "a-03", Zone: "a"}, boottime.Now, func(int) {})
 	f.setMembers(zoneMembers("a", 1), 1)
-	if f.isSettled() || f.isHead() || f.isWatcher() {
+	if f.isReady() || f.isLeaseCandidate() || f.isWatcher() {
 		t.Error("a node acts on a list that does not contain it")
 	}
 	f.setMembers(zoneMembers("a", 4), 2)
-	f.awaitSettled(t.Context())
+	f.awaitReady(t.Context())
 	if way, _ := f.nextSource(f.newSelector()); way != roster.Peer {
 		t.Errorf("way %v", way)
 	}
@@ -240,7 +240,7 @@
 }
 
 // TestWatchEndsWhenTheStoreStopsAnswering checks that a waiting watch ends once
-// the store is marked as silent, and that no watch starts until the store
+// the store is marked as unresponsive, and that no watch starts until the store
 // answers again.
 func TestWatchEndsWhenTheStoreStopsAnswering(t *testing.T) {
 	_, others := startPeer(t, relay.Update{})
@@ -265,15 +265,15 @@
 	<-store.called
 }
 
-// TestWatcherAppliesNewsOfOtherWatchers covers a watch whose own connection has
-// gone silent: news of another watcher must be applied during the watch.
-func TestWatcherAppliesNewsOfOtherWatchers(t *testing.T) {
+// TestWatcherAppliesUpdatesOfOtherWatchers covers a watch whose own connection
+// has stalled: updates of another watcher must be applied during the watch.
+func TestWatcherAppliesUpdatesOfOtherWatchers(t *testing.T) {
 	_, others := startPeer(t, relay.Update{ConfigRevision: 7, AgeMs: 5})
 	s := newWatcher(&hangingStore{called: make(chan struct{}, 1)}, others)
 	took := make(chan int64, 100)
-	s.apply = func(_ ids.VM, news relay.Update, _ time.Time) int64 {
-		took <- news.ConfigRevision
-		return news.ConfigRevision
+	s.apply = func(_ ids.VM, update relay.Update, _ time.Time) int64 {
+		took <- update.ConfigRevision
+		return update.ConfigRevision
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -307,7 +307,7 @@
 }
 
 // TestNewWatchIsProbedAtOnce checks that a probe vouches for a new watch
-// without delay. Until then the node has no recent news for its peers, and they
+// without delay. Until then the node counts as stale to its peers, and they
 // would ask the store themselves.
 func TestNewWatchIsProbedAtOnce(t *testing.T) {
 	_, others := startPeer(t, relay.Update{})
@@ -330,8 +330,8 @@
 func (s *manualProber) Probe(context.Context) error { return <-s.ends }
 
 // TestProbeDetectsASilentStore checks that a probe without an answer in time
-// marks the store as silent, that a failed probe does not end the silence, and
-// that the next answer ends it and vouches for waiting watches only.
+// marks the store as unresponsive, that a failed probe does not change that,
+// and that the next answer ends it and vouches for waiting watches only.
 func TestProbeDetectsASilentStore(t *testing.T) {
 	f := newFleet(Settings{VM: "a-00", Zone: "a"}, boottime.Now, func(int) {})
 	waiting, idle := &storeContact{}, &storeContact{}
@@ -346,17 +346,17 @@
 	select {
 	case <-f.unresponsiveSignal():
 	case <-time.After(2 * time.Second):
-		t.Fatal("the store was not marked as silent")
+		t.Fatal("the store was not marked as unresponsive")
 	}
 	store.ends <- errRefused
 	<-ended
 	if !f.isStoreUnresponsive() || !p.due() {
-		t.Error("a probe without an answer ended the silence or stopped further probes")
+		t.Error("a probe without an answer marked the store as responsive or stopped further probes")
 	}
 	go func() { store.ends <- nil }()
 	p.send(t.Context())
 	if f.isStoreUnresponsive() {
-		t.Error("an answer did not cancel the silence")
+		t.Error("an answer did not mark the store as responsive")
 	}
 	if age, _ := waiting.age(boottime.Now()); age > time.Second {
 		t.Errorf("the state of a waiting watch is %v old", age)
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -18,9 +18,9 @@
 	"mimosaarch.example/decide/routing"
 )
 
-// holderID identifies this process as a lease holder and to peers. It is unique
-// across restarts.
-func holderID(s Settings) string { return fmt.Sprintf("%s-%x", s.VM, s.Seed) }
+// processID identifies this process as a lease holder and to peers. It is
+// unique across restarts.
+func processID(s Settings) string { return fmt.Sprintf("%s-%x", s.VM, s.Seed) }
 
 // notifier wakes all goroutines that wait for a change of the node's state.
 type notifier struct {
@@ -112,11 +112,12 @@
 	onActivated func([]ids.Service)
 	// onMalformed is called for each configuration that cannot be decoded.
 	onMalformed func(listwatch.Removal)
-	// newest is the active configuration in the form that peers receive. lost
-	// is set while the collection cannot be followed. mu serializes apply.
-	newest atomic.Pointer[packableConfig]
-	lost   atomic.Bool
-	mu     sync.Mutex
+	// newest is the active configuration in the form that peers receive.
+	// disconnected is set while the configuration cannot be followed. mu
+	// serializes apply.
+	newest       atomic.Pointer[packableConfig]
+	disconnected atomic.Bool
+	mu           sync.Mutex
 }
 
 // Listed implements listwatch.Sink.
@@ -146,13 +147,13 @@
 // Failed implements listwatch.Sink. It wakes waiting peers so that they can ask
 // another node.
 func (c *configs) Failed(error) {
-	if !c.lost.Swap(true) {
+	if !c.disconnected.Swap(true) {
 		c.updates.notify()
 	}
 }
 
 // Recovered implements listwatch.Sink.
-func (c *configs) Recovered() { c.lost.Store(false) }
+func (c *configs) Recovered() { c.disconnected.Store(false) }
 
 // apply activates a configuration if it is valid and newer than the active one.
 func (c *configs) apply(config *routing.Config, from origin) {
@@ -181,14 +182,14 @@
 	packed func() relay.Packed
 }
 
-// addTo adds the configuration to the news for a peer, packed if the peer can
-// unpack it.
-func (p *packableConfig) addTo(news *relay.Update, unpacks bool) {
-	if unpacks {
-		news.Packed = p.packed()
+// addTo adds the configuration to an update for a peer, packed if the peer
+// accepts that.
+func (p *packableConfig) addTo(update *relay.Update, acceptsPacked bool) {
+	if acceptsPacked {
+		update.Packed = p.packed()
 	}
-	if news.Packed == nil {
-		news.Config = p.config
+	if update.Packed == nil {
+		update.Config = p.config
 	}
 }
 
@@ -215,37 +216,37 @@
 // upstreams holds the directory of upstreams. mu serializes its changes.
 type upstreams struct {
 	storeContact
-	// holder identifies this process to peers.
-	holder  string
+	// process identifies this process to peers.
+	process string
 	log     zerolog.Logger
 	updates *notifier
 	// onRemoved is called for each upstream that was removed.
 	onRemoved func(*directory.Upstream)
-	// onStoreRecovered is called when news of the store arrives again after the
-	// store was lost.
+	// onStoreRecovered is called when the store's state arrives again, from a
+	// peer or from the store itself, after the connection was lost.
 	onStoreRecovered func()
 	// onMalformed is called for each entry that cannot be decoded.
 	onMalformed func(listwatch.Removal)
 	view        atomic.Pointer[directory.View]
-	// lost is set while the collection cannot be followed.
-	lost atomic.Bool
+	// disconnected is set while the directory cannot be followed.
+	disconnected atomic.Bool
 
 	mu        sync.Mutex
 	directory *directory.Directory
 	// bases holds, for each peer, the state of the peer's directory that was
 	// last merged.
 	bases map[ids.VM]relay.Base
-	// heardFromPeer is set when a peer's directory was merged since the store
-	// was lost.
+	// heardFromPeer is set when a peer's directory was merged since
+	// disconnected was set.
 	heardFromPeer bool
-	// lastBeforeLoss is the last answer of the store before it was lost, or nil
-	// if there was none.
-	lastBeforeLoss *storeAnswer
+	// lastBeforeDisconnect is the last answer of the store before disconnected
+	// was set, or nil if there was none.
+	lastBeforeDisconnect *storeAnswer
 }
 
 // newUpstreams returns an empty directory.
-func newUpstreams(holder string, log zerolog.Logger, updates *notifier) *upstreams {
-	u := &upstreams{holder: holder, log: log, updates: updates, directory: directory.New(), bases: make(map[ids.VM]relay.Base)}
+func newUpstreams(process string, log zerolog.Logger, updates *notifier) *upstreams {
+	u := &upstreams{process: process, log: log, updates: updates, directory: directory.New(), bases: make(map[ids.VM]relay.Base)}
 	u.view.Store(u.directory.View())
 	return u
 }
@@ -286,67 +287,69 @@
 // normally asks two peers in turn, and others if one of them does not answer.
 const maxBases = 16
 
-// merge applies a peer's news. askedAt is the time at which the peer was asked.
-func (u *upstreams) merge(peer ids.VM, news relay.Update, askedAt time.Time) {
-	u.update(fromPeer(peer, &news, askedAt), func(d *directory.Directory, now time.Time) []directory.Change {
-		if news.Revision < d.Revision() {
+// merge applies a peer's update. askedAt is the time at which the peer was
+// asked.
+func (u *upstreams) merge(peer ids.VM, update relay.Update, askedAt time.Time) {
+	u.update(fromPeer(peer, &update, askedAt), func(d *directory.Directory, now time.Time) []directory.Change {
+		if update.Revision < d.Revision() {
 			return nil
 		}
-		if u.lost.Load() && !u.heardFromPeer {
+		if u.disconnected.Load() && !u.heardFromPeer {
 			// Upstreams that lost the store together with this node are missing
 			// from the peer's directory, but may still be running.
-			d.RegistryRecovered(now, u.lastBeforeLoss.age(now))
+			d.RegistryRecovered(now, u.lastBeforeDisconnect.age(now))
 			u.heardFromPeer = true
 			u.onStoreRecovered()
 		}
 		if len(u.bases) >= maxBases {
 			clear(u.bases)
 		}
-		u.bases[peer] = news.Base
-		if news.Delta {
-			return d.Update(now, news.Upstreams, news.Gone, news.Revision)
+		u.bases[peer] = update.Base
+		if update.Delta {
+			return d.Update(now, update.Upstreams, update.Gone, update.Revision)
 		}
-		return d.Merge(now, news.Upstreams, news.Present, news.Revision)
+		return d.Merge(now, update.Upstreams, update.Present, update.Revision)
 	})
 }
 
-// have returns the state of this directory for a request to the peer.
-func (u *upstreams) have(peer ids.VM) relay.UpdateRequest {
+// updateRequest returns the request to a peer for changes of the directory.
+func (u *upstreams) updateRequest(peer ids.VM) relay.UpdateRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return relay.UpdateRequest{Revision: u.directory.Revision(), Base: u.bases[peer], Want: relay.WantUpstreams}
 }
 
-// addTo adds the changes that the asking peer does not have to the news.
-func (u *upstreams) addTo(news *relay.Update, have relay.UpdateRequest) {
+// addTo adds the changes that the asking peer does not have to an update.
+func (u *upstreams) addTo(update *relay.Update, req relay.UpdateRequest) {
 	view := u.view.Load()
 	var changed []*directory.Upstream
-	known := have.Base.Process == u.holder
+	known := req.Base.Process == u.process
 	if known {
-		changed, news.Gone, news.Delta = view.Since(have.Base.Mark)
+		changed, update.Gone, update.Delta = view.Since(req.Base.Mark)
 	}
 	// A peer without a known base may also lack changes that have no revision of
 	// their own, such as the end of a removal grace period.
-	nothing := known && len(changed)+len(news.Gone) == 0
-	if view.Revision < have.Revision || view.Revision == have.Revision && nothing {
+	nothing := known && len(changed)+len(update.Gone) == 0
+	if view.Revision < req.Revision || view.Revision == req.Revision && nothing {
 		return
 	}
-	news.Revision, news.Base = view.Revision, relay.Base{Process: u.holder, Mark: view.Mark}
-	if news.Delta {
-		news.Upstreams = copyUpstreams(changed)
+	update.Revision, update.Base = view.Revision, relay.Base{Process: u.process, Mark: view.Mark}
+	if update.Delta {
+		update.Upstreams = copyUpstreams(changed)
 		return
 	}
 	for _, up := range view.All() {
-		news.Present = append(news.Present, up.ID.Upstream)
-		if up.Revision > have.Revision {
-			news.Upstreams = append(news.Upstreams, *up)
+		update.Present = append(update.Present, up.ID.Upstream)
+		if up.Revision > req.Revision {
+			update.Upstreams = append(update.Upstreams, *up)
 		}
 	}
 }
 
-// recordRestart applies a process's own report that it has restarted.
-func (u *upstreams) recordRestart(life ids.Instance) {
-	u.update(origin{from: "report"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.Restarted(life) })
+// recordRestart applies a process's own report that it has restarted as the
+// given instance.
+func (u *upstreams) recordRestart(instance ids.Instance) {
+	u.update(origin{from: "report"}, func(d *directory.Directory, _ time.Time) []directory.Change { return d.Restarted(instance) })
 }
 
 // setServices applies the services of the active configuration.
@@ -366,25 +369,25 @@
 // Failed implements listwatch.Sink. It wakes waiting peers so that they can ask
 // another node.
 func (u *upstreams) Failed(error) {
-	if u.lost.Load() {
+	if u.disconnected.Load() {
 		return
 	}
 	u.mu.Lock()
-	u.lastBeforeLoss = u.lastAnswer.Load()
+	u.lastBeforeDisconnect = u.lastAnswer.Load()
 	u.mu.Unlock()
-	u.lost.Store(true)
+	u.disconnected.Store(true)
 	u.updates.notify()
 }
 
 // Recovered implements listwatch.Sink.
 func (u *upstreams) Recovered() {
-	u.lost.Store(false)
+	u.disconnected.Store(false)
 	u.update(fromStore, func(d *directory.Directory, now time.Time) []directory.Change {
 		if !u.heardFromPeer {
 			u.onStoreRecovered()
 		}
 		u.heardFromPeer = false
-		d.RegistryRecovered(now, u.lastBeforeLoss.age(now))
+		d.RegistryRecovered(now, u.lastBeforeDisconnect.age(now))
 		return nil
 	})
 }
--- a/node/entry/upstreams_test.go
+++ b/node/entry/upstreams_test.go
@@ -29,8 +29,8 @@
 
 // listedUpstreams returns the directory of a process that has listed the given
 // upstreams. A nil list leaves it empty.
-func listedUpstreams(holder string, list []directory.Upstream) *upstreams {
-	u := newUpstreams(holder, zerolog.Nop(), newNotifier())
+func listedUpstreams(process string, list []directory.Upstream) *upstreams {
+	u := newUpstreams(process, zerolog.Nop(), newNotifier())
 	u.onRemoved = func(*directory.Upstream) {}
 	u.onStoreRecovered = func() {}
 	if list != nil {
@@ -39,16 +39,16 @@
 	return u
 }
 
-// transferNews applies the news of one directory to another and returns the
-// news.
-func transferNews(to, from *upstreams) relay.Update {
-	var news relay.Update
-	peer := ids.VM(from.holder)
-	from.addTo(&news, to.have(peer))
-	if news.Revision > 0 {
-		to.merge(peer, news, boottime.Now())
-	}
-	return news
+// transferUpdate requests an update from one directory for another, applies it
+// and returns it.
+func transferUpdate(to, from *upstreams) relay.Update {
+	var update relay.Update
+	peer := ids.VM(from.process)
+	from.addTo(&update, to.updateRequest(peer))
+	if update.Revision > 0 {
+		to.merge(peer, update, boottime.Now())
+	}
+	return update
 }
 
 // removalOf returns the change that removes an upstream.
@@ -59,30 +59,30 @@
 	}
 }
 
-func TestNewsContainOnlyChanges(t *testing.T) {
+func TestUpdateContainsOnlyChanges(t *testing.T) {
 	from, to := listedUpstreams("p", upstreamList(3000)), listedUpstreams("q", nil)
-	if first := transferNews(to, from); len(first.Upstreams) != 3000 || first.Delta {
-		t.Fatalf("first news contain %d upstreams", len(first.Upstreams))
+	if first := transferUpdate(to, from); len(first.Upstreams) != 3000 || first.Delta {
+		t.Fatalf("first update contains %d upstreams", len(first.Upstreams))
 	}
 	from.Changed(removalOf("u-0007", 3001))
-	news := transferNews(to, from)
-	if len(news.Present) != 0 || len(news.Upstreams) != 0 || len(news.Gone) != 1 {
-		t.Errorf("news of tc removal contain %d present, %d changed and %d removed upstreams", len(news.Present), len(news.Upstreams), len(news.Gone))
+	update := transferUpdate(to, from)
+	if len(update.Present) != 0 || len(update.Upstreams) != 0 || len(update.Gone) != 1 {
+		t.Errorf("update for one removal contains %d present, %d changed and %d removed upstreams", len(update.Present), len(update.Upstreams), len(update.Gone))
 	}
-	if to.view.Load().Get(life("u-0007")) != nil || len(to.view.Load().All()) != 2999 {
+	if to.view.Load().Get(instance("u-0007")) != nil || len(to.view.Load().All()) != 2999 {
 		t.Error("the removal did not take effect")
 	}
-	if again := transferNews(to, from); again.Revision != 0 {
-		t.Errorf("news without a change are not empty: %+v", again)
+	if again := transferUpdate(to, from); again.Revision != 0 {
+		t.Errorf("update without a change is not empty: %+v", again)
 	}
 }
 
 func TestRestartedPeerSendsItsWholeDirectory(t *testing.T) {
 	from, to := listedUpstreams("p", upstreamList(3)), listedUpstreams("q", nil)
-	transferNews(to, from)
+	transferUpdate(to, from)
 	from = listedUpstreams("p2", upstreamList(5)[1:])
 	from.Changed(removalOf("u-0001", 9))
-	if news := transferNews(to, from); news.Delta {
+	if update := transferUpdate(to, from); update.Delta {
 		t.Error("a restarted process sends only changes")
 	}
 	if diff := cmp.Diff(from.view.Load().All(), to.view.Load().All()); diff != "" {
@@ -94,15 +94,15 @@
 	from, to := listedUpstreams("p", upstreamList(3)), listedUpstreams("q", nil)
 	from.Recovered()
 	from.Listed(listwatch.List[directory.Upstream]{Items: upstreamList(2), Revision: 9})
-	transferNews(to, from)
-	if to.view.Load().Get(life("u-0002")) == nil {
+	transferUpdate(to, from)
+	if to.view.Load().Get(instance("u-0002")) == nil {
 		t.Fatal("a missing upstream was removed before the end of the grace period")
 	}
 	from.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
 		return d.Expire(now.Add(2 * directory.RemovalGrace))
 	})
-	transferNews(to, from)
-	if to.view.Load().Get(life("u-0002")) != nil {
+	transferUpdate(to, from)
+	if to.view.Load().Get(instance("u-0002")) != nil {
 		t.Error("the removal at the end of the grace period, which has no store revision, did not reach the peer")
 	}
 }
@@ -117,17 +117,17 @@
 	from := listedUpstreams("p", upstreamList(3))
 	from.Changed(removalOf("u-0000", 8))
 	from.Changed(removalOf("u-0001", 9))
-	transferNews(to, from)
+	transferUpdate(to, from)
 	if left := len(to.view.Load().All()); left != 3 {
-		t.Errorf("%d of 3 upstreams are left after the first peer's news", left)
+		t.Errorf("%d of 3 upstreams are left after the first peer's update", left)
 	}
 	back := directory.Upstream{ID: ids.Instance{Upstream: "u-0001"}, Service: "s", Address: "at 1", Revision: 10}
 	from.Changed(listwatch.Changes[directory.Upstream]{Events: []listwatch.Event[directory.Upstream]{{Put: &back}}, Revision: 10})
-	transferNews(to, from)
+	transferUpdate(to, from)
 	to.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
 		return d.Expire(now.Add(2 * directory.RemovalGrace))
 	})
-	if view := to.view.Load(); view.Get(life("u-0001")) == nil || view.Get(life("u-0000")) != nil {
+	if view := to.view.Load(); view.Get(instance("u-0001")) == nil || view.Get(instance("u-0000")) != nil {
 		t.Error("after the grace period, want u-0001, which returned, and not u-0000")
 	}
 	to.Recovered()
@@ -157,14 +157,14 @@
 		to.storeAnswered()
 		to.Recovered()
 		to.Changed(removalOf("u-0001", 9))
-		if removed := to.view.Load().Get(life("u-0001")) == nil; removed != tc.removed {
+		if removed := to.view.Load().Get(instance("u-0001")) == nil; removed != tc.removed {
 			t.Errorf("store lost for %v: removed %t, want %t", tc.lost, removed, tc.removed)
 		}
 	}
 }
 
-// life returns the ID of an upstream with an unknown start time.
-func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
+// instance returns the ID of an upstream with an unknown start time.
+func instance(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // TestUpstreamLogLineNamesItsOrigin checks that a log line names the peer, age
 // and hops of a change. With these, a late change can be traced from the store
@@ -172,8 +172,8 @@
 func TestUpstreamLogLineNamesItsOrigin(t *testing.T) {
 	var log bytes.Buffer
 	to := newUpstreams("to", zerolog.New(&log), newNotifier())
-	news := relay.Update{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Instance{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
-	to.merge("vm-2", news, boottime.Now().Add(-time.Second))
+	update := relay.Update{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Instance{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
+	to.merge("vm-2", update, boottime.Now().Add(-time.Second))
 	var line struct {
 		Event, From, Peer string
 		Age               float64 `json:"age_ms"`
