--- a/node/orders.go
+++ b/node/orders.go
@@ -23,10 +23,10 @@
 	})
 }
 
-// reportOrders passes the load report of an engine to the orders controller. A
+// reportToOrders passes the load report of an engine to the orders controller. A
 // report that the controller does not accept is only counted, because the next
 // one replaces it.
-func (n *Node) reportOrders(report engineapi.LoadReport) {
+func (n *Node) reportToOrders(report engineapi.LoadReport) {
 	if err := n.orders.Reported(report); err != nil {
 		n.telemetry.CountError("order_report_not_taken")
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -81,7 +81,7 @@
 func (n *Node) PeerDigest(d peerapi.Digest, at time.Time) {
 	for _, l := range d.Loads {
 		if !l.Relayed {
-			n.reportOrders(l.Report)
+			n.reportToOrders(l.Report)
 		}
 	}
 	n.postEvent(router.DigestReceived{VM: d.VM, At: at, Digest: decodeDigest(d)})
--- a/node/polls.go
+++ b/node/polls.go
@@ -171,7 +171,7 @@
 		return
 	}
 	p.node.epochs.Record(address, report.Epoch)
-	p.node.reportOrders(report)
+	p.node.reportToOrders(report)
 	p.node.postEvent(reported)
 }
 
