--- a/node/entry/fleet.go
+++ b/node/entry/fleet.go
@@ -13,49 +13,55 @@
 	"mimosaarch.example/decide/roster"
 )
 
-// fleet is what the node knows of the others. Any goroutine may call its methods.
+// fleet is this node's view of the fleet: the list of nodes and the roster that
+// decides which of them to ask. It is safe for concurrent use.
 type fleet struct {
+	// now is the clock of the roster.
 	now func() time.Time
-	// changed is told of each list that is taken.
-	changed func(nodes int)
-	// known is closed once the roster can tell whom to learn from.
-	known chan struct{}
+	// onChanged is called with the number of nodes after each change of the
+	// list, with mu held.
+	onChanged func(nodes int)
+	// readyCh is closed once the roster has determined this node's role.
+	readyCh chan struct{}
 
-	mu      sync.Mutex
-	roster  *roster.Roster
-	edition relay.MemberListVersion
-	members []roster.Member
-	settled bool
-	// unheard is closed while the store does not answer this node.
-	unheard chan struct{}
+	mu     sync.Mutex
+	roster *roster.Roster
+	// listVersion is the revision and digest of members.
+	listVersion relay.MemberListVersion
+	members     []roster.Member
+	ready       bool
+	// unresponsiveCh is closed while the store does not answer this node. It is
+	// replaced when the store answers again.
+	unresponsiveCh chan struct{}
 }
 
-// newFleet makes the view of a node that knows no others.
-func newFleet(s Settings, now func() time.Time, changed func(nodes int)) *fleet {
-	return &fleet{now: now, changed: changed, known: make(chan struct{}), unheard: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
+// newFleet returns a view that contains no nodes.
+func newFleet(s Settings, now func() time.Time, onChanged func(nodes int)) *fleet {
+	return &fleet{now: now, onChanged: onChanged, readyCh: make(chan struct{}), unresponsiveCh: make(chan struct{}), roster: roster.New(s.VM, s.Zone)}
 }
 
-// set takes a list of the fleet's nodes as of a revision of the store's. An older
-// one than that before is ignored.
-func (f *fleet) set(members []roster.Member, revision int64) {
+// setMembers replaces the list of nodes by the list as of a revision of the
+// store. It ignores a list that is older than the current one.
+func (f *fleet) setMembers(members []roster.Member, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if revision < f.edition.Revision {
+	if revision < f.listVersion.Revision {
 		return
 	}
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b roster.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
-	edition := relay.MemberListVersion{Revision: revision, Digest: digest(members)}
-	if edition.Digest != f.edition.Digest {
+	version := relay.MemberListVersion{Revision: revision, Digest: digest(members)}
+	if version.Digest != f.listVersion.Digest {
 		f.members = members
 		f.roster.Set(members)
-		f.changed(len(members))
+		f.onChanged(len(members))
 	}
-	f.edition = edition
-	f.settle()
+	f.listVersion = version
+	f.markReady()
 }
 
-// digest tells lists of nodes apart.
+// digest returns a hash of a sorted list of nodes. Equal lists have equal
+// digests.
 func digest(members []roster.Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
@@ -67,171 +73,186 @@
 	return h.Sum64()
 }
 
-// settle closes known once the roster is settled, with the lock held.
-func (f *fleet) settle() {
-	if f.settled || !f.roster.Ready() {
+// markReady closes readyCh once the roster is ready. The caller must hold mu.
+func (f *fleet) markReady() {
+	if f.ready || !f.roster.Ready() {
 		return
 	}
-	f.settled = true
-	close(f.known)
+	f.ready = true
+	close(f.readyCh)
 }
 
-// goOn has the node go by the list as it is, without its own entry.
-func (f *fleet) goOn() {
+// forceReady makes the roster ready although the list does not contain this
+// node.
+func (f *fleet) forceReady() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roster.ForceReady()
-	f.settle()
+	f.markReady()
 }
 
-// await waits until the node knows whom to learn from, or ctx ends.
-func (f *fleet) await(ctx context.Context) {
+// awaitReady blocks until the roster is ready or ctx ends.
+func (f *fleet) awaitReady(ctx context.Context) {
 	select {
-	case <-f.known:
+	case <-f.readyCh:
 	case <-ctx.Done():
 	}
 }
 
-// isSettled reports whether the node knows whom to learn from.
-func (f *fleet) isSettled() bool {
+// isReady reports whether the roster has determined this node's role.
+func (f *fleet) isReady() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.settled
+	return f.ready
 }
 
-// selector makes one that learns by the view.
-func (f *fleet) selector() *roster.Selector {
+// newSelector returns a selector of the sources for one collection.
+func (f *fleet) newSelector() *roster.Selector {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Selector()
 }
 
-// next tells where to learn what is new.
-func (f *fleet) next(a *roster.Selector) (roster.Source, roster.Member) {
+// nextSource returns whether to ask the store or a peer for changes, and which
+// peer.
+func (f *fleet) nextSource(s *roster.Selector) (roster.Source, roster.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.Next(f.now())
+	return s.Next(f.now())
 }
 
-// watches reports whether the node is one of those that watch the store for all.
-func (f *fleet) watches() bool {
+// isWatcher reports whether this node is one of those that watch the store on
+// behalf of the fleet.
+func (f *fleet) isWatcher() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.IsWatcher(f.now())
 }
 
-// head reports whether the node is one of its zone's heads.
-func (f *fleet) head() bool {
+// isLeaseCandidate reports whether this node is one of those of its zone that
+// compete for the lease for orders to engines.
+func (f *fleet) isLeaseCandidate() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.IsLeaseCandidate(f.now())
 }
 
-// others gives the nodes of all zones but the own.
+// others returns all nodes except this one.
 func (f *fleet) others() []roster.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.Others()
 }
 
-// have names the list that is here.
-func (f *fleet) have() relay.MemberListVersion {
+// memberListVersion returns the revision and digest of the current list.
+func (f *fleet) memberListVersion() relay.MemberListVersion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.edition
+	return f.listVersion
 }
 
-// tell adds the list to the news for an asker whose own is another and older.
-func (f *fleet) tell(news *relay.Update, have relay.MemberListVersion) {
+// addMembers adds the list of nodes to an update for a peer whose own list is
+// older and different.
+func (f *fleet) addMembers(update *relay.Update, peer relay.MemberListVersion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.edition.Digest != have.Digest && f.edition.Revision > have.Revision {
-		news.Members, news.MembersRevision = f.members, f.edition.Revision
+	if f.listVersion.Digest != peer.Digest && f.listVersion.Revision > peer.Revision {
+		update.Members, update.MembersRevision = f.members, f.listVersion.Revision
 	}
 }
 
-// beside gives a watcher to ask while a watch waits at the store; false where there is
-// none.
-func (f *fleet) beside(a *roster.Selector) (roster.Member, bool) {
+// nextDuringWatch returns another watcher to ask while this node's watch of the
+// store is in progress, or false if there is none.
+func (f *fleet) nextDuringWatch(s *roster.Selector) (roster.Member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.NextDuringWatch(f.now())
+	return s.NextDuringWatch(f.now())
 }
 
-// watchWait is how long a watch of the store is to wait where one that watches alone waits
-// so long.
+// watchWait returns how long a watch of the store should wait for a change.
+// alone is the wait time of a node that is the only watcher.
 func (f *fleet) watchWait(alone time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.WatchWait(alone)
 }
 
-// setSilent notes whether the store has stopped answering this node; changed tells that
-// this is new.
-func (f *fleet) setSilent(silent bool) (changed bool) {
+// setStoreUnresponsive records whether the store has stopped answering this
+// node, and reports whether that changed.
+func (f *fleet) setStoreUnresponsive(unresponsive bool) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.roster.SetStoreUnresponsive(silent) {
+	if !f.roster.SetStoreUnresponsive(unresponsive) {
 		return false
 	}
-	if silent {
-		close(f.unheard)
+	if unresponsive {
+		close(f.unresponsiveCh)
 	} else {
-		f.unheard = make(chan struct{})
+		f.unresponsiveCh = make(chan struct{})
 	}
 	return true
 }
 
-// isSilent reports whether the store has stopped answering this node.
-func (f *fleet) isSilent() bool {
+// isStoreUnresponsive reports whether the store has stopped answering this
+// node.
+func (f *fleet) isStoreUnresponsive() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.roster.StoreUnresponsive()
 }
 
-// silence gives a channel that is closed once the store has stopped answering this node.
-func (f *fleet) silence() <-chan struct{} {
+// unresponsiveSignal returns a channel that is closed when the store stops
+// answering this node.
+func (f *fleet) unresponsiveSignal() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.unheard
+	return f.unresponsiveCh
 }
 
-// unanswered and reached tell whether a peer answered, behind and answered whether it had
-// news of the store, and served that the store answered.
-func (f *fleet) unanswered(a *roster.Selector, name ids.VM, took time.Duration) {
-	f.note(func() { a.PeerFailed(f.now(), name, took) })
+// recordPeerFailed records that a request to a peer failed after the given
+// time.
+func (f *fleet) recordPeerFailed(s *roster.Selector, name ids.VM, took time.Duration) {
+	f.update(func() { s.PeerFailed(f.now(), name, took) })
 }
 
-func (f *fleet) reached(name ids.VM) {
-	f.note(func() { f.roster.MarkReachable(name) })
+// markReachable records that a peer answered a request made during a watch.
+func (f *fleet) markReachable(name ids.VM) {
+	f.update(func() { f.roster.MarkReachable(name) })
 }
 
-func (f *fleet) behind(a *roster.Selector, name ids.VM) {
-	f.note(func() { a.PeerStale(f.now(), name) })
+// recordPeerStale records that a peer answered but had no recent answer of the
+// store.
+func (f *fleet) recordPeerStale(s *roster.Selector, name ids.VM) {
+	f.update(func() { s.PeerStale(f.now(), name) })
 }
 
-func (f *fleet) answered(a *roster.Selector, name ids.VM) {
-	f.note(func() { a.PeerFresh(name) })
+// recordPeerFresh records that a peer answered and had a recent answer of the
+// store.
+func (f *fleet) recordPeerFresh(s *roster.Selector, name ids.VM) {
+	f.update(func() { s.PeerFresh(name) })
 }
 
-func (f *fleet) served(a *roster.Selector) {
-	f.note(func() { a.StoreAnswered(f.now()) })
+// recordStoreAnswered records that the store answered a watch.
+func (f *fleet) recordStoreAnswered(s *roster.Selector) {
+	f.update(func() { s.StoreAnswered(f.now()) })
 }
 
-// failed tells that a peer did not answer what was asked beside a watch.
-func (f *fleet) failed(name ids.VM) {
-	f.note(func() { f.roster.MarkUnreachable(f.now(), name) })
+// markUnreachable records that a peer did not answer a request made during a
+// watch.
+func (f *fleet) markUnreachable(name ids.VM) {
+	f.update(func() { f.roster.MarkUnreachable(f.now(), name) })
 }
 
-// givesUp reports whether a search for news is over without.
-func (f *fleet) givesUp(a *roster.Selector, began time.Time) bool {
+// searchExhausted reports whether a search for a fresh peer that started at the
+// given time has taken too long.
+func (f *fleet) searchExhausted(s *roster.Selector, start time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return a.SearchExhausted(f.now(), began)
+	return s.SearchExhausted(f.now(), start)
 }
 
-// note changes the roster, or what one that asks knows.
-func (f *fleet) note(change func()) {
+// update changes the roster or a selector under the lock.
+func (f *fleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
