--- a/standin/fleet/bench_test.go
+++ b/standin/fleet/bench_test.go
@@ -13,7 +13,9 @@
 	"mimosaarch.example/standin/engine"
 )
 
-// Figures of BenchmarkTenChains.
+// Parameters of BenchmarkTenChains: the number of chains, the rate of each engine in
+// token steps per second, the concurrent streams per chain, the tokens per request
+// and the requests per stream.
 const (
 	benchChains   = 10
 	benchRate     = 300
@@ -22,16 +24,17 @@
 	benchRequests = 2
 )
 
-// cpuSeconds gives the processor time of this process.
+// cpuSeconds returns the CPU time used by this process so far, in seconds.
 func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
 
-// BenchmarkTenChains runs 10 chains of 3 engines under more streams than fill
-// them, readers included. Steps are tokens and prompt steps; their bound is
-// 3000 a second.
+// BenchmarkTenChains runs 10 chains of 3 engines in one process, together with the
+// clients that read their streams, and offers more streams than the chains can serve
+// at full rate. It reports the token and prompt steps per second, which the rates of
+// the chains limit to 3000, and the CPU cores used.
 func BenchmarkTenChains(b *testing.B) {
 	cfg := Config{Layers: 3}
 	for c := range benchChains {
@@ -46,9 +49,9 @@
 		began, cpu := time.Now(), cpuSeconds()
 		var all sync.WaitGroup
 		for c := range benchChains {
-			chain := chainOf(f, cfg, fmt.Sprint("head", c), fmt.Sprint("mid", c), fmt.Sprint("tail", c))
+			chain := newChain(f, cfg, fmt.Sprint("head", c), fmt.Sprint("mid", c), fmt.Sprint("tail", c))
 			for s := range benchStreams {
-				all.Go(func() { askMany(b, client, fmt.Sprintf("%d-%d-%d", c, s, began.UnixNano()), chain) })
+				all.Go(func() { runRequests(b, client, fmt.Sprintf("%d-%d-%d", c, s, began.UnixNano()), chain) })
 			}
 		}
 		all.Wait()
@@ -59,10 +62,10 @@
 	}
 }
 
-// askMany runs requests one after the other.
-func askMany(b *testing.B, client *fasthttp.Client, name string, chain []engineapi.Stage) {
+// runRequests runs benchRequests requests one after the other.
+func runRequests(b *testing.B, client *fasthttp.Client, name string, chain []engineapi.Stage) {
 	for r := range benchRequests {
-		if done := ask(client, fmt.Sprint(name, "-", r), benchTokens, chain); done == nil {
+		if done := runRequest(client, fmt.Sprint(name, "-", r), benchTokens, chain); done == nil {
 			b.Error("a request was not finished")
 		}
 	}
--- a/standin/fleet/change.go
+++ b/standin/fleet/change.go
@@ -2,8 +2,9 @@
 
 import "mimosaarch.example/core/platformapi"
 
-// Kill stops an upstream at once. Its VM stays on the list, which lags behind
-// reality, until Remove. The error is an *UnknownError, as in all of these.
+// Kill stops an upstream abruptly. Its VM stays in the published list until
+// Unpublish, because the platform's list also lags behind the actual state of the
+// VMs. The error is an *UnknownUpstreamError.
 func (f *Fleet) Kill(id string) error {
 	return f.change(id, func(m *member) error {
 		m.close()
@@ -11,9 +12,9 @@
 	})
 }
 
-// Restart starts an upstream anew at the address it had, stopping it first if
-// it still runs, and lists it as live. The error may also tell that the
-// address could not be listened on.
+// Restart starts an upstream again at the address that it had, after stopping it if
+// it still runs, and publishes it as live. The error is an *UnknownUpstreamError, or
+// an *httpd.ListenError if the address is not available.
 func (f *Fleet) Restart(id string) error {
 	return f.change(id, func(m *member) error {
 		m.close()
@@ -23,13 +24,14 @@
 			return err
 		}
 		m.vm.State = platformapi.StateLive
-		m.gone = false
+		m.unpublished = false
 		f.publish()
 		return nil
 	})
 }
 
-// MarkLeaving lists an upstream as leaving; it goes on running.
+// MarkLeaving publishes an upstream as leaving; it continues to run. The error is an
+// *UnknownUpstreamError.
 func (f *Fleet) MarkLeaving(id string) error {
 	return f.change(id, func(m *member) error {
 		m.vm.State = platformapi.StateLeaving
@@ -38,16 +40,18 @@
 	})
 }
 
-// Unpublish takes an upstream off the list; it goes on running.
+// Unpublish removes an upstream from the published list of VMs; it continues to run.
+// The error is an *UnknownUpstreamError.
 func (f *Fleet) Unpublish(id string) error {
 	return f.change(id, func(m *member) error {
-		m.gone = true
+		m.unpublished = true
 		f.publish()
 		return nil
 	})
 }
 
-// change calls do with a member under the lock.
+// change calls do with a member while it holds the lock. It returns the error of do,
+// or an *UnknownUpstreamError.
 func (f *Fleet) change(id string, do func(*member) error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -11,43 +11,43 @@
 	"mimosaarch.example/standin/platform"
 )
 
-// UnknownUpstreamError tells that a set has no engine or plain upstream of a name.
+// UnknownUpstreamError reports an ID that no engine or plain upstream of the fleet
+// has.
 type UnknownUpstreamError struct{ ID string }
 
 // Error implements error.
 func (e *UnknownUpstreamError) Error() string { return fmt.Sprintf("no upstream %q", e.ID) }
 
-// Fleet is a running set of stand-ins. All methods may be called from any
-// goroutine.
+// Fleet is a running set of stand-ins. It is safe for concurrent use.
 type Fleet struct {
 	Platform *platform.Platform
 
 	mu      sync.Mutex
 	members []*member
 	byID    map[string]*member
-	extra   []platformapi.VM
+	extra   []platformapi.VM // VMs published in addition to the members
 }
 
-// member is one upstream with its VM. One of engine and plain is set.
+// member is one upstream with its VM. After start, either engine or plain is set.
 type member struct {
 	vm         platformapi.VM
 	engineSpec engine.Config
 	plainSpec  plain.Config
 	engine     *engine.Engine
 	plain      *plain.Plain
-	// gone marks one that was taken off the list.
-	gone bool
+	// unpublished means that the VM is left out of the published list.
+	unpublished bool
 }
 
-// Start starts the set and publishes its VMs. The error tells that an address
-// could not be listened on; nothing is left running then.
+// Start starts the stand-ins and publishes their VMs. The error is an
+// *httpd.ListenError; the stand-ins already started are closed then.
 func Start(cfg Config) (*Fleet, error) {
 	p, err := platform.Start(cfg.Platform)
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{Platform: p, byID: make(map[string]*member)}
-	for _, m := range describe(cfg) {
+	for _, m := range newMembers(cfg) {
 		if err := m.start(); err != nil {
 			f.Close()
 			return nil, err
@@ -59,8 +59,8 @@
 	return f, nil
 }
 
-// describe lists the members of a set, none started.
-func describe(cfg Config) []*member {
+// newMembers returns the members of a fleet, with defaults filled in and none started.
+func newMembers(cfg Config) []*member {
 	modelService := cmp.Or(cfg.ModelService, ModelService)
 	plainService := cmp.Or(cfg.PlainService, PlainService)
 	out := make([]*member, 0, len(cfg.Engines)+len(cfg.Plains))
@@ -87,12 +87,12 @@
 	return out
 }
 
-// newVM makes the entry of a live VM, still without its address.
+// newVM returns the published entry of a live VM, without an address.
 func newVM(id, zone, role, service string) platformapi.VM {
 	return platformapi.VM{ID: id, Zone: zone, Role: role, State: platformapi.StateLive, Service: service}
 }
 
-// start starts the member's stand-in.
+// start starts the member's stand-in and sets the address of its VM.
 func (m *member) start() error {
 	if m.vm.Role == platformapi.RolePlain {
 		s, err := plain.Start(m.plainSpec)
@@ -122,8 +122,8 @@
 	}
 }
 
-// Publish lists the set's VMs, and besides them the extra ones (entry VMs),
-// which take the place of those of the last call.
+// Publish publishes the fleet's own VMs and the extra ones, such as entry VMs. The
+// extra ones replace those of the previous call.
 func (f *Fleet) Publish(extra ...platformapi.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,30 +131,30 @@
 	f.publish()
 }
 
-// publish lists the VMs. The caller holds the lock.
+// publish replaces the platform's list of VMs. The caller holds the lock.
 func (f *Fleet) publish() {
-	f.Platform.SetVMs(platform.VMsControl{VMs: append(f.list(), f.extra...)})
+	f.Platform.SetVMs(platform.VMsControl{VMs: append(f.ownVMs(), f.extra...)})
 }
 
-// list gives the set's own VMs. The caller holds the lock.
-func (f *Fleet) list() []platformapi.VM {
+// ownVMs returns the VMs of the published members. The caller holds the lock.
+func (f *Fleet) ownVMs() []platformapi.VM {
 	out := make([]platformapi.VM, 0, len(f.members)+len(f.extra))
 	for _, m := range f.members {
-		if !m.gone {
+		if !m.unpublished {
 			out = append(out, m.vm)
 		}
 	}
 	return out
 }
 
-// VMs lists the set's own VMs, without the extra ones.
+// VMs returns the fleet's own published VMs, without the extra ones.
 func (f *Fleet) VMs() []platformapi.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.list()
+	return f.ownVMs()
 }
 
-// Engine gives an engine by its ID, nil when there is none.
+// Engine returns the engine with an ID, or nil. Restart replaces it by a new one.
 func (f *Fleet) Engine(id string) *engine.Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -165,7 +165,7 @@
 	return m.engine
 }
 
-// Engines lists the engines in the order of the Config.
+// Engines returns the engines in the order of the Config.
 func (f *Fleet) Engines() []*engine.Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,7 +178,8 @@
 	return out
 }
 
-// Plain gives a plain upstream by its ID, nil when there is none.
+// Plain returns the plain upstream with an ID, or nil. Restart replaces it by a new
+// one.
 func (f *Fleet) Plain(id string) *plain.Plain {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,7 +190,7 @@
 	return m.plain
 }
 
-// Plains lists the plain upstreams in the order of the Config.
+// Plains returns the plain upstreams in the order of the Config.
 func (f *Fleet) Plains() []*plain.Plain {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,7 +203,7 @@
 	return out
 }
 
-// Close stops everything.
+// Close stops all upstreams and the platform.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"mimosaarch.example/standin/engine"
 )
 
-// start starts a set that is closed with the test.
+// start starts a fleet and closes it at the end of the test.
 func start(t testing.TB, cfg Config) *Fleet {
 	t.Helper()
 	f, err := Start(cfg)
@@ -26,8 +26,8 @@
 	return f
 }
 
-// chainOf makes a chain of engines of a set.
-func chainOf(f *Fleet, cfg Config, ids ...string) []engineapi.Stage {
+// newChain returns the chain of the engines with the given IDs.
+func newChain(f *Fleet, cfg Config, ids ...string) []engineapi.Stage {
 	var chain []engineapi.Stage
 	for _, id := range ids {
 		for _, spec := range cfg.Engines {
@@ -41,8 +41,9 @@
 	return chain
 }
 
-// ask runs a request of n tokens and gives the end marker, nil without one.
-func ask(client *fasthttp.Client, request string, n int, chain []engineapi.Stage) *engineapi.Done {
+// runRequest runs a request for n tokens and returns the done event of its stream, or
+// nil if there was none.
+func runRequest(client *fasthttp.Client, request string, n int, chain []engineapi.Stage) *engineapi.Done {
 	body, _ := json.Marshal(engineapi.ChatRequest{
 		Model:     ModelService,
 		Messages:  []engineapi.Message{{Role: "user", Content: request}},
@@ -71,8 +72,8 @@
 	return done
 }
 
-// listed reads the published VMs over HTTP, by ID.
-func listed(t *testing.T, f *Fleet) map[string]platformapi.VM {
+// publishedVMs reads the list of VMs over HTTP and returns it by ID.
+func publishedVMs(t *testing.T, f *Fleet) map[string]platformapi.VM {
 	t.Helper()
 	var list platformapi.VMList
 	if err := control.Get(f.Platform.Addr(), platformapi.VMsPath, &list); err != nil {
@@ -91,8 +92,8 @@
 	client := &fasthttp.Client{StreamResponseBody: true}
 	for _, zone := range zoneNames {
 		// Chains may cross zones.
-		chain := chainOf(f, cfg, "head-"+zone+"-0", "mid-szeged-b-0", "tail-"+zone+"-0")
-		if done := ask(client, zone, 10, chain); done == nil || done.Tokens != 10 {
+		chain := newChain(f, cfg, "head-"+zone+"-0", "mid-szeged-b-0", "tail-"+zone+"-0")
+		if done := runRequest(client, zone, 10, chain); done == nil || done.Tokens != 10 {
 			t.Errorf("%s: %+v", zone, done)
 		}
 		if f.Plain("booking-"+zone) == nil {
@@ -100,7 +101,7 @@
 		}
 	}
 	f.Publish(platformapi.VM{ID: "entry-1", Role: platformapi.RoleEntry})
-	vms := listed(t, f)
+	vms := publishedVMs(t, f)
 	if len(vms) != 9+3+1 || len(f.VMs()) != 9+3 {
 		t.Errorf("%d VMs listed, %d own", len(vms), len(f.VMs()))
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-func TestChanges(t *testing.T) {
+func TestKillRestartAndUnpublish(t *testing.T) {
 	cfg := Small()
 	f := start(t, cfg)
 	const id = "head-szeged-a-0"
@@ -122,18 +123,18 @@
 	if err := errors.Join(f.MarkLeaving(id), f.Kill(id), f.Unpublish("booking-szeged-a")); err != nil {
 		t.Fatal(err)
 	}
-	vms := listed(t, f)
+	vms := publishedVMs(t, f)
 	if _, ok := vms["booking-szeged-a"]; ok || vms[id].State != platformapi.StateLeaving {
 		t.Errorf("listed %+v", vms)
 	}
 	if err := control.Get(before.Addr(), engineapi.LoadPath, nil); err == nil {
-		t.Error("a killed engine answers")
+		t.Error("a killed engine still answers")
 	}
 	if err := f.Restart(id); err != nil {
 		t.Fatal(err)
 	}
 	after := f.Engine(id)
-	if after.Addr() != before.Addr() || after.Epoch() == before.Epoch() || listed(t, f)[id].State != platformapi.StateLive {
+	if after.Addr() != before.Addr() || after.Epoch() == before.Epoch() || publishedVMs(t, f)[id].State != platformapi.StateLive {
 		t.Errorf("restarted at %s, epoch %s", after.Addr(), after.Epoch())
 	}
 	if err := control.Get(after.Addr(), engineapi.LoadPath, nil); err != nil {
