--- a/standin/internal/cmd/cmd.go
+++ b/standin/internal/cmd/cmd.go
@@ -1,5 +1,5 @@
-// Package cmd holds what the stand-ins' commands share: reading flags, and
-// running until a signal asks to stop.
+// Package cmd holds what the commands of the stand-ins share: parsing of flags,
+// writing of address files, and running until a signal.
 package cmd
 
 import (
@@ -12,18 +12,19 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes of the commands.
+// Exit codes of the commands: ExitFail after a failed start, ExitUsage after wrong
+// arguments.
 const (
 	ExitOK    = 0
 	ExitFail  = 1
 	ExitUsage = 2
 )
 
-// addrFileMode is the mode of the files that receive addresses.
+// addrFileMode is the permission bits of address files.
 const addrFileMode = 0o644
 
-// Parse reads args into options, a pointer to a struct with flag tags. When
-// ok is false the command ends with code.
+// Parse parses args into options, a pointer to a struct with flag tags. If ok is
+// false, it has printed help or an error, and the command must exit with code.
 func Parse(name string, options any, args []string) (code int, ok bool) {
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", options); err != nil {
@@ -46,14 +47,14 @@
 	return ExitOK, true
 }
 
-// Fail prints an error and gives the exit code of a command that could not
-// start.
+// Fail prints an error to standard error and returns ExitFail.
 func Fail(name string, err error) int {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 	return ExitFail
 }
 
-// WriteAddr writes an address to a file; an empty name does nothing.
+// WriteAddr writes an address to a file, without a newline. With an empty file name it
+// does nothing.
 func WriteAddr(file, addr string) error {
 	if file == "" {
 		return nil
@@ -61,19 +62,19 @@
 	return os.WriteFile(file, []byte(addr), addrFileMode)
 }
 
-// Server is a running stand-in.
+// Server is a running stand-in. Addr returns its listen address.
 type Server interface {
 	Addr() string
 	Close()
 }
 
-// AddrFile receives an address; an empty name stands for none.
+// AddrFile is a file to write an address to; an empty Name means none.
 type AddrFile struct{ Name, Addr string }
 
-// Main runs a stand-in as a command until SIGTERM and gives its exit code. It
-// reads args, those after the program's name, into options, a pointer to a
-// struct with flag tags, before it calls start; files lists where the running
-// stand-in's addresses are to be written.
+// Main runs a stand-in as a command until SIGTERM or SIGINT and returns its exit code.
+// It parses args, the arguments after the program name, into options, a pointer to a
+// struct with flag tags, and then calls start. files returns the address files to
+// write for the running stand-in.
 func Main[S Server](name string, options any, args []string, start func() (S, error), files func(S) []AddrFile) int {
 	if code, ok := Parse(name, options, args); !ok {
 		return code
@@ -91,8 +92,8 @@
 	return Run(s.Addr(), s.Close)
 }
 
-// Run prints the address listened on, waits for SIGTERM or SIGINT, and then
-// calls stop.
+// Run prints the listen address to standard output, waits for SIGTERM or SIGINT, calls
+// stop and returns ExitOK.
 func Run(addr string, stop func()) int {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
