--- a/standin/internal/httpd/server.go
+++ b/standin/internal/httpd/server.go
@@ -1,5 +1,5 @@
-// Package httpd runs the HTTP server shared by the stand-ins: one listener
-// whose open connections can all be closed at once, as a dying process would.
+// Package httpd is the HTTP server of the stand-ins. It can close its listener and all
+// open connections at once, like a killed process.
 package httpd
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// AnyPort is the address listened on when none is given.
+// AnyPort is the default listen address: a free port on the loopback interface.
 const AnyPort = "127.0.0.1:0"
 
-// maxBody bounds a request's body, in bytes.
-const maxBody = 8 << 20
+// maxBodyBytes limits the body of a request, in bytes.
+const maxBodyBytes = 8 << 20
 
-// ListenError tells that an address could not be listened on.
+// ListenError reports that opening a listener on address Listen failed with Err.
 type ListenError struct {
 	Listen string
 	Err    error
@@ -24,23 +24,23 @@
 // Error implements error.
 func (e *ListenError) Error() string { return "listen on " + e.Listen + ": " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns Err.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Server is one running HTTP server. All methods may be called from any
-// goroutine.
+// Server is an HTTP server. It is safe for concurrent use.
 type Server struct {
-	ln     net.Listener
-	done   chan struct{}
-	served chan struct{}
+	ln        net.Listener
+	done      chan struct{}
+	serveDone chan struct{}
 
 	mu     sync.Mutex
 	closed bool
 	conns  map[*conn]struct{}
 }
 
-// Listen listens on an address (empty means AnyPort). Nothing is answered
-// until Serve, which must follow. The error is a *ListenError.
+// Listen opens a listener on a TCP address; empty means AnyPort. The caller must then
+// call Serve, which starts to answer calls and without which Close blocks. The error is
+// a *ListenError.
 func Listen(listen string) (*Server, error) {
 	if listen == "" {
 		listen = AnyPort
@@ -50,36 +50,36 @@
 		return nil, &ListenError{Listen: listen, Err: err}
 	}
 	return &Server{
-		ln:     ln,
-		done:   make(chan struct{}),
-		served: make(chan struct{}),
-		conns:  make(map[*conn]struct{}),
+		ln:        ln,
+		done:      make(chan struct{}),
+		serveDone: make(chan struct{}),
+		conns:     make(map[*conn]struct{}),
 	}, nil
 }
 
-// Serve answers calls with handler, on goroutines of its own, until Close. It
-// is called once.
+// Serve starts to answer calls with handler, on its own goroutines, until Close. It
+// must be called once.
 func (s *Server) Serve(handler fasthttp.RequestHandler) {
 	srv := &fasthttp.Server{
 		Handler:            handler,
-		MaxRequestBodySize: maxBody,
-		Logger:             silent{},
+		MaxRequestBodySize: maxBodyBytes,
+		Logger:             discardLogger{},
 	}
 	go func() {
-		defer close(s.served)
+		defer close(s.serveDone)
 		_ = srv.Serve((*listener)(s))
 	}()
 }
 
-// Addr is the address listened on, with its port.
+// Addr returns the listen address, with its actual port.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Done is closed once Close has closed the connections. Handlers that wait
-// must watch it.
+// Done returns a channel that is closed once Close has closed the connections.
+// Handlers that block must watch it.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Close stops listening and closes every connection without a farewell. It
-// may be called more than once, and from a handler.
+// Close closes the listener and every connection, without a last response. It may be
+// called more than once, and from a handler.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if s.closed {
@@ -97,10 +97,10 @@
 		_ = c.Close()
 	}
 	close(s.done)
-	<-s.served
+	<-s.serveDone
 }
 
-// listener is the Server seen as a net.Listener that tracks connections.
+// listener is the Server as a net.Listener that tracks the accepted connections.
 type listener Server
 
 // Accept implements net.Listener.
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, owner: (*Server)(l)}
+	c := &conn{Conn: raw, server: (*Server)(l)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -126,23 +126,23 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return l.ln.Addr() }
 
-// conn is one tracked connection.
+// conn is a connection that removes itself from its Server on Close.
 type conn struct {
 	net.Conn
-	owner *Server
+	server *Server
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.owner.mu.Lock()
-	delete(c.owner.conns, c)
-	c.owner.mu.Unlock()
+	c.server.mu.Lock()
+	delete(c.server.conns, c)
+	c.server.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// silent is a logger that drops everything: cut connections are a stand-in's
-// ordinary business.
-type silent struct{}
+// discardLogger discards all messages. The stand-ins cut connections on purpose, so
+// the errors of the server would be noise.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/standin/internal/httpd/server_test.go
+++ b/standin/internal/httpd/server_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestCloseCutsKeptConnections(t *testing.T) {
+func TestCloseCutsOpenConnections(t *testing.T) {
 	s, err := Listen("")
 	if err != nil {
 		t.Fatal(err)
@@ -19,21 +19,21 @@
 		t.Fatal(err)
 	}
 	r := bufio.NewReader(c)
-	ask := func() error {
+	roundTrip := func() error {
 		if _, err := c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 			return err
 		}
 		return (&fasthttp.Response{}).Read(r)
 	}
-	if err := ask(); err != nil {
+	if err := roundTrip(); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	s.Close()
-	if err := ask(); err == nil {
-		t.Error("a kept connection still works")
+	if err := roundTrip(); err == nil {
+		t.Error("an open connection still works")
 	}
 	if _, err := net.Dial("tcp4", s.Addr()); err == nil {
-		t.Error("new connections are still taken")
+		t.Error("new connections are still accepted")
 	}
 }
