--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -9,25 +9,26 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// Paths of the control calls.
+// Paths of the control API.
 const (
 	ControlPath = "/control"
 	StatsPath   = "/control/stats"
 )
 
-// Stats counts the connections.
+// Stats counts the connections of a relay.
 type Stats struct {
-	// Accepted connections since the start, and those Open at present.
+	// Accepted counts the connections accepted since the start, Open those that are
+	// relayed at present.
 	Accepted int `json:"accepted"`
 	Open     int `json:"open"`
 }
 
-// Relay is one running stand-in. All methods may be called from any goroutine.
+// Relay is a running TCP relay. It is safe for concurrent use.
 type Relay struct {
 	target string
 	addr   string
 	server *httpd.Server
-	gate   *gate
+	faults *faults
 
 	mu       sync.Mutex
 	closed   bool
@@ -36,7 +37,7 @@
 	accepted int
 }
 
-// Start starts a relay. The error tells that an address could not be listened on.
+// Start starts a relay. The error is an *httpd.ListenError.
 func Start(cfg Config) (*Relay, error) {
 	server, err := httpd.Listen(cfg.Control)
 	if err != nil {
@@ -46,7 +47,7 @@
 		target: cfg.Target,
 		addr:   cfg.Listen,
 		server: server,
-		gate:   newGate(),
+		faults: newFaults(),
 		pairs:  make(map[*pair]struct{}),
 	}
 	if r.addr == "" {
@@ -60,14 +61,15 @@
 	return r, nil
 }
 
-// Addr is the address relayed from.
+// Addr returns the address that accepts the relayed connections, with its actual
+// port.
 func (r *Relay) Addr() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addr
 }
 
-// ControlAddr is the address of the control calls.
+// ControlAddr returns the address of the control API.
 func (r *Relay) ControlAddr() string { return r.server.Addr() }
 
 // Close stops the relay and resets its connections.
@@ -80,20 +82,20 @@
 	r.server.Close()
 }
 
-// Stats gives the counts so far.
+// Stats returns the current counts.
 func (r *Relay) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Stats{Accepted: r.accepted, Open: len(r.pairs)}
 }
 
-// Control changes how bytes are carried. The error tells that the mode is
-// unknown, or that the address could not be listened on again.
+// Control sets the mode. The error is an *UnknownModeError, with which nothing
+// changes, or an *httpd.ListenError if the relay cannot listen again after ModeRefuse.
 func (r *Relay) Control(c Control) error {
 	if !c.valid() {
 		return &UnknownModeError{Mode: c.Mode}
 	}
-	r.gate.set(c)
+	r.faults.set(c)
 	switch c.Mode {
 	case ModeCut:
 		r.resetAll()
@@ -109,7 +111,8 @@
 	return r.listen()
 }
 
-// listen starts to accept; it does nothing while a listener is open.
+// listen opens the listener and starts to accept connections. It does nothing if the
+// listener is already open or the relay is closed.
 func (r *Relay) listen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,21 +140,22 @@
 	r.ln = nil
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts and relays connections until the listener is closed.
 func (r *Relay) accept(ln net.Listener) {
 	for {
 		caller, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(caller.(*net.TCPConn))
+		go r.relay(caller.(*net.TCPConn))
 	}
 }
 
-// carry joins a caller's connection to the target until either ends.
-func (r *Relay) carry(caller *net.TCPConn) {
-	p := newPair(caller, r.gate)
-	if !r.add(p) || r.gate.mode() == ModeCut {
+// relay connects to the target and relays a caller's connection until both directions
+// end. In ModeCut, and if the target cannot be reached, it resets the connection.
+func (r *Relay) relay(caller *net.TCPConn) {
+	p := newPair(caller, r.faults)
+	if !r.add(p) || r.faults.mode() == ModeCut {
 		p.reset()
 		r.remove(p)
 		return
@@ -165,7 +169,8 @@
 	p.run(target.(*net.TCPConn))
 }
 
-// add notes an open pair; false when the relay is closed.
+// add counts an accepted connection and registers its pair. It returns false if the
+// relay is closed.
 func (r *Relay) add(p *pair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,15 +182,15 @@
 	return true
 }
 
-// remove forgets a pair.
+// remove deregisters a pair.
 func (r *Relay) remove(p *pair) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.pairs, p)
 }
 
-// open lists the open pairs.
-func (r *Relay) open() []*pair {
+// openPairs returns the registered pairs.
+func (r *Relay) openPairs() []*pair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]*pair, 0, len(r.pairs))
@@ -195,21 +200,21 @@
 	return out
 }
 
-// resetAll resets the open connections on both ends.
+// resetAll resets all open connections, on the side of the caller and of the target.
 func (r *Relay) resetAll() {
-	for _, p := range r.open() {
+	for _, p := range r.openPairs() {
 		p.reset()
 	}
 }
 
-// silenceAll silences the open connections for good.
+// silenceAll permanently silences all open connections.
 func (r *Relay) silenceAll() {
-	for _, p := range r.open() {
+	for _, p := range r.openPairs() {
 		p.silence()
 	}
 }
 
-// handle answers one control call.
+// handle serves the control API.
 func (r *Relay) handle(ctx *fasthttp.RequestCtx) {
 	switch path := string(ctx.Path()); {
 	case path == ControlPath && ctx.IsPost():
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -10,7 +10,7 @@
 	"mimosaarch.example/standin/control"
 )
 
-// startEcho starts a relay to a service that sends back what it receives.
+// startEcho starts a relay whose target echoes what it receives.
 func startEcho(t *testing.T) *Relay {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -38,7 +38,7 @@
 	return r
 }
 
-// dial opens a connection through the relay and makes sure that it works.
+// dial opens a connection through the relay and checks that it echoes.
 func dial(t *testing.T, r *Relay) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", r.Addr())
@@ -52,19 +52,19 @@
 	return c
 }
 
-// exchange sends text and reads as much back; empty when that fails.
+// exchange sends text and returns the echo, or the empty string if that fails.
 func exchange(c net.Conn, text string) string {
 	if _, err := c.Write([]byte(text)); err != nil {
 		return ""
 	}
-	back := make([]byte, len(text))
-	if _, err := io.ReadFull(c, back); err != nil {
+	reply := make([]byte, len(text))
+	if _, err := io.ReadFull(c, reply); err != nil {
 		return ""
 	}
-	return string(back)
+	return string(reply)
 }
 
-// reading reads one byte in the background.
+// reading reads one byte in the background and delivers the error of the read.
 func reading(c net.Conn) <-chan error {
 	out := make(chan error, 1)
 	go func() {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// set changes the mode over HTTP.
+// set sets the mode over HTTP.
 func set(t *testing.T, r *Relay, c Control) {
 	t.Helper()
 	if err := control.Post(r.ControlAddr(), c); err != nil {
@@ -165,37 +165,37 @@
 	}
 	set(t, r, Control{Mode: ModeOpen})
 	if err := <-answer; err != nil {
-		t.Errorf("after the silence: %v", err)
+		t.Errorf("after the mode silence: %v", err)
 	}
 	if err := <-later; err != nil {
-		t.Errorf("new connection after the silence: %v", err)
+		t.Errorf("new connection after the mode silence: %v", err)
 	}
 }
 
-func TestSilenceGate(t *testing.T) {
-	g := newGate()
+func TestSilenceHoldsBackBytes(t *testing.T) {
+	f := newFaults()
 	stop := make(chan struct{})
-	if !g.pass(there, stop) {
-		t.Error("an open gate does not pass")
+	if !f.waitWhileSilenced(toTarget, stop) {
+		t.Error("mode open holds back bytes")
 	}
-	g.set(Control{Mode: ModeSilence})
+	f.set(Control{Mode: ModeSilence})
 	close(stop)
-	if g.pass(there, stop) {
-		t.Error("a silent gate passes")
+	if f.waitWhileSilenced(toTarget, stop) {
+		t.Error("mode silence lets bytes pass")
 	}
 }
 
-func TestOneWaySilence(t *testing.T) {
-	for mode, held := range map[Mode]way{ModeSilenceThere: there, ModeSilenceBack: back} {
-		g := newGate()
+func TestOneWaySilenceHoldsBackOneDirection(t *testing.T) {
+	for mode, held := range map[Mode]direction{ModeSilenceThere: toTarget, ModeSilenceBack: fromTarget} {
+		f := newFaults()
 		stop := make(chan struct{})
 		close(stop)
-		g.set(Control{Mode: mode})
-		if g.pass(held, stop) {
-			t.Errorf("%s passes the way that it holds back", mode)
+		f.set(Control{Mode: mode})
+		if f.waitWhileSilenced(held, stop) {
+			t.Errorf("%s lets bytes pass in the direction that it holds back", mode)
 		}
-		if !g.pass(there+back-held, stop) {
-			t.Errorf("%s holds back the other way", mode)
+		if !f.waitWhileSilenced(toTarget+fromTarget-held, stop) {
+			t.Errorf("%s holds back bytes in the other direction", mode)
 		}
 	}
 }
@@ -225,28 +225,28 @@
 	}
 }
 
-func TestSlow(t *testing.T) {
-	g := newGate()
-	if delay, occupy := g.pace(1000); delay != 0 || occupy != 0 {
-		t.Errorf("open: %v, %v", delay, occupy)
+func TestSlowDelaysAndLimitsRate(t *testing.T) {
+	f := newFaults()
+	if delay, transmission := f.pace(1000); delay != 0 || transmission != 0 {
+		t.Errorf("open: %v, %v", delay, transmission)
 	}
-	g.set(Control{Mode: ModeSlow, DelayMs: 30, BytesPerSecond: 10000})
-	delay, occupy := g.pace(1000)
-	if delay != 30*time.Millisecond || occupy != 100*time.Millisecond {
-		t.Errorf("slow: %v, %v", delay, occupy)
+	f.set(Control{Mode: ModeSlow, DelayMs: 30, BytesPerSecond: 10000})
+	delay, transmission := f.pace(1000)
+	if delay != 30*time.Millisecond || transmission != 100*time.Millisecond {
+		t.Errorf("slow: %v, %v", delay, transmission)
 	}
 	r := startEcho(t)
 	from, err := net.Dial("tcp4", r.target)
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := make(chan chunk, 1)
-	go newPair(nil, g).read(from.(*net.TCPConn), line)
+	chunks := make(chan chunk, 1)
+	go newPair(nil, f).read(from.(*net.TCPConn), chunks)
 	before := time.Now()
 	if _, err := from.Write(make([]byte, 100)); err != nil {
 		t.Fatal(err)
 	}
-	if c := <-line; c.due.Before(before.Add(delay)) {
+	if c := <-chunks; c.due.Before(before.Add(delay)) {
 		t.Errorf("bytes are due %v after they were sent", c.due.Sub(before))
 	}
 	_ = from.Close()
--- a/standin/link/main.go
+++ b/standin/link/main.go
@@ -2,8 +2,8 @@
 
 import "mimosaarch.example/standin/internal/cmd"
 
-// Main runs a relay as a command until SIGTERM; args are those after the
-// program's name.
+// Main runs a relay as a command until SIGTERM or SIGINT and returns the exit code.
+// args are the arguments after the program name.
 func Main(args []string) int {
 	var cfg Config
 	start := func() (*Relay, error) { return Start(cfg) }
--- a/standin/link/pair.go
+++ b/standin/link/pair.go
@@ -6,40 +6,43 @@
 	"time"
 )
 
-// Sizes of a direction's buffer: chunks in flight and bytes in each.
+// Size of the buffer of one direction: the number of chunks and the bytes in each.
 const (
 	chunksInFlight = 256
 	chunkBytes     = 16 << 10
 )
 
-// chunk is bytes to be written at a time. A nil data ends the direction.
+// chunk holds bytes that may be written from time due. A nil data marks the end of
+// the direction.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pair is one caller's connection joined to one at the target.
+// pair is a caller's connection and the connection to the target that it is relayed
+// to.
 type pair struct {
-	gate *gate
-	// stop is closed by reset, silent by silence.
-	stop, silent         chan struct{}
-	stopOnce, silentOnce sync.Once
-	mu                   sync.Mutex
-	conns                []*net.TCPConn
-	ended                bool
+	faults *faults
+	// stop is closed by reset, silenced by silence.
+	stop, silenced        chan struct{}
+	stopOnce, silenceOnce sync.Once
+	mu                    sync.Mutex
+	conns                 []*net.TCPConn
+	ended                 bool // set by reset
 }
 
-// newPair starts with the caller's side.
-func newPair(caller *net.TCPConn, g *gate) *pair {
+// newPair returns a pair that has only the caller's connection so far.
+func newPair(caller *net.TCPConn, f *faults) *pair {
 	return &pair{
-		gate:   g,
-		stop:   make(chan struct{}),
-		silent: make(chan struct{}),
-		conns:  []*net.TCPConn{caller},
+		faults:   f,
+		stop:     make(chan struct{}),
+		silenced: make(chan struct{}),
+		conns:    []*net.TCPConn{caller},
 	}
 }
 
-// run carries bytes both ways until both directions ended or reset.
+// run relays bytes between the caller and target until both directions have ended or
+// the pair is reset.
 func (p *pair) run(target *net.TCPConn) {
 	p.mu.Lock()
 	caller := p.conns[0]
@@ -51,41 +54,42 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.direction(there, caller, target) })
-	both.Go(func() { p.direction(back, target, caller) })
+	both.Go(func() { p.copyBytes(toTarget, caller, target) })
+	both.Go(func() { p.copyBytes(fromTarget, target, caller) })
 	both.Wait()
 	_ = caller.Close()
 	_ = target.Close()
 }
 
-// direction carries bytes one way until the source ends.
-func (p *pair) direction(w way, from, to *net.TCPConn) {
-	line := make(chan chunk, chunksInFlight)
+// copyBytes relays one direction until the end of its source or a reset.
+func (p *pair) copyBytes(d direction, from, to *net.TCPConn) {
+	chunks := make(chan chunk, chunksInFlight)
 	var reader sync.WaitGroup
-	reader.Go(func() { p.read(from, line) })
-	p.write(w, to, line)
+	reader.Go(func() { p.read(from, chunks) })
+	p.write(d, to, chunks)
 	reader.Wait()
 }
 
-// read puts what arrives on the line; it always closes the line.
-func (p *pair) read(from *net.TCPConn, line chan<- chunk) {
-	defer close(line)
-	var free time.Time
+// read reads from a connection and sends the bytes to chunks, with the time at which
+// each chunk is due. It closes chunks when it returns.
+func (p *pair) read(from *net.TCPConn, chunks chan<- chunk) {
+	defer close(chunks)
+	var freeAt time.Time
 	for {
 		data := make([]byte, chunkBytes)
 		n, err := from.Read(data)
 		now := time.Now()
-		delay, occupy := p.gate.pace(n)
-		if free.Before(now) {
-			free = now
+		delay, transmission := p.faults.pace(n)
+		if freeAt.Before(now) {
+			freeAt = now
 		}
-		free = free.Add(occupy)
-		c := chunk{data: data[:n], due: free.Add(delay)}
+		freeAt = freeAt.Add(transmission)
+		c := chunk{data: data[:n], due: freeAt.Add(delay)}
 		if err != nil {
 			c.data = nil
 		}
 		select {
-		case line <- c:
+		case chunks <- c:
 		case <-p.stop:
 			return
 		}
@@ -95,11 +99,11 @@
 	}
 }
 
-// write writes the line's chunks when due, and passes the source's end on. A
-// failed write resets the pair.
-func (p *pair) write(w way, to *net.TCPConn, line <-chan chunk) {
-	for c := range line {
-		if !p.ready(w, c.due) {
+// write writes each chunk when it is due and forwards the end of the source. A failed
+// write resets the pair.
+func (p *pair) write(d direction, to *net.TCPConn, chunks <-chan chunk) {
+	for c := range chunks {
+		if !p.waitUntilDue(d, c.due) {
 			return
 		}
 		if c.data == nil {
@@ -113,8 +117,9 @@
 	}
 }
 
-// ready waits until bytes due at a time may be written a way; false after reset.
-func (p *pair) ready(w way, due time.Time) bool {
+// waitUntilDue blocks until bytes due at a time may be written in a direction. It
+// returns false after a reset; for a silenced pair it blocks until then.
+func (p *pair) waitUntilDue(d direction, due time.Time) bool {
 	if wait := time.Until(due); wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
@@ -124,11 +129,11 @@
 			return false
 		}
 	}
-	if !p.gate.pass(w, p.stop) {
+	if !p.faults.waitWhileSilenced(d, p.stop) {
 		return false
 	}
 	select {
-	case <-p.silent:
+	case <-p.silenced:
 		<-p.stop
 		return false
 	case <-p.stop:
@@ -138,8 +143,8 @@
 	}
 }
 
-// silence holds back all further bytes, and the ends of both sides, for good.
-func (p *pair) silence() { p.silentOnce.Do(func() { close(p.silent) }) }
+// silence permanently holds back all further bytes and the end of either side.
+func (p *pair) silence() { p.silenceOnce.Do(func() { close(p.silenced) }) }
 
 // reset aborts both connections.
 func (p *pair) reset() {
@@ -152,7 +157,7 @@
 	}
 }
 
-// abort closes a connection with a reset.
+// abort closes a connection with a TCP reset.
 func abort(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
