--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -11,7 +11,7 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// Paths of the service and of its control calls.
+// Paths of the service and of its control API.
 const (
 	BookingsPath = "/bookings"
 	SlotsPath    = "/slots"
@@ -19,46 +19,47 @@
 	RunsPath     = "/control/runs"
 )
 
-// NotStartedHeader, set to "true" on an answer, says that the call was refused
-// before it started.
+// NotStartedHeader is a response header; "true" means that the call was refused before
+// it started, so that it is safe to retry.
 const NotStartedHeader = "Mimosa-Not-Started"
 
-// maxBodies bounds the bodies told apart in Runs; further ones count together
-// under OtherBodies.
+// maxBodies limits the request bodies that Runs counts separately; further ones are
+// counted together under OtherBodies.
 const maxBodies = 1 << 16
 
-// OtherBodies is the key of Runs for bodies beyond the bound.
+// OtherBodies is the key in Runs.Executions for all bodies beyond the limit.
 const OtherBodies = "(others)"
 
-// Receipt answers a booking.
+// Receipt is the response to a booking. Receipt is "ID-n", where ID is that of the
+// upstream and n counts its executed calls.
 type Receipt struct {
 	Receipt  string `json:"receipt"`
 	Upstream string `json:"upstream"`
-	// Executions is how often this body has been executed, this time included.
+	// Executions is how often this body has been executed, including this call.
 	Executions int `json:"executions"`
 }
 
-// Slots answers a call for the timetable.
+// Slots is the response to GET SlotsPath: the times that can be booked.
 type Slots struct {
 	Upstream string   `json:"upstream"`
 	Slots    []string `json:"slots"`
 }
 
-// Echo answers a call of any other path.
+// Echo is the response to a call of any other path.
 type Echo struct {
 	Upstream string `json:"upstream"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
 }
 
-// Runs tells what was executed: calls of each method and, for those with a
-// body, how often each body.
+// Runs counts the executed calls: in Methods by HTTP method and, for those with a
+// body, in Executions by body.
 type Runs struct {
 	Methods    map[string]int `json:"methods"`
 	Executions map[string]int `json:"executions"`
 }
 
-// Plain is one running stand-in. All methods may be called from any goroutine.
+// Plain is a running stand-in for a plain upstream. It is safe for concurrent use.
 type Plain struct {
 	id     string
 	server *httpd.Server
@@ -70,11 +71,10 @@
 	receipts int
 }
 
-// defaultID names the upstream when its settings don't.
+// defaultID is the ID of an upstream without one in its Config.
 const defaultID = "plain"
 
-// Start starts a stand-in. The error tells that the address could not be
-// listened on.
+// Start starts a stand-in. The error is an *httpd.ListenError.
 func Start(cfg Config) (*Plain, error) {
 	server, err := httpd.Listen(cfg.Listen)
 	if err != nil {
@@ -94,23 +94,23 @@
 	return p, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the listen address, with its actual port.
 func (p *Plain) Addr() string { return p.server.Addr() }
 
 // Close stops the stand-in and closes its connections.
 func (p *Plain) Close() { p.server.Close() }
 
-// Control changes how calls are answered; absent fields stay as they are.
+// Control injects or removes faults; absent fields leave their fault unchanged.
 func (p *Plain) Control(c Control) { p.faults.set(c) }
 
-// Runs tells what was executed so far.
+// Runs returns the counts of the calls executed so far.
 func (p *Plain) Runs() Runs {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Runs{Methods: clone(p.methods), Executions: clone(p.bodies)}
 }
 
-// clone copies a map of counts.
+// clone returns a copy of a map of counts, never nil.
 func clone(counts map[string]int) map[string]int {
 	out := make(map[string]int, len(counts))
 	for key, n := range counts {
@@ -119,7 +119,7 @@
 	return out
 }
 
-// handle answers one call.
+// handle routes a call to the control API or to the service.
 func (p *Plain) handle(ctx *fasthttp.RequestCtx) {
 	switch path := string(ctx.Path()); {
 	case path == ControlPath && ctx.IsPost():
@@ -134,10 +134,10 @@
 	}
 }
 
-// serve carries out one call of the service under the faults in force.
+// serve serves one call of the service, subject to the injected faults.
 func (p *Plain) serve(ctx *fasthttp.RequestCtx, path string) {
 	fault := p.faults.next()
-	if fault.slow > 0 && p.wait(time.After(fault.slow), nil) {
+	if fault.delay > 0 && p.wait(time.After(fault.delay), nil) {
 		httpd.Drop(ctx)
 		return
 	}
@@ -167,9 +167,9 @@
 	}
 }
 
-// wait returns when either channel (nil: never) is ready or the stand-in
-// closes; ended tells that it closed.
-func (p *Plain) wait(timer <-chan time.Time, freed <-chan struct{}) (ended bool) {
+// wait blocks until timer or freed is ready, where nil never is, or until the stand-in
+// closes. closed reports the latter.
+func (p *Plain) wait(timer <-chan time.Time, freed <-chan struct{}) (closed bool) {
 	select {
 	case <-timer:
 		return false
@@ -180,7 +180,7 @@
 	}
 }
 
-// execute runs a call and counts it.
+// execute counts a call and answers it.
 func (p *Plain) execute(ctx *fasthttp.RequestCtx, path string) {
 	receipt, executions := p.count(string(ctx.Method()), string(ctx.PostBody()))
 	switch {
@@ -197,11 +197,11 @@
 	}
 }
 
-// timetable is the fixed list of slots.
+// timetable is the list of slots; bookings do not change it.
 var timetable = []string{"17:00", "17:10", "17:20", "17:30"}
 
-// count records an execution and gives its number among all calls and among
-// those with its body.
+// count records an execution. It returns the number of calls executed so far, and of
+// those with the same body; the latter is zero for an empty body.
 func (p *Plain) count(method, body string) (receipt, executions int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,8 +217,8 @@
 	return p.receipts, p.bodies[body]
 }
 
-// Main runs a stand-in as a command until SIGTERM; args are those after the
-// program's name.
+// Main runs a stand-in as a command until SIGTERM or SIGINT and returns the exit code.
+// args are the arguments after the program name.
 func Main(args []string) int {
 	var cfg Config
 	start := func() (*Plain, error) { return Start(cfg) }
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -11,12 +11,12 @@
 	"mimosaarch.example/standin/control"
 )
 
-// client makes one attempt at each call.
+// client does not retry calls.
 var client = &fasthttp.Client{
 	RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 }
 
-// start starts a stand-in that is closed with the test.
+// start starts a stand-in and closes it at the end of the test.
 func start(t *testing.T) *Plain {
 	t.Helper()
 	p, err := Start(Config{ID: "p"})
@@ -27,8 +27,8 @@
 	return p
 }
 
-// book makes one booking; the status is zero when there was no answer.
-func book(p *Plain, body string) (int, *fasthttp.Response) {
+// postBooking makes one booking. The status is zero if there was no response.
+func postBooking(p *Plain, body string) (int, *fasthttp.Response) {
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
 	req.SetRequestURI("http://" + p.Addr() + BookingsPath)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -39,7 +39,7 @@
 	return resp.StatusCode(), resp
 }
 
-// executions asks how often a body was executed.
+// executions returns how often a body was executed, according to the control API.
 func executions(t *testing.T, p *Plain, body string) int {
 	t.Helper()
 	var runs Runs
@@ -51,8 +51,8 @@
 
 func TestBookingGivesAReceipt(t *testing.T) {
 	p := start(t)
-	book(p, "slot 1")
-	status, resp := book(p, "slot 1")
+	postBooking(p, "slot 1")
+	status, resp := postBooking(p, "slot 1")
 	var got Receipt
 	if err := json.Unmarshal(resp.Body(), &got); err != nil || status != fasthttp.StatusCreated {
 		t.Fatalf("status %d, %v", status, err)
@@ -87,17 +87,17 @@
 			if err := control.Post(p.Addr(), tt.control); err != nil {
 				t.Fatal(err)
 			}
-			status, resp := book(p, "slot")
+			status, resp := postBooking(p, "slot")
 			if status != tt.status {
 				t.Errorf("status %d, want %d", status, tt.status)
 			}
 			if tt.name == "refuse" && string(resp.Header.Peek(NotStartedHeader)) != "true" {
-				t.Error("a refusal does not say that nothing was started")
+				t.Error("a refusal lacks the header that nothing was started")
 			}
 			if got := executions(t, p, "slot"); got != tt.executions {
 				t.Errorf("%d executions, want %d", got, tt.executions)
 			}
-			if status, _ := book(p, "slot"); status != fasthttp.StatusCreated {
+			if status, _ := postBooking(p, "slot"); status != fasthttp.StatusCreated {
 				t.Errorf("next call: status %d", status)
 			}
 		})
@@ -111,21 +111,21 @@
 		p.Control(c)
 		hung := make(chan int)
 		go func() {
-			status, _ := book(p, "slot")
+			status, _ := postBooking(p, "slot")
 			hung <- status
 		}()
 		for left := 1; left > 0; {
 			p.faults.mu.Lock()
-			left = p.faults.left[hang] + p.faults.left[hangAfter]
+			left = p.faults.remaining[hang] + p.faults.remaining[hangAfter]
 			p.faults.mu.Unlock()
 			runtime.Gosched()
 		}
-		if status, _ := book(p, "other"); status != fasthttp.StatusCreated {
+		if status, _ := postBooking(p, "other"); status != fasthttp.StatusCreated {
 			t.Errorf("another call: status %d", status)
 		}
 		p.Control(Control{Free: true})
 		if status := <-hung; status != 0 {
-			t.Errorf("hanging call: status %d", status)
+			t.Errorf("freed call: status %d, want no response", status)
 		}
 		if got := executions(t, p, "slot"); got != want {
 			t.Errorf("%d executions, want %d", got, want)
