--- a/standin/platform/fault.go
+++ b/standin/platform/fault.go
@@ -11,31 +11,33 @@
 
 // Modes of the stand-in.
 const (
-	// ModeUp answers.
+	// ModeUp answers calls normally.
 	ModeUp Mode = "up"
-	// ModeDown closes connections without an answer or effect; waiting
-	// watches are cut too.
+	// ModeDown closes the connection of a call without executing it. Without a Count
+	// it also cuts the watches that wait.
 	ModeDown Mode = "down"
-	// ModeSlow answers, and has its effect, after DelayMs.
+	// ModeSlow executes and answers a call after DelayMs.
 	ModeSlow Mode = "slow"
-	// ModeLoseAnswers has its effect, then closes the connection without an
-	// answer. Without a method it concerns writes only.
+	// ModeLoseAnswers executes a call, then closes the connection without a response.
+	// Without a Method it applies only to writes.
 	ModeLoseAnswers Mode = "lose_answers"
-	// ModeHang never answers and has no effect.
+	// ModeHang neither executes nor answers a call; the next Control closes its
+	// connection.
 	ModeHang Mode = "hang"
 )
 
-// Control changes how calls are answered, until the next Control.
+// Control sets the mode of the stand-in until the next Control. DelayMs applies to
+// ModeSlow.
 type Control struct {
 	Mode    Mode  `json:"mode"`
 	DelayMs int64 `json:"delay_ms,omitempty"`
-	// Count, when above zero, is how many calls the mode lasts for.
+	// Count, if above zero, is the number of calls after which ModeUp returns.
 	Count int `json:"count,omitempty"`
-	// Method, when set, narrows the mode to calls of one HTTP method.
+	// Method, if set, limits the mode to calls of one HTTP method.
 	Method string `json:"method,omitempty"`
 }
 
-// valid reports whether the mode is one of those above.
+// valid reports whether the mode is one of the constants.
 func (c Control) valid() bool {
 	switch c.Mode {
 	case ModeUp, ModeDown, ModeSlow, ModeLoseAnswers, ModeHang:
@@ -45,8 +47,8 @@
 	}
 }
 
-// concerns reports whether the control applies to calls of a method.
-func (c Control) concerns(method string) bool {
+// appliesTo reports whether the mode applies to calls of an HTTP method.
+func (c Control) appliesTo(method string) bool {
 	if c.Method != "" {
 		return c.Method == method
 	}
@@ -56,58 +58,60 @@
 	return method == fasthttp.MethodPut || method == fasthttp.MethodDelete
 }
 
-// faults is the mode in force. It is safe for concurrent use.
+// faults holds the current Control. It is safe for concurrent use.
 type faults struct {
 	mu sync.Mutex
-	// counted is whether the control ends after its Count.
-	counted bool
+	// limited means that control ends after control.Count more calls.
+	limited bool
 	control Control
-	// changed is closed at each change, to free hanging calls and cut watches.
+	// changed is closed and replaced by set. It ends hanging calls and makes the
+	// watches check the mode.
 	changed chan struct{}
 }
 
-// newFaults starts with ModeUp.
+// newFaults returns a value with ModeUp.
 func newFaults() *faults {
 	return &faults{control: Control{Mode: ModeUp}, changed: make(chan struct{})}
 }
 
-// set puts a control in force.
+// set replaces the current Control.
 func (f *faults) set(c Control) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.control = c
-	f.counted = c.Count > 0
+	f.limited = c.Count > 0
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// next gives the control for one call, and a channel closed at the next change.
+// next returns the Control for one call with an HTTP method and decrements its count.
+// The channel is closed when set is next called.
 func (f *faults) next(method string) (Control, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.control
-	if !c.concerns(method) {
+	if !c.appliesTo(method) {
 		return Control{Mode: ModeUp}, f.changed
 	}
-	if f.counted {
+	if f.limited {
 		f.control.Count--
 		if f.control.Count == 0 {
 			f.control = Control{Mode: ModeUp}
-			f.counted = false
+			f.limited = false
 		}
 	}
 	return c, f.changed
 }
 
-// down reports whether calls of a method are cut for good at present.
-func (f *faults) down(method string) bool {
+// isDown reports whether ModeDown applies to all further calls of an HTTP method.
+func (f *faults) isDown(method string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.control.Mode == ModeDown && !f.counted && f.control.concerns(method)
+	return f.control.Mode == ModeDown && !f.limited && f.control.appliesTo(method)
 }
 
-// changes gives a channel closed at the next change.
-func (f *faults) changes() <-chan struct{} {
+// changeSignal returns a channel that is closed when set is next called.
+func (f *faults) changeSignal() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
--- a/standin/platform/handler.go
+++ b/standin/platform/handler.go
@@ -11,17 +11,18 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// maxWait bounds a watch.
+// maxWait limits how long a watch waits, whatever its wait_ms asks for.
 const maxWait = 60 * time.Second
 
-// Paths of the control calls.
+// Paths of the control API.
 const (
 	ControlPath    = "/control"
 	VMsControlPath = "/control/vms"
 	StatsPath      = "/control/stats"
 )
 
-// handle answers one call.
+// handle serves one call: the control API always, the protocol subject to the current
+// mode.
 func (p *Platform) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	if strings.HasPrefix(path, ControlPath) {
@@ -41,9 +42,9 @@
 		return
 	case ModeSlow:
 		timer := time.NewTimer(time.Duration(control.DelayMs) * time.Millisecond)
-		ended := p.wait(nil, timer.C)
+		closed := p.wait(nil, timer.C)
 		timer.Stop()
-		if ended {
+		if closed {
 			httpd.Drop(ctx)
 			return
 		}
@@ -56,9 +57,9 @@
 	}
 }
 
-// wait returns when either channel (nil: never) is ready or the stand-in
-// closes; ended tells that it closed.
-func (p *Platform) wait(changed <-chan struct{}, timer <-chan time.Time) (ended bool) {
+// wait blocks until changed or timer is ready, where nil never is, or until the
+// stand-in closes. closed reports the latter.
+func (p *Platform) wait(changed <-chan struct{}, timer <-chan time.Time) (closed bool) {
 	select {
 	case <-changed:
 		return false
@@ -69,7 +70,7 @@
 	}
 }
 
-// serve carries out one call of the protocol.
+// serve executes and answers one call of the protocol of package platformapi.
 func (p *Platform) serve(ctx *fasthttp.RequestCtx, path string) {
 	key, isObject := strings.CutPrefix(path, platformapi.ObjectsPath)
 	switch {
@@ -84,13 +85,13 @@
 		p.serveWatch(ctx)
 	case path == platformapi.VMsPath:
 		p.stats.reads.Add(1)
-		httpd.WriteJSON(ctx, fasthttp.StatusOK, p.vms.after(int64(ctx.QueryArgs().GetUintOrZero("after"))))
+		httpd.WriteJSON(ctx, fasthttp.StatusOK, p.vms.newerThan(int64(ctx.QueryArgs().GetUintOrZero("after"))))
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-// serveObject carries out a call on one object.
+// serveObject executes and answers a call on one object.
 func (p *Platform) serveObject(ctx *fasthttp.RequestCtx, key string) {
 	if ctx.IsGet() {
 		p.stats.reads.Add(1)
@@ -114,7 +115,8 @@
 	}
 }
 
-// servePut writes one object.
+// servePut executes and answers a write of one object. It answers 413 if the value is
+// above platformapi.MaxValueBytes.
 func (p *Platform) servePut(ctx *fasthttp.RequestCtx, key string, ifMatch int64) {
 	p.stats.writes.Add(1)
 	body := ctx.PostBody()
@@ -127,7 +129,7 @@
 	p.answer(ctx, object, res)
 }
 
-// answer gives an object with the status of a result.
+// answer answers with an object and the status for a result, and counts conflicts.
 func (p *Platform) answer(ctx *fasthttp.RequestCtx, object platformapi.Object, res result) {
 	status := fasthttp.StatusOK
 	switch res {
@@ -140,7 +142,8 @@
 	httpd.WriteJSON(ctx, status, object)
 }
 
-// readIfMatch gives the call's condition; when it can't be read it answers 400.
+// readIfMatch returns the version in the If-Match header, or noCondition without one.
+// If the header is invalid, it answers 400 and returns false.
 func readIfMatch(ctx *fasthttp.RequestCtx) (int64, bool) {
 	header := ctx.Request.Header.Peek(platformapi.IfMatch)
 	if len(header) == 0 {
@@ -154,7 +157,8 @@
 	return version, true
 }
 
-// serveWatch waits for changes above a revision.
+// serveWatch answers a watch: it waits for changes above a revision, or drops the
+// connection in an outage.
 func (p *Platform) serveWatch(ctx *fasthttp.RequestCtx) {
 	p.stats.watches.Add(1)
 	args := ctx.QueryArgs()
@@ -173,16 +177,17 @@
 	httpd.WriteJSON(ctx, fasthttp.StatusOK, reply)
 }
 
-// watch gives the changes above a revision, at the latest after wait. cut
-// tells that an outage ended it.
+// watch returns the changes above revision after as soon as there are any, or none
+// after wait. cut reports that ModeDown or the closing of the stand-in ended the
+// watch.
 func (p *Platform) watch(prefix string, after int64, wait time.Duration) (reply platformapi.ListReply, cut bool) {
-	waiter := p.store.addWaiter(prefix)
-	defer p.store.dropWaiter(waiter)
+	watcher := p.store.addWatcher(prefix)
+	defer p.store.removeWatcher(watcher)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		modeChanged := p.faults.changes()
-		if p.faults.down(fasthttp.MethodGet) {
+		modeChanged := p.faults.changeSignal()
+		if p.faults.isDown(fasthttp.MethodGet) {
 			return reply, true
 		}
 		reply = p.store.changes(prefix, after)
@@ -190,7 +195,7 @@
 			return reply, false
 		}
 		select {
-		case <-waiter.changed:
+		case <-watcher.changed:
 		case <-modeChanged:
 		case <-timer.C:
 			return reply, false
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -10,8 +10,7 @@
 	"mimosaarch.example/standin/internal/httpd"
 )
 
-// Platform is one running stand-in. All methods may be called from any
-// goroutine.
+// Platform is a running stand-in for the platform. It is safe for concurrent use.
 type Platform struct {
 	server *httpd.Server
 	store  *store
@@ -20,25 +19,26 @@
 	stats  counters
 }
 
-// Stats counts the calls carried out since the start.
+// Stats counts the calls since the start, without those to the control API. Conflicts
+// counts the writes whose condition did not hold.
 type Stats struct {
 	Reads     int64 `json:"reads"`
 	Writes    int64 `json:"writes"`
 	Watches   int64 `json:"watches"`
 	Conflicts int64 `json:"conflicts"`
-	// Dropped calls had no effect and no answer.
+	// Dropped counts the calls that were neither executed nor answered.
 	Dropped int64 `json:"dropped"`
-	// Lost calls had their effect and no answer.
+	// Lost counts the calls that were executed but not answered.
 	Lost int64 `json:"lost"`
 }
 
-// counters are the live figures of Stats.
+// counters holds the counts of Stats.
 type counters struct {
 	reads, writes, watches, conflicts, dropped, lost atomic.Int64
 }
 
-// Start starts a stand-in. The error tells that the address could not be
-// listened on.
+// Start starts a stand-in with an empty store and an empty list of VMs at revision 1.
+// The error is an *httpd.ListenError.
 func Start(cfg Config) (*Platform, error) {
 	server, err := httpd.Listen(cfg.Listen)
 	if err != nil {
@@ -50,14 +50,13 @@
 	return p, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the listen address, with its actual port.
 func (p *Platform) Addr() string { return p.server.Addr() }
 
-// Close stops the stand-in and closes its connections; what it held is lost.
+// Close stops the stand-in and closes its connections. Its objects are not persisted.
 func (p *Platform) Close() { p.server.Close() }
 
-// Control changes how calls are answered. An unknown mode is ignored and
-// reported false.
+// Control sets the mode. It returns false and changes nothing if the mode is unknown.
 func (p *Platform) Control(c Control) bool {
 	if !c.valid() {
 		return false
@@ -66,26 +65,27 @@
 	return true
 }
 
-// SetVMs replaces the list of VMs; the slice must not be changed afterwards.
+// SetVMs replaces the published list of VMs after the lag of c. The caller must not
+// modify c.VMs afterwards.
 func (p *Platform) SetVMs(c VMsControl) { p.vms.set(c) }
 
-// VMs gives the list of VMs in force.
+// VMs returns the published list of VMs.
 func (p *Platform) VMs() platformapi.VMList { return p.vms.get() }
 
-// Object gives an object, past any mode; false when there is none.
+// Object returns an object regardless of the mode, and false if it does not exist.
 func (p *Platform) Object(key string) (platformapi.Object, bool) {
 	object, res := p.store.get(key)
-	return object, res == found
+	return object, res == succeeded
 }
 
-// Put writes an object without a condition, past any mode, and gives its
-// version. The value must not be changed afterwards.
+// Put writes an object unconditionally, regardless of the mode, and returns its
+// version. The caller must not modify value afterwards.
 func (p *Platform) Put(key string, value []byte) int64 {
 	object, _ := p.store.put(key, value, noCondition)
 	return object.Version
 }
 
-// Stats gives the counts so far.
+// Stats returns the current counts.
 func (p *Platform) Stats() Stats {
 	return Stats{
 		Reads:     p.stats.reads.Load(),
@@ -97,7 +97,7 @@
 	}
 }
 
-// handleControl answers one control call.
+// handleControl serves the control API; path begins with ControlPath.
 func (p *Platform) handleControl(ctx *fasthttp.RequestCtx, path string) {
 	switch {
 	case path == ControlPath && ctx.IsPost():
@@ -120,8 +120,8 @@
 	}
 }
 
-// Main runs a stand-in as a command until SIGTERM; args are those after the
-// program's name.
+// Main runs a stand-in as a command until SIGTERM or SIGINT and returns the exit code.
+// args are the arguments after the program name.
 func Main(args []string) int {
 	var cfg Config
 	start := func() (*Platform, error) { return Start(cfg) }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -14,12 +14,12 @@
 	"mimosaarch.example/standin/control"
 )
 
-// client makes one attempt at each call.
+// client does not retry calls.
 var client = &fasthttp.Client{
 	RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 }
 
-// start starts a stand-in that is closed with the test.
+// start starts a stand-in and closes it at the end of the test.
 func start(t *testing.T) *Platform {
 	t.Helper()
 	p, err := Start(Config{})
@@ -30,8 +30,8 @@
 	return p
 }
 
-// call makes one call; a negative ifMatch sends no condition. The status is
-// zero when there was no answer.
+// call makes one call. A negative ifMatch sends no condition. The status is zero if
+// there was no response.
 func call(p *Platform, method, path string, body []byte, ifMatch int64) (status int, reply []byte) {
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
 	req.SetRequestURI("http://" + p.Addr() + path)
@@ -46,7 +46,7 @@
 	return resp.StatusCode(), resp.Body()
 }
 
-// put writes the object k.
+// put writes the object config/k and returns the status and object of the response.
 func put(p *Platform, value string, ifMatch int64) (int, platformapi.Object) {
 	var object platformapi.Object
 	status, body := call(p, fasthttp.MethodPut, platformapi.ObjectsPath+"config/k", []byte(value), ifMatch)
@@ -54,7 +54,7 @@
 	return status, object
 }
 
-// set changes the mode over HTTP.
+// set sets the mode over HTTP.
 func set(t *testing.T, p *Platform, c Control) {
 	t.Helper()
 	if err := control.Post(p.Addr(), c); err != nil {
@@ -93,7 +93,8 @@
 	}
 }
 
-// watch starts a watch and gives its reply, nil when there was no answer.
+// watch starts a watch in the background and delivers its reply, or nil if there was
+// none.
 func watch(p *Platform, prefix string, after, waitMs int) <-chan *platformapi.ListReply {
 	out := make(chan *platformapi.ListReply, 1)
 	path := platformapi.WatchPath + "?prefix=" + prefix + "&after=" + strconv.Itoa(after) + "&wait_ms=" + strconv.Itoa(waitMs)
@@ -107,11 +108,11 @@
 	return out
 }
 
-// awaitWatches waits until n watches wait.
+// awaitWatches blocks until exactly n watches wait for changes.
 func awaitWatches(p *Platform, n int) {
 	for waiting := -1; waiting != n; {
 		p.store.mu.Lock()
-		waiting = len(p.store.waiters)
+		waiting = len(p.store.watchers)
 		p.store.mu.Unlock()
 		runtime.Gosched()
 	}
@@ -233,7 +234,7 @@
 	l.set(VMsControl{VMs: []platformapi.VM{{ID: "a"}}})
 	l.set(VMsControl{VMs: []platformapi.VM{{ID: "b"}}})
 	for after, want := range map[int64]int{0: 1, 1: 1, 2: 0} {
-		if got := l.after(after); len(got.VMs) != want || got.Revision != 2 {
+		if got := l.newerThan(after); len(got.VMs) != want || got.Revision != 2 {
 			t.Errorf("after %d: %+v", after, got)
 		}
 	}
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -8,50 +8,52 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// compactAbove is the length of the change log below which it is not compacted.
-const compactAbove = 4096
+// minCompactLen is the number of entries below which the change log is not compacted.
+const minCompactLen = 4096
 
-// noCondition stands for an absent If-Match.
+// noCondition is the version that stands for an absent If-Match header.
 const noCondition int64 = -1
 
-// result is what came of a store call.
+// result is the outcome of a call to the store: conflict means that the condition of a
+// write does not hold.
 type result int
 
 const (
-	found result = iota
+	succeeded result = iota
 	notFound
 	conflict
 )
 
-// change is one entry of the change log.
+// change is one entry of the change log: the version that a write gave to key.
 type change struct {
 	version int64
 	key     string
 }
 
-// store holds the objects. It is safe for concurrent use.
+// store holds the versioned objects in memory. It is safe for concurrent use.
 type store struct {
 	mu       sync.Mutex
 	revision int64
-	// objects holds deleted ones too, so that watches can tell of them.
+	// objects includes deleted objects, so that watches can report them.
 	objects map[string]platformapi.Object
-	// keys of objects, sorted.
+	// keys holds the keys of objects, sorted.
 	keys []string
-	// log is every key's newest change and some older ones, by version.
-	log     []change
-	waiters map[*waiter]struct{}
+	// log holds the newest change of every key and some older changes, sorted by
+	// version.
+	log      []change
+	watchers map[*watcher]struct{}
 }
 
-// newStore makes an empty store.
+// newStore returns an empty store.
 func newStore() *store {
 	return &store{
-		objects: make(map[string]platformapi.Object),
-		waiters: make(map[*waiter]struct{}),
+		objects:  make(map[string]platformapi.Object),
+		watchers: make(map[*watcher]struct{}),
 	}
 }
 
-// get gives an object. With notFound, the object tells the version of its
-// deletion, if it ever was.
+// get returns an object. With notFound, the object has the version of its deletion, or
+// zero if it never existed.
 func (s *store) get(key string) (platformapi.Object, result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,36 +64,39 @@
 	if object.Deleted {
 		return object, notFound
 	}
-	return object, found
+	return object, succeeded
 }
 
-// put writes a value if the condition holds; with conflict it gives the
-// current object.
+// put writes a value if the condition ifMatch holds, and returns the new object. With
+// conflict it returns the current object.
 func (s *store) put(key string, value []byte, ifMatch int64) (platformapi.Object, result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if current, ok := s.matches(key, ifMatch); !ok {
+	if current, ok := s.checkCondition(key, ifMatch); !ok {
 		return current, conflict
 	}
-	return s.write(platformapi.Object{Key: key, Value: value}), found
+	return s.write(platformapi.Object{Key: key, Value: value}), succeeded
 }
 
-// remove deletes an object if the condition holds.
+// remove deletes an object if the condition ifMatch holds, and returns the deleted
+// object with the version of the deletion. With conflict or notFound it returns the
+// current object.
 func (s *store) remove(key string, ifMatch int64) (platformapi.Object, result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current, ok := s.matches(key, ifMatch)
+	current, ok := s.checkCondition(key, ifMatch)
 	if !ok {
 		return current, conflict
 	}
 	if current.Version == 0 || current.Deleted {
 		return current, notFound
 	}
-	return s.write(platformapi.Object{Key: key, Deleted: true}), found
+	return s.write(platformapi.Object{Key: key, Deleted: true}), succeeded
 }
 
-// matches gives the current object and whether the condition holds for it.
-func (s *store) matches(key string, ifMatch int64) (platformapi.Object, bool) {
+// checkCondition returns the current object and whether the condition ifMatch holds
+// for it. The caller holds the lock.
+func (s *store) checkCondition(key string, ifMatch int64) (platformapi.Object, bool) {
 	current, ok := s.objects[key]
 	if !ok {
 		current = platformapi.Object{Key: key}
@@ -107,41 +112,45 @@
 	}
 }
 
-// write stores the object under the next version and wakes the watches on it.
+// write stores an object with the next version and notifies its watchers. The caller
+// holds the lock.
 func (s *store) write(object platformapi.Object) platformapi.Object {
 	s.revision++
 	object.Version = s.revision
 	if _, known := s.objects[object.Key]; !known {
-		at, _ := slices.BinarySearch(s.keys, object.Key)
-		s.keys = slices.Insert(s.keys, at, object.Key)
+		i, _ := slices.BinarySearch(s.keys, object.Key)
+		s.keys = slices.Insert(s.keys, i, object.Key)
 	}
 	s.objects[object.Key] = object
 	s.log = append(s.log, change{version: object.Version, key: object.Key})
 	s.compact()
-	s.wake(object.Key)
+	s.notify(object.Key)
 	return object
 }
 
-// compact drops the log's outdated entries once they are the larger part.
+// compact removes outdated entries from the log once they are at least half of it. The
+// caller holds the lock.
 func (s *store) compact() {
-	if len(s.log) < compactAbove || len(s.log) < 2*len(s.objects) {
+	if len(s.log) < minCompactLen || len(s.log) < 2*len(s.objects) {
 		return
 	}
-	s.log = slices.DeleteFunc(s.log, func(c change) bool { return !s.newest(c) })
+	s.log = slices.DeleteFunc(s.log, func(c change) bool { return !s.isNewest(c) })
 }
 
-// newest reports whether the entry is its key's last change.
-func (s *store) newest(c change) bool {
+// isNewest reports whether an entry of the log is the last change of its key. The
+// caller holds the lock.
+func (s *store) isNewest(c change) bool {
 	return s.objects[c.key].Version == c.version
 }
 
-// list gives the objects under a prefix, by key.
+// list returns the objects whose key has a prefix, sorted by key and without deleted
+// ones.
 func (s *store) list(prefix string) platformapi.ListReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := platformapi.ListReply{Revision: s.revision, Objects: []platformapi.Object{}}
-	at, _ := slices.BinarySearch(s.keys, prefix)
-	for _, key := range s.keys[at:] {
+	i, _ := slices.BinarySearch(s.keys, prefix)
+	for _, key := range s.keys[i:] {
 		if !strings.HasPrefix(key, prefix) {
 			break
 		}
--- a/standin/platform/store_test.go
+++ b/standin/platform/store_test.go
@@ -33,13 +33,13 @@
 		{"create what exists", func() (platformapi.Object, result) { return s.put("k", nil, 0) }, conflict, 1},
 		{"wrong version", func() (platformapi.Object, result) { return s.put("k", nil, 9) }, conflict, 1},
 		{"absent with a version", func() (platformapi.Object, result) { return s.put("other", nil, 1) }, conflict, 0},
-		{"right version", func() (platformapi.Object, result) { return s.put("k", []byte("2"), one.Version) }, found, 2},
-		{"no condition", func() (platformapi.Object, result) { return s.put("k", []byte("3"), noCondition) }, found, 3},
+		{"right version", func() (platformapi.Object, result) { return s.put("k", []byte("2"), one.Version) }, succeeded, 2},
+		{"no condition", func() (platformapi.Object, result) { return s.put("k", []byte("3"), noCondition) }, succeeded, 3},
 		{"delete an old version", func() (platformapi.Object, result) { return s.remove("k", 2) }, conflict, 3},
-		{"delete", func() (platformapi.Object, result) { return s.remove("k", 3) }, found, 4},
+		{"delete", func() (platformapi.Object, result) { return s.remove("k", 3) }, succeeded, 4},
 		{"deleted", func() (platformapi.Object, result) { return s.get("k") }, notFound, 4},
 		{"update the deleted", func() (platformapi.Object, result) { return s.put("k", nil, 4) }, conflict, 4},
-		{"create anew", func() (platformapi.Object, result) { return s.put("k", nil, 0) }, found, 5},
+		{"create anew", func() (platformapi.Object, result) { return s.put("k", nil, 0) }, succeeded, 5},
 	}
 	for _, step := range steps {
 		object, got := step.do()
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestChangesAgainstModel checks lists and changes against a plain history.
+// TestChangesAgainstModel compares the changes that the store returns with those
+// computed from the complete history of writes.
 func TestChangesAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -57,13 +58,13 @@
 		for range rapid.IntRange(1, 60).Draw(t, "writes") {
 			key := rapid.SampledFrom([]string{"a/1", "a/2", "b/1", "b/2", "a"}).Draw(t, "key")
 			var object platformapi.Object
-			res := found
+			res := succeeded
 			if rapid.Bool().Draw(t, "delete") {
 				object, res = s.remove(key, noCondition)
 			} else {
 				object, _ = s.put(key, []byte{byte(len(history))}, noCondition)
 			}
-			if res == found {
+			if res == succeeded {
 				history = append(history, object)
 			}
 		}
@@ -71,7 +72,7 @@
 		after := rapid.Int64Range(0, int64(len(history))).Draw(t, "after")
 		want := []platformapi.Object{}
 		for i, object := range history {
-			if object.Version > after && strings.HasPrefix(object.Key, prefix) && isNewest(history, i) {
+			if object.Version > after && strings.HasPrefix(object.Key, prefix) && isLastOfKey(history, i) {
 				want = append(want, object)
 			}
 		}
@@ -81,8 +82,8 @@
 	})
 }
 
-// isNewest reports whether no later entry of a history is of the same key.
-func isNewest(history []platformapi.Object, i int) bool {
+// isLastOfKey reports whether no later entry of a history has the key of entry i.
+func isLastOfKey(history []platformapi.Object, i int) bool {
 	for _, later := range history[i+1:] {
 		if later.Key == history[i].Key {
 			return false
@@ -94,10 +95,10 @@
 func TestCompactionKeepsTheNewest(t *testing.T) {
 	s := newStore()
 	s.put("first", nil, noCondition)
-	for i := range 3 * compactAbove {
+	for i := range 3 * minCompactLen {
 		s.put(fmt.Sprint("key/", i%7), nil, noCondition)
 	}
-	if len(s.log) > 2*compactAbove {
+	if len(s.log) > 2*minCompactLen {
 		t.Errorf("log has %d entries", len(s.log))
 	}
 	if got := s.changes("", 0).Objects; len(got) != 8 || got[0].Key != "first" {
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -7,30 +7,32 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// VMsControl replaces the list of VMs, after a lag.
+// VMsControl replaces the published list of VMs LagMs milliseconds later.
 type VMsControl struct {
 	VMs   []platformapi.VM `json:"vms"`
 	LagMs int64            `json:"lag_ms,omitempty"`
 }
 
-// vmList is the published list of VMs. It is safe for concurrent use.
+// vmList holds the published list of VMs. It is safe for concurrent use.
 type vmList struct {
 	mu   sync.Mutex
 	list platformapi.VMList
-	// order counts the replacements asked for; applied is the newest in force,
-	// so that one with a long lag can't undo a later one.
-	order, applied int64
+	// sequence is the number of the latest replacement requested, applied that of the
+	// published one. They prevent a replacement with a long lag from undoing one that
+	// was requested later.
+	sequence, applied int64
 }
 
-// get gives the list in force.
+// get returns the published list.
 func (l *vmList) get() platformapi.VMList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.list
 }
 
-// after gives the list in force, without VMs when it is not above a revision.
-func (l *vmList) after(revision int64) platformapi.VMList {
+// newerThan returns the published list, without its VMs if its revision is not above
+// the given one. A revision of zero always returns the VMs.
+func (l *vmList) newerThan(revision int64) platformapi.VMList {
 	list := l.get()
 	if revision > 0 && list.Revision <= revision {
 		list.VMs = nil
@@ -38,27 +40,29 @@
 	return list
 }
 
-// set replaces the list after a lag; the slice must not be changed afterwards.
+// set replaces the list after the lag of c. The caller must not modify c.VMs
+// afterwards.
 func (l *vmList) set(c VMsControl) {
 	l.mu.Lock()
-	l.order++
-	order := l.order
+	l.sequence++
+	sequence := l.sequence
 	l.mu.Unlock()
 	if c.LagMs <= 0 {
-		l.apply(order, c.VMs)
+		l.apply(sequence, c.VMs)
 		return
 	}
-	time.AfterFunc(time.Duration(c.LagMs)*time.Millisecond, func() { l.apply(order, c.VMs) })
+	time.AfterFunc(time.Duration(c.LagMs)*time.Millisecond, func() { l.apply(sequence, c.VMs) })
 }
 
-// apply puts a list in force unless a later one already is.
-func (l *vmList) apply(order int64, vms []platformapi.VM) {
+// apply publishes a list under the next revision, unless a replacement with a higher
+// sequence number was already published.
+func (l *vmList) apply(sequence int64, vms []platformapi.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if order <= l.applied {
+	if sequence <= l.applied {
 		return
 	}
-	l.applied = order
+	l.applied = sequence
 	if vms == nil {
 		vms = []platformapi.VM{}
 	}
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -7,31 +7,32 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// waiter is one waiting watch. changed holds at most one signal.
-type waiter struct {
+// watcher is one watch that waits for changes under a prefix. changed holds at most one
+// signal, so that notify never blocks.
+type watcher struct {
 	prefix  string
 	changed chan struct{}
 }
 
-// addWaiter starts to signal changes under a prefix.
-func (s *store) addWaiter(prefix string) *waiter {
-	w := &waiter{prefix: prefix, changed: make(chan struct{}, 1)}
+// addWatcher registers a watcher for changes of keys with a prefix.
+func (s *store) addWatcher(prefix string) *watcher {
+	w := &watcher{prefix: prefix, changed: make(chan struct{}, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiters[w] = struct{}{}
+	s.watchers[w] = struct{}{}
 	return w
 }
 
-// dropWaiter ends the signals.
-func (s *store) dropWaiter(w *waiter) {
+// removeWatcher deregisters a watcher.
+func (s *store) removeWatcher(w *watcher) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiters, w)
+	delete(s.watchers, w)
 }
 
-// wake signals the watches on a key. The caller holds the lock.
-func (s *store) wake(key string) {
-	for w := range s.waiters {
+// notify signals the watchers of a key. The caller holds the lock.
+func (s *store) notify(key string) {
+	for w := range s.watchers {
 		if !strings.HasPrefix(key, w.prefix) {
 			continue
 		}
@@ -42,22 +43,22 @@
 	}
 }
 
-// changes gives the newest state of each object under a prefix that changed
-// above a revision, deleted ones included, by version.
+// changes returns the current state of the objects whose key has a prefix and whose
+// version is above revision after, sorted by version and including deleted ones.
 func (s *store) changes(prefix string, after int64) platformapi.ListReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := platformapi.ListReply{Revision: s.revision, Objects: []platformapi.Object{}}
-	at, _ := slices.BinarySearchFunc(s.log, after+1, compareVersion)
-	for _, c := range s.log[at:] {
-		if strings.HasPrefix(c.key, prefix) && s.newest(c) {
+	i, _ := slices.BinarySearchFunc(s.log, after+1, compareVersion)
+	for _, c := range s.log[i:] {
+		if strings.HasPrefix(c.key, prefix) && s.isNewest(c) {
 			reply.Objects = append(reply.Objects, s.objects[c.key])
 		}
 	}
 	return reply
 }
 
-// compareVersion orders a change against a version.
+// compareVersion compares the version of a change with a version, for a binary search.
 func compareVersion(c change, version int64) int {
 	switch {
 	case c.version < version:
