--- a/mimosactl/app/bench.go
+++ b/mimosactl/app/bench.go
@@ -57,21 +57,21 @@
 		Nodes:         c.Nodes,
 		Strategy:      c.Strategy,
 		TokenInterval: c.TokenInterval,
-		Load:          c.Load,
-		For:           c.For,
+		LoadFraction:          c.Load,
+		Duration:           c.For,
 		Warmup:        c.Warmup,
 		Scale:         c.Scale,
 		Shape:         load.Shape(c.Shape),
 		Mix:           c.mix(),
 		Seed:          c.Seed,
 		Deadline:      c.Deadline,
-		Returns:       c.Returns,
-		Fail:          bench.Failure(c.Fail),
-		FailAt:        c.FailAt,
+		MaxRetries:       c.Returns,
+		Failure:          bench.FailureKind(c.Fail),
+		FailAfter:        c.FailAt,
 		Log:           log,
 		OnProgress:    c.env.progress,
 	})
-	if setting, ok := errors.AsType[*bench.SettingError](err); ok {
+	if setting, ok := errors.AsType[*bench.OptionError](err); ok {
 		return &UsageError{Message: setting.Error()}
 	}
 	if err != nil {
@@ -91,26 +91,26 @@
 // benchText prints a result for people.
 func benchText(w io.Writer, r bench.Result) {
 	fmt.Fprintf(w, "bench         %d nodes, %d engines, strategy %s, load %.2f of the bound, scale %.2f\n",
-		r.Nodes, r.Engines, r.Strategy, r.Load, r.Scale)
+		r.Nodes, r.Engines, r.Strategy, r.LoadFraction, r.Scale)
 	fmt.Fprintf(w, "bound         %.1f token steps/s, offered %.2f requests/s, %.2f cores used by all parts\n",
-		r.BoundSteps, r.Rate, r.Cores)
-	if r.Failed != nil {
-		failedText(w, r.Failed)
+		r.BoundStepsPerSec, r.RequestsPerSec, r.CPUCores)
+	if r.Failure != nil {
+		failedText(w, r.Failure)
 	}
 	r.Report.Text(w)
 }
 
 // failedText prints what failed and the requests it held up most.
-func failedText(w io.Writer, f *bench.Failed) {
+func failedText(w io.Writer, f *bench.FailureReport) {
 	fmt.Fprintf(w, "failed        %s %s; the rest allows %.1f token steps/s; the front sent %d requests anew\n",
-		f.Kind, f.Name, f.BoundSteps, f.Repeats)
+		f.Kind, f.Name, f.RemainingBoundStepsPerSec, f.Resends)
 	if f.StopError != "" {
 		fmt.Fprintf(w, "planned stop  %s\n", f.StopError)
 	}
-	for _, h := range f.HeldUp {
-		fmt.Fprintf(w, "held up       %s for %.3f s, %s %s\n", h.Request, h.Seconds, h.Outcome, h.Reason)
+	for _, h := range f.LongestStalls {
+		fmt.Fprintf(w, "held up       %s for %.3f s, %s %s\n", h.Request, h.GapSeconds, h.Outcome, h.Reason)
 		for _, d := range h.Decisions {
-			fmt.Fprintf(w, "  %+.3f s %s attempt %d %v %s %s\n", d.After, d.Step, d.Attempt, d.Chain, d.Reason, d.Detail)
+			fmt.Fprintf(w, "  %+.3f s %s attempt %d %v %s %s\n", d.AfterSeconds, d.Step, d.Attempt, d.Chain, d.Reason, d.Detail)
 		}
 	}
 }
--- a/mimosactl/app/exit.go
+++ b/mimosactl/app/exit.go
@@ -58,7 +58,7 @@
 		return ExitInvalid
 	case isA[*documents.ConflictError](err), isA[*documents.SupersededError](err):
 		return ExitConflict
-	case isA[*documents.UnsettledError](err):
+	case isA[*documents.UnknownResultError](err):
 		return ExitUnknown
 	case isA[*OutcomeError](err):
 		return ExitNotComplete
--- a/mimosactl/app/load.go
+++ b/mimosactl/app/load.go
@@ -87,7 +87,7 @@
 	}
 	s.Mix.Model = ids.Service(c.Model)
 	s.Mix.Plain = ids.Service(c.Plain)
-	s.Mix.Run = documents.NewChange()
+	s.Mix.Run = documents.NewChangeID()
 	s.Mix.Accounts = accounts
 	if !c.NoCheck {
 		s.Checker = answers.Checker{}
--- a/mimosactl/app/publish.go
+++ b/mimosactl/app/publish.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	return c.with(func(ctx context.Context, client *platform.Client) error {
-		written, err := documents.Publish(ctx, client, files, expected, documents.NewChange())
+		written, err := documents.Publish(ctx, client, files, expected, documents.NewChangeID())
 		if printErr := c.show(written); err == nil {
 			err = printErr
 		}
--- a/mimosactl/bench/bench.go
+++ b/mimosactl/bench/bench.go
@@ -26,11 +26,11 @@
 	Strategy string
 	// TokenInterval is the profile's; 0 stands for its default.
 	TokenInterval time.Duration
-	// Load is the model requests offered, in parts of the bound.
-	Load float64
-	// For is the length of the run, Warmup its first part that isn't
+	// LoadFraction is the model requests offered, in parts of the bound.
+	LoadFraction float64
+	// Duration is the length of the run, Warmup its first part that isn't
 	// measured.
-	For, Warmup time.Duration
+	Duration, Warmup time.Duration
 	// Scale multiplies the stand-ins' rates.
 	Scale float64
 	// Shape of the load. With load.Evening, Load is at the peak.
@@ -41,12 +41,12 @@
 	Seed uint64
 	// Deadline is told to nodes; 0 leaves it to the profile.
 	Deadline time.Duration
-	// Returns is how often refused callers come back.
-	Returns int
-	// Fail is made to happen FailAt after the run's start; FailNothing for
+	// MaxRetries is how often refused callers come back.
+	MaxRetries int
+	// Failure is made to happen FailAt after the run's start; FailNothing for
 	// nothing.
-	Fail   Failure
-	FailAt time.Duration
+	Failure   FailureKind
+	FailAfter time.Duration
 	// Log takes the nodes' log lines.
 	Log zerolog.Logger
 	// OnProgress is told how far the load has come, each second; nil means
@@ -59,26 +59,26 @@
 	Nodes    int     `json:"nodes"`
 	Engines  int     `json:"engines"`
 	Strategy string  `json:"strategy"`
-	Load     float64 `json:"load"`
+	LoadFraction     float64 `json:"load"`
 	Scale    float64 `json:"scale"`
-	// BoundSteps is the maximum flow in token steps a second, the steps of
+	// BoundStepsPerSec is the maximum flow in token steps a second, the steps of
 	// prompts included; the report's bound is in tokens.
-	BoundSteps float64 `json:"bound_steps_per_s"`
-	// Rate is the requests offered a second, at the peak.
-	Rate float64 `json:"rate"`
-	// Cores is the processor time of the whole process, stand-ins, nodes and
+	BoundStepsPerSec float64 `json:"bound_steps_per_s"`
+	// RequestsPerSec is the requests offered a second, at the peak.
+	RequestsPerSec float64 `json:"rate"`
+	// CPUCores is the processor time of the whole process, stand-ins, nodes and
 	// load tool, for each second of the run.
-	Cores  float64       `json:"cores"`
+	CPUCores  float64       `json:"cores"`
 	Report report.Report `json:"report"`
-	// Failed is nil when nothing was made to fail.
-	Failed *Failed `json:"failed,omitempty"`
+	// Failure is nil when nothing was made to fail.
+	Failure *FailureReport `json:"failed,omitempty"`
 }
 
-// SettingError tells that an option can't be used.
-type SettingError struct{ Option, Expected string }
+// OptionError tells that an option can't be used.
+type OptionError struct{ Option, Expected string }
 
 // Error implements error.
-func (e *SettingError) Error() string {
+func (e *OptionError) Error() string {
 	return fmt.Sprintf("bench: %s: expected %s", e.Option, e.Expected)
 }
 
@@ -86,15 +86,15 @@
 func (o Options) check() error {
 	switch {
 	case o.Nodes < 1:
-		return &SettingError{Option: "nodes", Expected: "at least 1"}
-	case o.Load <= 0:
-		return &SettingError{Option: "load", Expected: "above 0"}
+		return &OptionError{Option: "nodes", Expected: "at least 1"}
+	case o.LoadFraction <= 0:
+		return &OptionError{Option: "load", Expected: "above 0"}
 	case o.Scale <= 0:
-		return &SettingError{Option: "scale", Expected: "above 0"}
-	case o.Warmup < 0 || o.Warmup >= o.For:
-		return &SettingError{Option: "warmup", Expected: "less than the length of the run"}
+		return &OptionError{Option: "scale", Expected: "above 0"}
+	case o.Warmup < 0 || o.Warmup >= o.Duration:
+		return &OptionError{Option: "warmup", Expected: "less than the length of the run"}
 	case o.Mix.PlainShare >= 1:
-		return &SettingError{Option: "plain share", Expected: "below 1"}
+		return &OptionError{Option: "plain share", Expected: "below 1"}
 	}
 	return o.checkFailure()
 }
@@ -127,19 +127,19 @@
 		Nodes:      o.Nodes,
 		Engines:    len(f.config.Engines),
 		Strategy:   o.Strategy,
-		Load:       o.Load,
+		LoadFraction:       o.LoadFraction,
 		Scale:      o.Scale,
-		BoundSteps: bound,
-		Rate:       o.Load * bound / means.Steps / means.ModelShare,
+		BoundStepsPerSec: bound,
+		RequestsPerSec:       o.LoadFraction * bound / means.Steps / means.ModelShare,
 	}
 	start := time.Now()
 	recorder := report.New(report.Options{
 		Start: start,
 		From:  o.Warmup,
-		Until: o.For,
+		Until: o.Duration,
 		Bound: bound * means.Tokens / means.Steps,
 	})
-	failing, err := f.newFailing(recorder, o.Load*bound, means.Tokens/means.Steps)
+	failing, err := f.newFailing(recorder, o.LoadFraction*bound, means.Tokens/means.Steps)
 	if err != nil {
 		return Result{}, err
 	}
@@ -147,10 +147,10 @@
 	run, err := load.New(load.Settings{
 		Nodes:    failing.addresses(),
 		Mix:      mix,
-		Schedule: load.Schedule{Rate: result.Rate, Shape: o.Shape, For: o.For},
+		Schedule: load.Schedule{Rate: result.RequestsPerSec, Shape: o.Shape, For: o.Duration},
 		Seed:     o.Seed,
 		Deadline: o.Deadline,
-		Returns:  o.Returns,
+		Returns:  o.MaxRetries,
 		Checker:  answers.Checker{},
 		Observer: failing,
 	})
@@ -160,8 +160,8 @@
 	began, used := time.Now(), cpuTime()
 	failing.schedule(ctx, start)
 	load.Watch(ctx, run, o.OnProgress)
-	result.Cores = (cpuTime() - used).Seconds() / time.Since(began).Seconds()
-	result.Failed = failing.end()
+	result.CPUCores = (cpuTime() - used).Seconds() / time.Since(began).Seconds()
+	result.Failure = failing.end()
 	result.Report = recorder.Report()
 	return result, nil
 }
@@ -171,7 +171,7 @@
 	mix := f.options.Mix
 	mix.Model = ids.Service(standins.ModelService)
 	mix.Plain = ids.Service(standins.PlainService)
-	mix.Run = documents.NewChange()
+	mix.Run = documents.NewChangeID()
 	mix.Accounts = nil
 	for _, a := range accounts {
 		mix.Accounts = append(mix.Accounts, load.Account{Key: a.key, Weight: a.weight})
--- a/mimosactl/bench/bench_test.go
+++ b/mimosactl/bench/bench_test.go
@@ -32,8 +32,8 @@
 	r, err := Run(context.Background(), Options{
 		Nodes:    3,
 		Strategy: fleet.StrategyFlow,
-		Load:     0.2,
-		For:      600 * time.Millisecond,
+		LoadFraction:     0.2,
+		Duration:      600 * time.Millisecond,
 		Warmup:   100 * time.Millisecond,
 		Scale:    1,
 		Mix: load.Mix{
@@ -62,17 +62,17 @@
 }
 
 func TestBadOptions(t *testing.T) {
-	good := Options{Nodes: 1, Load: 1, Scale: 1, For: time.Second}
+	good := Options{Nodes: 1, LoadFraction: 1, Scale: 1, Duration: time.Second}
 	for option, change := range map[string]func(*Options){
 		"nodes":  func(o *Options) { o.Nodes = 0 },
-		"load":   func(o *Options) { o.Load = 0 },
+		"load":   func(o *Options) { o.LoadFraction = 0 },
 		"scale":  func(o *Options) { o.Scale = 0 },
 		"warmup": func(o *Options) { o.Warmup = time.Second },
 	} {
 		bad := good
 		change(&bad)
 		_, err := Run(context.Background(), bad)
-		if setting, ok := errors.AsType[*SettingError](err); !ok || setting.Option != option {
+		if setting, ok := errors.AsType[*OptionError](err); !ok || setting.Option != option {
 			t.Errorf("%s: error is %v", option, err)
 		}
 	}
--- a/mimosactl/bench/failing.go
+++ b/mimosactl/bench/failing.go
@@ -12,50 +12,50 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-// Failure is what a bench makes fail.
-type Failure string
+// FailureKind is what a bench makes fail.
+type FailureKind string
 
 // Failures.
 const (
-	FailNothing Failure = ""
+	FailNone FailureKind = ""
 	// FailEngine kills an engine of a middle stage.
-	FailEngine Failure = "engine"
+	FailEngine FailureKind = "engine"
 	// FailNode stops a node at once and cuts its streams.
-	FailNode Failure = "node"
+	FailNode FailureKind = "node"
 	// FailDrain stops a node as planned.
-	FailDrain Failure = "drain"
+	FailDrain FailureKind = "drain"
 )
 
 // drainWithin bounds a planned stop.
 const drainWithin = 30 * time.Second
 
-// Failed is what was made to fail, and what it did to requests.
-type Failed struct {
-	Kind Failure `json:"kind"`
+// FailureReport is what was made to fail, and what it did to requests.
+type FailureReport struct {
+	Kind FailureKind `json:"kind"`
 	// Name is the engine's or the node's address.
 	Name string `json:"name"`
-	// BoundSteps is the token steps a second that the rest allows.
-	BoundSteps float64 `json:"bound_steps_per_s"`
-	// Repeats counts requests that got no answer from one node and were sent
+	// RemainingBoundStepsPerSec is the token steps a second that the rest allows.
+	RemainingBoundStepsPerSec float64 `json:"bound_steps_per_s"`
+	// Resends counts requests that got no answer from one node and were sent
 	// to another.
-	Repeats int64 `json:"repeats"`
+	Resends int64 `json:"repeats"`
 	// StopError tells why a planned stop cut requests off; empty for none.
 	StopError string `json:"stop_error,omitempty"`
-	// HeldUp are the requests that the failure held up longest.
-	HeldUp []HeldUp `json:"held_up,omitempty"`
+	// LongestStalls are the requests that the failure held up longest.
+	LongestStalls []StalledRequest `json:"held_up,omitempty"`
 }
 
 // checkFailure checks the options of a failure.
 func (o Options) checkFailure() error {
 	switch {
-	case o.Fail == FailNothing:
+	case o.Failure == FailNone:
 		return nil
-	case o.Fail != FailEngine && o.Fail != FailNode && o.Fail != FailDrain:
-		return &SettingError{Option: "fail", Expected: "engine, node or drain"}
-	case o.FailAt <= 0 || o.FailAt >= o.For:
-		return &SettingError{Option: "fail at", Expected: "a time within the run"}
-	case o.Fail != FailEngine && o.Nodes < 2:
-		return &SettingError{Option: "nodes", Expected: "at least 2 for one to fail"}
+	case o.Failure != FailEngine && o.Failure != FailNode && o.Failure != FailDrain:
+		return &OptionError{Option: "fail", Expected: "engine, node or drain"}
+	case o.FailAfter <= 0 || o.FailAfter >= o.Duration:
+		return &OptionError{Option: "fail at", Expected: "a time within the run"}
+	case o.Failure != FailEngine && o.Nodes < 2:
+		return &OptionError{Option: "nodes", Expected: "at least 2 for one to fail"}
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 	fixture  *fixture
 	recorder *report.Recorder
 	front    *front
-	result   Failed
+	result   FailureReport
 	// target is the tokens a second to come back to.
 	target float64
 	victim *node.Node
@@ -79,7 +79,7 @@
 // second; tokens is the tokens of a step.
 func (f *fixture) newFailing(recorder *report.Recorder, offered, tokens float64) (*failing, error) {
 	x := &failing{fixture: f, recorder: recorder, heldUp: &heldUp{}, cancel: func() {}}
-	if f.options.Fail == FailNothing {
+	if f.options.Failure == FailNone {
 		return x, nil
 	}
 	front, err := newFront(f.backends())
@@ -87,16 +87,16 @@
 		return nil, err
 	}
 	x.front = front
-	x.result = Failed{Kind: f.options.Fail}
+	x.result = FailureReport{Kind: f.options.Failure}
 	rest := f.config
-	if f.options.Fail == FailEngine {
+	if f.options.Failure == FailEngine {
 		x.result.Name, rest = withoutMiddle(f.config)
 	} else {
 		x.victim = f.nodes[len(f.nodes)/2]
 		x.result.Name = x.victim.CallerAddr()
 	}
-	x.result.BoundSteps = Bound(rest)
-	x.target = min(offered, x.result.BoundSteps) * tokens
+	x.result.RemainingBoundStepsPerSec = Bound(rest)
+	x.target = min(offered, x.result.RemainingBoundStepsPerSec) * tokens
 	return x, nil
 }
 
@@ -147,7 +147,7 @@
 	x.duties.Add(1)
 	go func() {
 		defer x.duties.Done()
-		timer := time.NewTimer(time.Until(start.Add(x.fixture.options.FailAt)))
+		timer := time.NewTimer(time.Until(start.Add(x.fixture.options.FailAfter)))
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -183,15 +183,15 @@
 }
 
 // end waits for the failure and tells of it; nil without one.
-func (x *failing) end() *Failed {
+func (x *failing) end() *FailureReport {
 	x.cancel()
 	x.duties.Wait()
 	if x.front == nil {
 		return nil
 	}
 	out := x.result
-	out.Repeats = x.front.repeats.Load()
-	out.HeldUp = x.explain(func(id ids.Request) []Decision { return x.fixture.decisions(id, x.at) })
+	out.Resends = x.front.repeats.Load()
+	out.LongestStalls = x.explain(func(id ids.Request) []Decision { return x.fixture.decisions(id, x.at) })
 	return &out
 }
 
--- a/mimosactl/bench/failing_test.go
+++ b/mimosactl/bench/failing_test.go
@@ -17,19 +17,19 @@
 )
 
 // failingRun runs a short bench with a failure.
-func failingRun(t *testing.T, fail Failure) Result {
+func failingRun(t *testing.T, fail FailureKind) Result {
 	t.Helper()
 	r, err := Run(context.Background(), Options{
 		Nodes:    3,
 		Strategy: fleet.StrategyFlow,
-		Load:     0.2,
-		For:      1500 * time.Millisecond,
+		LoadFraction:     0.2,
+		Duration:      1500 * time.Millisecond,
 		Scale:    1,
 		Mix:      load.Mix{KeyedShare: 0.5, PromptWords: load.Sizes{Min: 4, Max: 80}, MaxTokens: load.Sizes{Min: 2, Max: 12}},
 		Seed:     1,
-		Returns:  3,
-		Fail:     fail,
-		FailAt:   500 * time.Millisecond,
+		MaxRetries:  3,
+		Failure:     fail,
+		FailAfter:   500 * time.Millisecond,
 		Log:      zerolog.Nop(),
 	})
 	if err != nil {
@@ -45,22 +45,22 @@
 	if recovery.Recovered && recovery.Time < 0.5 {
 		t.Errorf("recovery time %v is less than its window", recovery.Time)
 	}
-	if r.Failed == nil || r.Failed.Name == "" || len(r.Failed.HeldUp) == 0 {
-		t.Errorf("failed is %+v", r.Failed)
+	if r.Failure == nil || r.Failure.Name == "" || len(r.Failure.LongestStalls) == 0 {
+		t.Errorf("failed is %+v", r.Failure)
 	}
 	return r
 }
 
 func TestEngineFails(t *testing.T) {
 	r := failingRun(t, FailEngine)
-	if r.Failed.BoundSteps <= 0 || r.Failed.BoundSteps >= r.BoundSteps {
-		t.Errorf("the rest allows %v of %v", r.Failed.BoundSteps, r.BoundSteps)
+	if r.Failure.RemainingBoundStepsPerSec <= 0 || r.Failure.RemainingBoundStepsPerSec >= r.BoundStepsPerSec {
+		t.Errorf("the rest allows %v of %v", r.Failure.RemainingBoundStepsPerSec, r.BoundStepsPerSec)
 	}
 }
 
 func TestNodeFails(t *testing.T) {
 	r := failingRun(t, FailNode)
-	if r.Failed.Repeats == 0 {
+	if r.Failure.Resends == 0 {
 		t.Error("no request went on to another node")
 	}
 	complete := r.Report.Outcomes[outcome.Complete]
@@ -71,14 +71,14 @@
 
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	r := failingRun(t, FailDrain)
-	if r.Failed.StopError != "" || r.Report.Outcomes[outcome.Complete] != r.Report.Sent {
-		t.Errorf("outcomes are %v of %d, reasons %v, stop %q", r.Report.Outcomes, r.Report.Sent, r.Report.Reasons, r.Failed.StopError)
+	if r.Failure.StopError != "" || r.Report.Outcomes[outcome.Complete] != r.Report.Sent {
+		t.Errorf("outcomes are %v of %d, reasons %v, stop %q", r.Report.Outcomes, r.Report.Sent, r.Report.Reasons, r.Failure.StopError)
 	}
 }
 
 func TestFailKillsTheEngine(t *testing.T) {
 	f := &fixture{
-		options: Options{Nodes: 1, Strategy: fleet.StrategyFlow, Fail: FailEngine, Log: zerolog.Nop()},
+		options: Options{Nodes: 1, Strategy: fleet.StrategyFlow, Failure: FailEngine, Log: zerolog.Nop()},
 		config:  standins.Small(),
 	}
 	defer f.close()
@@ -107,16 +107,16 @@
 }
 
 func TestBadFailures(t *testing.T) {
-	good := Options{Nodes: 2, Load: 1, Scale: 1, For: time.Second, Fail: FailNode, FailAt: time.Millisecond}
+	good := Options{Nodes: 2, LoadFraction: 1, Scale: 1, Duration: time.Second, Failure: FailNode, FailAfter: time.Millisecond}
 	for option, change := range map[string]func(*Options){
-		"fail":    func(o *Options) { o.Fail = "meteor" },
-		"fail at": func(o *Options) { o.FailAt = time.Second },
+		"fail":    func(o *Options) { o.Failure = "meteor" },
+		"fail at": func(o *Options) { o.FailAfter = time.Second },
 		"nodes":   func(o *Options) { o.Nodes = 1 },
 	} {
 		bad := good
 		change(&bad)
 		_, err := Run(context.Background(), bad)
-		if setting, ok := errors.AsType[*SettingError](err); !ok || setting.Option != option {
+		if setting, ok := errors.AsType[*OptionError](err); !ok || setting.Option != option {
 			t.Errorf("%s: error is %v", option, err)
 		}
 	}
--- a/mimosactl/bench/fixture.go
+++ b/mimosactl/bench/fixture.go
@@ -93,7 +93,7 @@
 	for _, doc := range f.documents() {
 		files = append(files, documents.File{Path: "bench", Document: doc})
 	}
-	_, err = documents.Publish(ctx, client, files, 0, documents.NewChange())
+	_, err = documents.Publish(ctx, client, files, 0, documents.NewChangeID())
 	return err
 }
 
--- a/mimosactl/bench/heldup.go
+++ b/mimosactl/bench/heldup.go
@@ -15,11 +15,11 @@
 // mostHeldUp is the count of requests told of.
 const mostHeldUp = 5
 
-// HeldUp is a request that was in flight when the failure came.
-type HeldUp struct {
+// StalledRequest is a request that was in flight when the failure came.
+type StalledRequest struct {
 	Request ids.Request `json:"request"`
-	// Seconds is its longest time without a token after the failure.
-	Seconds   float64         `json:"seconds"`
+	// GapSeconds is its longest time without a token after the failure.
+	GapSeconds   float64         `json:"seconds"`
 	Outcome   outcome.Outcome `json:"outcome"`
 	Reason    outcome.Reason  `json:"reason,omitempty"`
 	Decisions []Decision      `json:"decisions,omitempty"`
@@ -28,7 +28,7 @@
 // Decision is a node's decision on a request, with its time from the failure
 // in seconds.
 type Decision struct {
-	After float64 `json:"after_s"`
+	AfterSeconds float64 `json:"after_s"`
 	router.Decision
 }
 
@@ -37,7 +37,7 @@
 type heldUp struct {
 	mu       sync.Mutex
 	at       time.Time
-	requests []HeldUp
+	requests []StalledRequest
 }
 
 // failed tells when the failure came.
@@ -54,13 +54,13 @@
 	if h.at.IsZero() || s.NotSent || s.Sent.After(h.at) || s.End.Before(h.at) {
 		return
 	}
-	h.requests = append(h.requests, HeldUp{
+	h.requests = append(h.requests, StalledRequest{
 		Request: s.Request,
-		Seconds: longestGap(s, h.at).Seconds(),
+		GapSeconds: longestGap(s, h.at).Seconds(),
 		Outcome: s.Outcome,
 		Reason:  s.Reason,
 	})
-	slices.SortFunc(h.requests, func(a, b HeldUp) int { return cmp.Compare(b.Seconds, a.Seconds) })
+	slices.SortFunc(h.requests, func(a, b StalledRequest) int { return cmp.Compare(b.GapSeconds, a.GapSeconds) })
 	h.requests = h.requests[:min(len(h.requests), mostHeldUp)]
 }
 
@@ -78,7 +78,7 @@
 }
 
 // explain gives the requests with the decisions on them.
-func (h *heldUp) explain(decisions func(ids.Request) []Decision) []HeldUp {
+func (h *heldUp) explain(decisions func(ids.Request) []Decision) []StalledRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := slices.Clone(h.requests)
@@ -93,7 +93,7 @@
 	var out []Decision
 	for _, n := range f.nodes {
 		for _, d := range n.Explain(id) {
-			out = append(out, Decision{After: d.At.Sub(failed).Seconds(), Decision: d})
+			out = append(out, Decision{AfterSeconds: d.At.Sub(failed).Seconds(), Decision: d})
 		}
 	}
 	return out
--- a/mimosactl/documents/documents.go
+++ b/mimosactl/documents/documents.go
@@ -65,7 +65,7 @@
 		files = append(files, file)
 	}
 	if len(faults) > 0 {
-		return nil, &InvalidFilesError{Faults: faults}
+		return nil, &InvalidFilesError{Errors: faults}
 	}
 	sortForPublishing(files)
 	return files, nil
@@ -108,9 +108,9 @@
 	return encoded{File: f, change: change, value: value}, nil
 }
 
-// ChangeOf gives the change id of a published value; empty when the value does
+// ChangeIDOf gives the change id of a published value; empty when the value does
 // not parse or has none.
-func ChangeOf(value []byte) string {
+func ChangeIDOf(value []byte) string {
 	doc, err := fleet.Parse(value)
 	if err != nil {
 		return ""
--- a/mimosactl/documents/errors.go
+++ b/mimosactl/documents/errors.go
@@ -54,14 +54,14 @@
 // InvalidFilesError lists every fault found in a set of files; nothing was
 // written.
 type InvalidFilesError struct {
-	// Faults are of type *FileError or *DuplicateError.
-	Faults []error
+	// Errors are of type *FileError or *DuplicateError.
+	Errors []error
 }
 
 // Error implements error.
 func (e *InvalidFilesError) Error() string {
-	lines := make([]string, len(e.Faults))
-	for i, fault := range e.Faults {
+	lines := make([]string, len(e.Errors))
+	for i, fault := range e.Errors {
 		lines[i] = fault.Error()
 	}
 	return strings.Join(lines, "\n")
@@ -98,32 +98,32 @@
 	return fmt.Sprintf("conflict: %s was superseded by version %d (change %q)", e.Key, e.Current, e.Change)
 }
 
-// UnsettledError tells that it is not known whether a publish took effect.
+// UnknownResultError tells that it is not known whether a publish took effect.
 // Change is its id: it has taken effect once the document shows that id.
-type UnsettledError struct {
+type UnknownResultError struct {
 	Key    string
 	Change string
 	Cause  error
 }
 
 // Error implements error.
-func (e *UnsettledError) Error() string {
+func (e *UnknownResultError) Error() string {
 	return fmt.Sprintf("unknown: %s may be published or not, look for change %q: %v", e.Key, e.Change, e.Cause)
 }
 
 // Unwrap gives the cause.
-func (e *UnsettledError) Unwrap() error { return e.Cause }
+func (e *UnknownResultError) Unwrap() error { return e.Cause }
 
-// FailedError tells that a publish had no effect and will have none.
-type FailedError struct {
+// NotPublishedError tells that a publish had no effect and will have none.
+type NotPublishedError struct {
 	Key   string
 	Cause error
 }
 
 // Error implements error.
-func (e *FailedError) Error() string {
+func (e *NotPublishedError) Error() string {
 	return fmt.Sprintf("not published: %s: %v", e.Key, e.Cause)
 }
 
 // Unwrap gives the cause.
-func (e *FailedError) Unwrap() error { return e.Cause }
+func (e *NotPublishedError) Unwrap() error { return e.Cause }
--- a/mimosactl/documents/publish.go
+++ b/mimosactl/documents/publish.go
@@ -25,8 +25,8 @@
 // changeBytes is the length of a change id's random part.
 const changeBytes = 8
 
-// NewChange draws a change id.
-func NewChange() string {
+// NewChangeID draws a change id.
+func NewChangeID() string {
 	var b [changeBytes]byte
 	// crypto/rand.Read never fails.
 	_, _ = rand.Read(b[:])
@@ -74,7 +74,7 @@
 		out = append(out, e)
 	}
 	if len(faults) > 0 {
-		return nil, &InvalidFilesError{Faults: faults}
+		return nil, &InvalidFilesError{Errors: faults}
 	}
 	return out, nil
 }
@@ -90,7 +90,7 @@
 		}
 		version, err := versionOf(ctx, store, file.Key())
 		if err != nil {
-			return nil, &FailedError{Key: file.Key(), Cause: err}
+			return nil, &NotPublishedError{Key: file.Key(), Cause: err}
 		}
 		out[i] = version
 	}
@@ -109,19 +109,19 @@
 
 // write writes one file and tells what is known of it.
 func write(ctx context.Context, store platform.Store, file encoded, ifMatch int64) (platformapi.Object, error) {
-	isMine := func(value []byte) bool { return ChangeOf(value) == file.change }
+	isMine := func(value []byte) bool { return ChangeIDOf(value) == file.change }
 	result := platform.PutAndVerify(ctx, store, file.Key(), file.value, ifMatch, isMine)
 	key, current := file.Key(), result.Object
 	switch result.Outcome {
 	case platform.PutWritten:
 		return current, nil
 	case platform.PutConflict:
-		return current, &ConflictError{Key: key, Expected: ifMatch, Current: current.Version, Change: ChangeOf(current.Value)}
+		return current, &ConflictError{Key: key, Expected: ifMatch, Current: current.Version, Change: ChangeIDOf(current.Value)}
 	case platform.PutSuperseded:
-		return current, &SupersededError{Key: key, Current: current.Version, Change: ChangeOf(current.Value)}
+		return current, &SupersededError{Key: key, Current: current.Version, Change: ChangeIDOf(current.Value)}
 	case platform.PutUnknown:
-		return current, &UnsettledError{Key: key, Change: file.change, Cause: result.Err}
+		return current, &UnknownResultError{Key: key, Change: file.change, Cause: result.Err}
 	default:
-		return current, &FailedError{Key: key, Cause: result.Err}
+		return current, &NotPublishedError{Key: key, Cause: result.Err}
 	}
 }
--- a/scenario/lang/standin.go
+++ b/scenario/lang/standin.go
@@ -94,7 +94,7 @@
 	ts.Check(err)
 	c := newPlatform(ts, args[0])
 	defer c.Close()
-	_, err = documents.Publish(context.Background(), c, files, documents.AnyVersion, documents.NewChange())
+	_, err = documents.Publish(context.Background(), c, files, documents.AnyVersion, documents.NewChangeID())
 	ts.Check(err)
 }
 
