--- a/mimosactl/app/losses.go
+++ b/mimosactl/app/losses.go
@@ -57,16 +57,16 @@
 
 // lossReport is the summary as JSON.
 type lossReport struct {
-	Asked       int             `json:"asked"`
-	Lost        int             `json:"lost"`
-	Unexplained int             `json:"unexplained"`
-	Dropped     int             `json:"lines_dropped"`
-	Causes      []lossCause     `json:"causes"`
-	Zones       map[string]int  `json:"zones"`
-	Services    map[string]int  `json:"services"`
-	Stages      map[string]int  `json:"stages"`
-	Calls       map[string]int  `json:"store_calls"`
-	Moments     []losses.Moment `json:"moments"`
+	Asked       int               `json:"asked"`
+	Lost        int               `json:"lost"`
+	Unexplained int               `json:"unexplained"`
+	Dropped     int               `json:"lines_dropped"`
+	Causes      []lossCause       `json:"causes"`
+	Zones       map[string]int    `json:"zones"`
+	Services    map[string]int    `json:"services"`
+	Stages      map[string]int    `json:"stages"`
+	Calls       map[string]int    `json:"store_calls"`
+	Moments     []losses.Interval `json:"moments"`
 }
 
 // lossCause is one cause and its count.
@@ -79,10 +79,10 @@
 // lossReportOf turns a summary into JSON.
 func lossReportOf(s *losses.Summary) lossReport {
 	r := lossReport{
-		Asked: s.Asked, Lost: s.Lost, Unexplained: s.Unexplained(), Dropped: s.Dropped,
-		Zones: s.Zones, Services: s.Services, Stages: s.Stages, Calls: s.Calls, Moments: s.Moments,
+		Asked: s.Attempts, Lost: s.Lost, Unexplained: s.Unexplained(), Dropped: s.DroppedLines,
+		Zones: s.Zones, Services: s.Services, Stages: s.ReplacedStages, Calls: s.StoreCalls, Moments: s.Intervals,
 	}
-	for _, c := range s.Top() {
+	for _, c := range s.CausesByCount() {
 		r.Causes = append(r.Causes, lossCause{c.Kind, c.Reason, s.Causes[c]})
 	}
 	return r
@@ -93,9 +93,9 @@
 
 // printLosses prints a summary.
 func printLosses(w io.Writer, s *losses.Summary) {
-	_, _ = fmt.Fprintf(w, "%d tries, %d without an answer in time, %d of them not explained\n", s.Asked, s.Lost, s.Unexplained())
+	_, _ = fmt.Fprintf(w, "%d tries, %d without an answer in time, %d of them not explained\n", s.Attempts, s.Lost, s.Unexplained())
 	rows := [][]string{{"KIND", "CAUSE", "COUNT"}}
-	for _, c := range s.Top() {
+	for _, c := range s.CausesByCount() {
 		reason := c.Reason
 		if c.Unexplained() {
 			reason = "(not explained)"
@@ -105,11 +105,11 @@
 	table(w, rows)
 	printCounts(w, "ZONE", s.Zones, len(s.Zones))
 	printCounts(w, "SERVICE", s.Services, len(s.Services))
-	printCounts(w, "STAGE LEFT", s.Stages, topStages)
-	printCounts(w, "CALLS TO THE STORE", s.Calls, len(s.Calls))
+	printCounts(w, "STAGE LEFT", s.ReplacedStages, topStages)
+	printCounts(w, "CALLS TO THE STORE", s.StoreCalls, len(s.StoreCalls))
 	rows = [][]string{{"FROM", "TRIES", "LATE", "REFUSED", "FAILED", "CUT"}}
-	for _, m := range s.Moments {
-		row := []string{m.From.String(), fmt.Sprint(m.Asked)}
+	for _, m := range s.Intervals {
+		row := []string{m.Start.String(), fmt.Sprint(m.Attempts)}
 		for _, kind := range []losses.Kind{losses.Late, losses.Refused, losses.Failed, losses.Cut} {
 			row = append(row, fmt.Sprint(m.ByKind[kind]))
 		}
--- a/mimosactl/logtrace/logtrace.go
+++ b/mimosactl/logtrace/logtrace.go
@@ -38,8 +38,8 @@
 type Trace struct {
 	Request string
 	Lines   []Line
-	// Skipped counts lines that are no JSON objects.
-	Skipped int
+	// SkippedLines counts lines that are no JSON objects.
+	SkippedLines int
 }
 
 // Read reads the log of one or more nodes and keeps what concerns a request.
@@ -47,7 +47,7 @@
 func Read(r io.Reader, request string) (*Trace, error) {
 	t := &Trace{Request: request}
 	var beliefs []Line
-	skipped, err := Each(r, func(line Line) {
+	skipped, err := ForEachLine(r, func(line Line) {
 		switch line.Request {
 		case request:
 			t.Lines = append(t.Lines, line)
@@ -58,14 +58,14 @@
 	if err != nil {
 		return nil, err
 	}
-	t.Skipped = skipped
+	t.SkippedLines = skipped
 	t.join(beliefs)
 	return t, nil
 }
 
-// Each gives every line of a log in its order, and counts lines that are no JSON
+// ForEachLine gives every line of a log in its order, and counts lines that are no JSON
 // objects of an event.
-func Each(r io.Reader, take func(Line)) (skipped int, err error) {
+func ForEachLine(r io.Reader, take func(Line)) (skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for place := 0; scanner.Scan(); place++ {
--- a/mimosactl/logtrace/logtrace_test.go
+++ b/mimosactl/logtrace/logtrace_test.go
@@ -35,8 +35,8 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if trace.Skipped != 2 {
-		t.Errorf("%d lines skipped, want the blank one and the one that is no line", trace.Skipped)
+	if trace.SkippedLines != 2 {
+		t.Errorf("%d lines skipped, want the blank one and the one that is no line", trace.SkippedLines)
 	}
 }
 
--- a/mimosactl/losses/losses.go
+++ b/mimosactl/losses/losses.go
@@ -33,31 +33,31 @@
 // Unexplained reports whether the logs do not tell the reason.
 func (c Cause) Unexplained() bool { return c.Reason == "" }
 
-// Moment counts what was lost in a span of time.
-type Moment struct {
-	// From is the time since the log's first request.
-	From   time.Duration
-	Asked  int
-	ByKind map[Kind]int
+// Interval counts what was lost in a span of time.
+type Interval struct {
+	// Start is the time since the log's first request.
+	Start    time.Duration `json:"From"`
+	Attempts int           `json:"Asked"`
+	ByKind   map[Kind]int
 }
 
 // Summary is what logs tell. Requests count once for each try of a caller.
 type Summary struct {
-	// Asked counts all tries that met a route, Lost those without an answer in
+	// Attempts counts all tries that met a route, Lost those without an answer in
 	// time.
-	Asked, Lost int
-	Causes      map[Cause]int
+	Attempts, Lost int
+	Causes         map[Cause]int
 	// Zones counts losses by the node's availability zone, Services by service.
 	Zones, Services map[string]int
-	// Stages counts stages that were led around, by their address.
-	Stages  map[string]int
-	Moments []Moment
-	// Calls counts the calls to the platform's store: all by purpose, and apart
+	// ReplacedStages counts stages that were led around, by their address.
+	ReplacedStages map[string]int
+	Intervals      []Interval
+	// StoreCalls counts the calls to the platform's store: all by purpose, and apart
 	// those refused and those without an answer.
-	Calls map[string]int
-	// Skipped counts lines that are no log lines, Dropped those that a node says
+	StoreCalls map[string]int
+	// SkippedLines counts lines that are no log lines, DroppedLines those that a node says
 	// it left out.
-	Skipped, Dropped int
+	SkippedLines, DroppedLines int
 }
 
 // Unexplained counts the losses without a reason.
@@ -71,8 +71,8 @@
 	return n
 }
 
-// Top gives the causes, the most frequent first.
-func (s *Summary) Top() []Cause {
+// CausesByCount gives the causes, the most frequent first.
+func (s *Summary) CausesByCount() []Cause {
 	return slices.SortedFunc(maps.Keys(s.Causes), func(a, b Cause) int {
 		return cmp.Or(s.Causes[b]-s.Causes[a], cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Reason, b.Reason))
 	})
@@ -93,15 +93,15 @@
 func Read(r io.Reader, span time.Duration) (*Summary, error) {
 	in := &reader{
 		Summary: &Summary{
-			Causes: make(map[Cause]int), Zones: make(map[string]int), Services: make(map[string]int), Stages: make(map[string]int),
-			Calls: make(map[string]int),
+			Causes: make(map[Cause]int), Zones: make(map[string]int), Services: make(map[string]int), ReplacedStages: make(map[string]int),
+			StoreCalls: make(map[string]int),
 		},
 		span:  span,
 		zones: make(map[string]string),
 		open:  make(map[string]map[string]logtrace.Line),
 	}
-	skipped, err := logtrace.Each(r, in.take)
-	in.Skipped = skipped
+	skipped, err := logtrace.ForEachLine(r, in.take)
+	in.SkippedLines = skipped
 	return in.Summary, err
 }
 
@@ -113,7 +113,7 @@
 		r.ended(line.VM, line.At)
 	case "log_lines_dropped":
 		if n, ok := line.Fields["lines"].(float64); ok {
-			r.Dropped += int(n)
+			r.DroppedLines += int(n)
 		}
 	case "store_calls":
 		r.called(line)
@@ -137,7 +137,7 @@
 	calls, _ := line.Fields["calls"].(map[string]any)
 	for name, count := range calls {
 		if n, ok := count.(float64); ok {
-			r.Calls[strings.TrimPrefix(name, "store.")] += int(n)
+			r.StoreCalls[strings.TrimPrefix(name, "store.")] += int(n)
 		}
 	}
 }
@@ -209,8 +209,8 @@
 // count adds one request.
 func (r *reader) count(line logtrace.Line, cause *Cause) {
 	moment := r.moment(line.At)
-	r.Asked++
-	moment.Asked++
+	r.Attempts++
+	moment.Attempts++
 	if cause == nil {
 		return
 	}
@@ -222,15 +222,15 @@
 }
 
 // moment gives the span of time that a time lies in.
-func (r *reader) moment(at time.Time) *Moment {
+func (r *reader) moment(at time.Time) *Interval {
 	if r.first.IsZero() {
 		r.first = at
 	}
 	i := int(max(at.Sub(r.first), 0) / r.span)
-	for len(r.Moments) <= i {
-		r.Moments = append(r.Moments, Moment{From: time.Duration(len(r.Moments)) * r.span, ByKind: make(map[Kind]int)})
+	for len(r.Intervals) <= i {
+		r.Intervals = append(r.Intervals, Interval{Start: time.Duration(len(r.Intervals)) * r.span, ByKind: make(map[Kind]int)})
 	}
-	return &r.Moments[i]
+	return &r.Intervals[i]
 }
 
 // leftStages counts the stages that a request was led around.
@@ -238,7 +238,7 @@
 	kept := addresses(text(line, "chain"))
 	for _, address := range addresses(text(line, "was")) {
 		if !slices.Contains(kept, address) {
-			r.Stages[address]++
+			r.ReplacedStages[address]++
 		}
 	}
 }
--- a/mimosactl/losses/losses_test.go
+++ b/mimosactl/losses/losses_test.go
@@ -39,22 +39,22 @@
 	if diff := cmp.Diff(want, s.Causes); diff != "" {
 		t.Error(diff)
 	}
-	if s.Asked != 7 || s.Lost != 5 || s.Unexplained() != 1 || s.Skipped != 1 || s.Dropped != 7 {
+	if s.Attempts != 7 || s.Lost != 5 || s.Unexplained() != 1 || s.SkippedLines != 1 || s.DroppedLines != 7 {
 		t.Errorf("%+v", s)
 	}
 	if diff := cmp.Diff(map[string]int{"z1": 1, "z2": 4}, s.Zones); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(map[string]int{"calls.watch_config": 5, "refused.watch_config": 1}, s.Calls); diff != "" {
+	if diff := cmp.Diff(map[string]int{"calls.watch_config": 5, "refused.watch_config": 1}, s.StoreCalls); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(map[string]int{"1.1.1.2:1": 1}, s.Stages); diff != "" {
+	if diff := cmp.Diff(map[string]int{"1.1.1.2:1": 1}, s.ReplacedStages); diff != "" {
 		t.Error(diff)
 	}
 	total := 0
-	for i, m := range s.Moments {
-		if m.From != time.Duration(i)*2*time.Second {
-			t.Errorf("moment %d begins at %v", i, m.From)
+	for i, m := range s.Intervals {
+		if m.Start != time.Duration(i)*2*time.Second {
+			t.Errorf("moment %d begins at %v", i, m.Start)
 		}
 		for _, n := range m.ByKind {
 			total += n
@@ -63,14 +63,14 @@
 	if total != s.Lost {
 		t.Errorf("moments hold %d losses of %d", total, s.Lost)
 	}
-	if top := s.Top(); len(top) != 5 || top[0].Kind != Cut {
+	if top := s.CausesByCount(); len(top) != 5 || top[0].Kind != Cut {
 		t.Errorf("top %v", top)
 	}
 }
 
 func TestEmptyLogIsNoLoss(t *testing.T) {
 	s, err := Read(strings.NewReader(""), time.Second)
-	if err != nil || s.Asked != 0 || len(s.Moments) != 0 {
+	if err != nil || s.Attempts != 0 || len(s.Intervals) != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
