--- a/mimosactl/app/diff.go
+++ b/mimosactl/app/diff.go
@@ -35,12 +35,12 @@
 	}
 }
 
-// DifferError tells that a file and the published document differ; given only
+// DocumentsDifferError tells that a file and the published document differ; given only
 // where asked for.
-type DifferError struct{ Key string }
+type DocumentsDifferError struct{ Key string }
 
 // Error implements error.
-func (e *DifferError) Error() string { return e.Key + " differs from what is published" }
+func (e *DocumentsDifferError) Error() string { return e.Key + " differs from what is published" }
 
 // comparison is the result of a diff.
 type comparison struct {
@@ -65,7 +65,7 @@
 		}
 		err = c.env.print(result, func(w io.Writer) { _, _ = io.WriteString(w, result.Diff) })
 		if err == nil && result.Differs && c.ExitCode {
-			return &DifferError{Key: result.Key}
+			return &DocumentsDifferError{Key: result.Key}
 		}
 		return err
 	})
--- a/mimosactl/app/losses.go
+++ b/mimosactl/app/losses.go
@@ -32,16 +32,16 @@
 	}
 }
 
-// SpanError tells that a span of time cannot be used.
-type SpanError struct{ Span time.Duration }
+// InvalidSpanError tells that a span of time cannot be used.
+type InvalidSpanError struct{ Span time.Duration }
 
 // Error implements error.
-func (e *SpanError) Error() string { return "span " + e.Span.String() + " is not above 0" }
+func (e *InvalidSpanError) Error() string { return "span " + e.Span.String() + " is not above 0" }
 
 // Execute implements flags.Commander.
 func (c *lossesCommand) Execute([]string) error {
 	if c.Span <= 0 {
-		return &SpanError{c.Span}
+		return &InvalidSpanError{c.Span}
 	}
 	in, name, done, err := openLogs(c.Args.Files)
 	if err != nil {
@@ -50,7 +50,7 @@
 	defer done()
 	sum, err := losses.Read(in, c.Span)
 	if err != nil {
-		return &LogError{File: name, Cause: err}
+		return &LogReadError{File: name, Cause: err}
 	}
 	return c.env.print(lossReportOf(sum), func(w io.Writer) { printLosses(w, sum) })
 }
--- a/mimosactl/app/operators.go
+++ b/mimosactl/app/operators.go
@@ -24,7 +24,7 @@
 	if len(o.Operators) == 0 {
 		return nil, &UsageError{Message: "--operators names no address"}
 	}
-	return operator.New(operator.Keys{CA: o.CA, Cert: o.Cert, Key: o.Key}, o.Timeout)
+	return operator.New(operator.TLSFiles{CA: o.CA, Cert: o.Cert, Key: o.Key}, o.Timeout)
 }
 
 // answer is what one node said.
--- a/mimosactl/app/trace.go
+++ b/mimosactl/app/trace.go
@@ -33,17 +33,17 @@
 	}
 }
 
-// LogError tells that a log could not be read.
-type LogError struct {
+// LogReadError tells that a log could not be read.
+type LogReadError struct {
 	File  string
 	Cause error
 }
 
 // Error implements error.
-func (e *LogError) Error() string { return "log " + e.File + ": " + e.Cause.Error() }
+func (e *LogReadError) Error() string { return "log " + e.File + ": " + e.Cause.Error() }
 
 // Unwrap gives the cause.
-func (e *LogError) Unwrap() error { return e.Cause }
+func (e *LogReadError) Unwrap() error { return e.Cause }
 
 // Execute implements flags.Commander.
 func (c *traceCommand) Execute([]string) error {
@@ -54,7 +54,7 @@
 	defer done()
 	trace, err := logtrace.Read(in, c.Args.Request)
 	if err != nil {
-		return &LogError{File: name, Cause: err}
+		return &LogReadError{File: name, Cause: err}
 	}
 	if len(trace.Lines) == 0 {
 		return &NoDecisionError{ID: ids.Request(c.Args.Request)}
@@ -79,7 +79,7 @@
 		f, err := os.Open(path)
 		if err != nil {
 			done()
-			return nil, "", nil, &LogError{File: path, Cause: err}
+			return nil, "", nil, &LogReadError{File: path, Cause: err}
 		}
 		files = append(files, f)
 		readers = append(readers, f)
--- a/mimosactl/demo/demo.go
+++ b/mimosactl/demo/demo.go
@@ -37,15 +37,15 @@
 	readyWithin = 10 * time.Second
 )
 
-// AnswerError tells that a request of the demo was not answered as it should.
-type AnswerError struct {
-	What   string
+// IncompleteAnswerError tells that a request of the demo was not answered as it should.
+type IncompleteAnswerError struct {
+	Request   string
 	Result client.Result
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
-	return fmt.Sprintf("%s: outcome %s, reason %s %s", e.What, e.Result.Outcome, e.Result.Reason, e.Result.Message)
+func (e *IncompleteAnswerError) Error() string {
+	return fmt.Sprintf("%s: outcome %s, reason %s %s", e.Request, e.Result.Outcome, e.Result.Reason, e.Result.Message)
 }
 
 // Run runs the demo and prints to out. It leaves nothing running. Log lines
@@ -191,7 +191,7 @@
 // check keeps a request for the explanation, if it was answered whole.
 func (d *demo) check(what string, result client.Result) error {
 	if result.Outcome != outcome.Complete {
-		return &AnswerError{What: what, Result: result}
+		return &IncompleteAnswerError{Request: what, Result: result}
 	}
 	d.requests = append(d.requests, result.Request)
 	return nil
--- a/mimosactl/operator/client.go
+++ b/mimosactl/operator/client.go
@@ -45,14 +45,14 @@
 // Unwrap gives the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Keys names the PEM files for nodes whose operator port wants TLS. All empty
+// TLSFiles names the PEM files for nodes whose operator port wants TLS. All empty
 // means plain TCP.
-type Keys struct{ CA, Cert, Key string }
+type TLSFiles struct{ CA, Cert, Key string }
 
 // config makes the TLS settings; nil for plain TCP. The error is an
 // *identity.FileError.
-func (k Keys) config() (*tls.Config, error) {
-	if k == (Keys{}) {
+func (k TLSFiles) config() (*tls.Config, error) {
+	if k == (TLSFiles{}) {
 		return nil, nil
 	}
 	own, err := identity.Load(k.CA, k.Cert, k.Key)
@@ -71,7 +71,7 @@
 
 // New makes a Client whose calls take at most timeout. The error is an
 // *identity.FileError.
-func New(keys Keys, timeout time.Duration) (*Client, error) {
+func New(keys TLSFiles, timeout time.Duration) (*Client, error) {
 	config, err := keys.config()
 	if err != nil {
 		return nil, err
