--- a/mimosactl/answers/answers.go
+++ b/mimosactl/answers/answers.go
@@ -1,5 +1,5 @@
-// Package answers knows what the stand-ins answer, so that a run of load
-// against them can check every answer.
+// Package answers computes the expected answers of the stand-in engines and
+// plain services, so that a load run against them can verify every answer.
 package answers
 
 import (
@@ -14,11 +14,12 @@
 	"mimosaarch.example/standin/plain"
 )
 
-// Checker implements load.Checker for the stand-ins. Any goroutine may use it.
+// Checker implements load.Checker for the stand-ins. It is safe for concurrent
+// use.
 type Checker struct{}
 
-// Chat implements load.Checker: an answer is the known text for its prompt,
-// and what came of a cut one is the start of it.
+// Chat implements load.Checker. A complete answer must equal the stand-in's text
+// for the prompt; an incomplete one must be a prefix of it.
 func (Checker) Chat(messages []engineapi.Message, maxTokens int, text string, whole bool) bool {
 	want := engine.Answer(messages, maxTokens)
 	if whole {
@@ -27,8 +28,8 @@
 	return strings.HasPrefix(want, text)
 }
 
-// Plain implements load.Checker: a booking has a receipt and was executed
-// once; a reading has an answer.
+// Plain implements load.Checker. A POST, which creates a booking, must return
+// 201, a receipt and an execution count of 1. Any other method must return 200.
 func (Checker) Plain(call client.Plain, status int, body []byte) bool {
 	if call.Method != fasthttp.MethodPost {
 		return status == fasthttp.StatusOK
--- a/mimosactl/app/app.go
+++ b/mimosactl/app/app.go
@@ -1,5 +1,5 @@
-// Package app is the command line of mimosactl, apart from its main package
-// so that scenario tests can run it as a command.
+// Package app implements the command line of mimosactl. It is separate from the
+// main package so that scenario tests can run mimosactl as a command.
 package app
 
 import (
@@ -8,26 +8,27 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Main runs mimosactl and gives its exit code.
+// Main runs mimosactl with args, which exclude the program name, and returns its
+// exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	e := &env{stdout: stdout, stderr: stderr}
 	parser := flags.NewNamedParser("mimosactl", flags.HelpFlag|flags.PassDoubleDash)
-	parser.ShortDescription = "the operators' tool of mimosaarch"
+	parser.ShortDescription = "command-line tool for operating mimosaarch"
 	if _, err := parser.AddGroup("General", "Options of every command", &e.general); err != nil {
-		return e.end(err)
+		return e.reportError(err)
 	}
 	if err := addCommands(parser.Command, e.commands()); err != nil {
-		return e.end(err)
+		return e.reportError(err)
 	}
 	parser.CommandHandler = execute
 	_, err := parser.ParseArgs(args)
-	return e.end(err)
+	return e.reportError(err)
 }
 
-// execute runs a command, unless arguments are left that it doesn't take.
-func execute(command flags.Commander, left []string) error {
-	if len(left) > 0 {
-		return &UsageError{Message: "unexpected argument " + left[0]}
+// execute runs a command. It returns a *UsageError if arguments are left over.
+func execute(command flags.Commander, rest []string) error {
+	if len(rest) > 0 {
+		return &UsageError{Message: "unexpected argument " + rest[0]}
 	}
 	if command == nil {
 		return nil
@@ -35,16 +36,16 @@
 	return command.Execute(nil)
 }
 
-// command is one command of the command line.
+// command describes a command or a group of subcommands.
 type command struct {
 	name, short, long string
-	// data has the command's options; it is a flags.Commander unless there
-	// are commands below it.
-	data  any
-	below []command
+	// data holds the command's options. It implements flags.Commander unless
+	// the command has subcommands.
+	data        any
+	subcommands []command
 }
 
-// commands lists the commands.
+// commands returns the top-level commands.
 func (e *env) commands() []command {
 	return []command{
 		e.profile(),
@@ -59,14 +60,14 @@
 	}
 }
 
-// addCommands adds commands and those below them.
+// addCommands adds commands and their subcommands to parent.
 func addCommands(parent *flags.Command, commands []command) error {
 	for _, c := range commands {
 		added, err := parent.AddCommand(c.name, c.short, c.long, c.data)
 		if err != nil {
 			return err
 		}
-		if err := addCommands(added, c.below); err != nil {
+		if err := addCommands(added, c.subcommands); err != nil {
 			return err
 		}
 	}
--- a/mimosactl/app/demo.go
+++ b/mimosactl/app/demo.go
@@ -8,19 +8,19 @@
 	"mimosaarch.example/mimosactl/demo"
 )
 
-// demoCommand is "mimosactl demo".
+// demoCommand holds the options of "mimosactl demo".
 type demoCommand struct {
 	env *env
 
 	Verbose bool `short:"v" long:"verbose" description:"print the node's log"`
 }
 
-// demo describes the command.
+// demo returns the description of the demo command.
 func (e *env) demo() command {
 	return command{
 		name:  "demo",
-		short: "Serve a draft and a booking in one process",
-		long:  "Runs a node with stand-ins of everything around it, serves a draft and a booking, and shows how they were routed.",
+		short: "Serve two example requests in one process",
+		long:  "Runs a node with a stand-in platform, engines and plain services, serves a model request (a draft) and a plain request (a booking), and shows how they were routed.",
 		data:  &demoCommand{env: e},
 	}
 }
--- a/mimosactl/app/diff.go
+++ b/mimosactl/app/diff.go
@@ -12,43 +12,44 @@
 	"mimosaarch.example/mimosactl/documents"
 )
 
-// diffCommand is "mimosactl profile diff".
+// diffCommand holds the options of "mimosactl profile diff".
 type diffCommand struct {
 	env *env
 	platformOptions
 
-	ExitCode bool `long:"exit-code" description:"exit with 1 when they differ"`
+	ExitCode bool `long:"exit-code" description:"exit with 1 if the documents differ"`
 
 	Args struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// diff describes the command.
+// diff returns the description of the diff command.
 func (e *env) diff() command {
 	return command{
 		name:  "diff",
-		short: "Compare a file with what is published",
-		long: "Compares the document in a file with the published one of the same kind and name, both with their defaults. " +
-			"Change ids and comments are left out.",
+		short: "Compare a file with the published document",
+		long: "Compares the document in a file with the published one of the same kind and name, both with their defaults filled in. " +
+			"Change IDs and comments are ignored.",
 		data: &diffCommand{env: e},
 	}
 }
 
-// DocumentsDifferError tells that a file and the published document differ; given only
-// where asked for.
+// DocumentsDifferError reports that a file and the published document differ.
+// It is returned only with --exit-code.
 type DocumentsDifferError struct{ Key string }
 
 // Error implements error.
-func (e *DocumentsDifferError) Error() string { return e.Key + " differs from what is published" }
+func (e *DocumentsDifferError) Error() string { return e.Key + " differs from the published document" }
 
-// comparison is the result of a diff.
+// comparison is the result of comparing a file with the published document.
 type comparison struct {
 	Key string `json:"key"`
-	// Version is the published one; 0 when none is published.
+	// Version is the version of the published document; 0 if there is none.
 	Version int64 `json:"version"`
 	Differs bool  `json:"differs"`
-	// Diff is a unified diff from the published document to the file.
+	// Diff is a unified diff from the published document to the file; empty if
+	// they are equal.
 	Diff string `json:"diff"`
 }
 
@@ -58,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	return c.with(func(ctx context.Context, client *platform.Client) error {
+	return c.withClient(func(ctx context.Context, client *platform.Client) error {
 		result, err := compare(ctx, client, file)
 		if err != nil {
 			return err
@@ -71,10 +72,11 @@
 	})
 }
 
-// compare compares a file with the published document.
+// compare compares a file with the published document of the same key. A
+// missing document counts as empty.
 func compare(ctx context.Context, client *platform.Client, file documents.File) (comparison, error) {
 	result := comparison{Key: file.Key()}
-	ours, err := fleet.Encode(file.Document.WithChange(""))
+	local, err := fleet.Encode(file.Document.WithChange(""))
 	if err != nil {
 		return result, err
 	}
@@ -84,15 +86,15 @@
 		return result, err
 	}
 	result.Version = object.Version
-	theirs := withoutChange(object.Value)
-	result.Diff = string(diff.Diff("published "+file.Key()+" "+version(object.Version), theirs, file.Path, ours))
+	remote := stripChangeID(object.Value)
+	result.Diff = string(diff.Diff("published "+file.Key()+" "+versionText(object.Version), remote, file.Path, local))
 	result.Differs = result.Diff != ""
 	return result, nil
 }
 
-// withoutChange gives a published document in the form that publishing writes,
-// without its change id; a value that does not parse stays as it is.
-func withoutChange(value []byte) []byte {
+// stripChangeID re-encodes a published document without its change ID, in the
+// form that publish writes. It returns a value that does not parse unchanged.
+func stripChangeID(value []byte) []byte {
 	doc, err := fleet.Parse(value)
 	if err != nil {
 		return value
--- a/mimosactl/app/env.go
+++ b/mimosactl/app/env.go
@@ -7,15 +7,15 @@
 	"text/tabwriter"
 )
 
-// Formats of results.
+// outputJSON selects JSON as the format of results and errors.
 const outputJSON = "json"
 
-// general are the options of every command.
+// general holds the options that every command accepts.
 type general struct {
-	Output string `long:"output" choice:"text" choice:"json" default:"text" description:"format of results and failures"`
+	Output string `long:"output" choice:"text" choice:"json" default:"text" description:"format of results and errors"`
 }
 
-// env is what all commands share.
+// env holds the general options and output streams shared by all commands.
 type env struct {
 	general        general
 	stdout, stderr io.Writer
@@ -24,7 +24,7 @@
 // json reports whether results are printed as JSON.
 func (e *env) json() bool { return e.general.Output == outputJSON }
 
-// print prints a result as JSON, or by the function given as text.
+// print writes a result to stdout, as indented JSON or with the function text.
 func (e *env) print(result any, text func(w io.Writer)) error {
 	if !e.json() {
 		text(e.stdout)
@@ -35,20 +35,20 @@
 	return encoder.Encode(result)
 }
 
-// cellPadding is the space between columns.
+// cellPadding is the number of spaces between columns.
 const cellPadding = 2
 
-// table prints rows in aligned columns.
+// table writes rows to w in aligned columns.
 func table(w io.Writer, rows [][]string) {
 	t := tabwriter.NewWriter(w, 0, 0, cellPadding, ' ', 0)
 	for _, row := range rows {
-		// Writing to a tabwriter fails only when w does.
+		// A tabwriter write fails only if writing to w fails.
 		_, _ = io.WriteString(t, strings.Join(row, "\t")+"\n")
 	}
 	_ = t.Flush()
 }
 
-// addresses is an option given once with commas, or several times.
+// addresses is an option that takes a comma-separated list and may be repeated.
 type addresses []string
 
 // UnmarshalFlag implements flags.Unmarshaler.
--- a/mimosactl/app/exit.go
+++ b/mimosactl/app/exit.go
@@ -12,42 +12,43 @@
 	"mimosaarch.example/mimosactl/documents"
 )
 
-// Exit codes of mimosactl. Scripts may rely on them.
+// Exit codes of mimosactl. They are stable, so scripts may rely on them.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
-	// ExitFailed: not done, and nothing is in doubt.
+	// ExitFailed: the command failed, and no write has an unknown result.
 	ExitFailed = 1
-	// ExitUsage: the command line is wrong; nothing was tried.
+	// ExitUsage: the command line is invalid; nothing was attempted.
 	ExitUsage = 2
-	// ExitInvalid: a document is not valid; nothing was written.
+	// ExitInvalid: a document is invalid; nothing was written.
 	ExitInvalid = 3
-	// ExitConflict: a newer version stands, which the message names.
+	// ExitConflict: the published version is not the expected one; the message
+	// names the current version.
 	ExitConflict = 4
-	// ExitUnknown: a publish may have taken effect or not; the message names
-	// the change id to look for.
+	// ExitUnknown: it is unknown whether a publish took effect; the message
+	// names the change ID to look for.
 	ExitUnknown = 5
-	// ExitNotComplete: a request sent for trying had another outcome than
-	// complete.
+	// ExitNotComplete: a request sent by "mimosactl send" had an outcome other
+	// than complete.
 	ExitNotComplete = 6
 )
 
-// exitNames name the codes in JSON.
+// exitNames maps exit codes to their names in JSON.
 var exitNames = [...]string{"ok", "failed", "usage", "invalid", "conflict", "unknown", "not_complete"}
 
-// exitHelp is the part of the help that tells the exit codes.
-const exitHelp = `Exit codes: 0 done; 1 failed; 2 wrong command line; 3 invalid document, nothing
-written; 4 conflict, a newer version stands; 5 unknown, a publish is not
-settled; 6 the outcome of a request sent is not complete.`
+// exitHelp is the section of the help text that lists the exit codes.
+const exitHelp = `Exit codes: 0 success; 1 failure; 2 invalid command line; 3 invalid document,
+nothing written; 4 conflict with the published version; 5 unknown whether a
+publish took effect; 6 a request sent has an outcome other than complete.`
 
-// UsageError tells that a command line is wrong in a way that the parser of
-// options can't see.
+// UsageError reports an invalid command line that the option parser cannot
+// detect.
 type UsageError struct{ Message string }
 
 // Error implements error.
 func (e *UsageError) Error() string { return e.Message }
 
-// exitCode gives the code for an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	switch {
 	case err == nil:
@@ -66,25 +67,26 @@
 	return ExitFailed
 }
 
-// isA reports whether err wraps an error of type T.
+// isA reports whether err is or wraps an error of type T.
 func isA[T error](err error) bool {
 	var target T
 	return errors.As(err, &target)
 }
 
-// failure is a failed command in JSON.
+// failure is the JSON form of a command's error.
 type failure struct {
 	Error struct {
 		Exit    int    `json:"exit"`
 		Name    string `json:"name"`
 		Message string `json:"message"`
-		// Cause has the fields of the typed error.
+		// Cause holds the fields of the typed error; set only for conflicts.
 		Cause error `json:"cause,omitempty"`
 	} `json:"error"`
 }
 
-// end prints what went wrong and gives the exit code.
-func (e *env) end(err error) int {
+// reportError prints err, or the help text if it was requested, and returns the
+// exit code.
+func (e *env) reportError(err error) int {
 	var usage *flags.Error
 	if errors.As(err, &usage) && usage.Type == flags.ErrHelp {
 		fmt.Fprintf(e.stdout, "%s\n%s\n", usage.Message, exitHelp)
--- a/mimosactl/app/fleet_test.go
+++ b/mimosactl/app/fleet_test.go
@@ -16,7 +16,7 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-// startFleet starts stand-ins and a node, publishes the demo's documents with
+// startFleet starts the stand-ins and a node, publishes the demo's documents with
 // mimosactl and waits until the node is ready.
 func startFleet(t *testing.T) *node.Node {
 	t.Helper()
@@ -27,7 +27,7 @@
 	t.Cleanup(f.Close)
 	t.Setenv("MIMOSACTL_PLATFORM", f.Platform.Addr())
 	const config = "../demo/config/"
-	want(t, ExitOK, "profile", "publish",
+	expectExit(t, ExitOK, "profile", "publish",
 		config+"accounts.yaml", config+"booking.yaml", config+"drafts.yaml", config+"profile.yaml")
 	s := settings.Settings{
 		VM:       "szeged-a-1",
@@ -52,8 +52,8 @@
 	return n
 }
 
-// read parses what a command printed.
-func read[T any](t *testing.T, text string) T {
+// parseJSON parses the JSON output of a command.
+func parseJSON[T any](t *testing.T, text string) T {
 	t.Helper()
 	var value T
 	if err := json.Unmarshal([]byte(text), &value); err != nil {
@@ -68,28 +68,28 @@
 	t.Setenv("MIMOSACTL_NODE", n.CallerAddr())
 	t.Setenv("MIMOSACTL_ACCOUNT_KEY", "demo-key")
 
-	stdout, _ := want(t, ExitOK, "--output", "json", "send", "--service", standins.ModelService, "--max-tokens", "5", "slots of Ms Nagy")
-	answer := read[sent](t, stdout)
+	stdout, _ := expectExit(t, ExitOK, "--output", "json", "send", "--service", standins.ModelService, "--max-tokens", "5", "slots of Ms Nagy")
+	answer := parseJSON[sendResult](t, stdout)
 	expected := engine.Answer([]engineapi.Message{{Role: "user", Content: "slots of Ms Nagy"}}, 5)
 	if answer.Outcome != outcome.Complete || answer.Text != expected || answer.Request == "" {
 		t.Errorf("answer is %+v, want %q", answer, expected)
 	}
-	want(t, ExitOK, "send", "--service", standins.PlainService, "--path", "/bookings", "--method", "POST",
+	expectExit(t, ExitOK, "send", "--service", standins.PlainService, "--path", "/bookings", "--method", "POST",
 		"--body", `{"slot":"17:10"}`, "--idempotency-key", "k1")
-	want(t, ExitNotComplete, "send", "--service", "nothing", "slots")
+	expectExit(t, ExitNotComplete, "send", "--service", "nothing", "slots")
 
-	stdout, _ = want(t, ExitOK, "--output", "json", "explain", string(answer.Request))
-	steps := read[[]router.Decision](t, stdout)
+	stdout, _ = expectExit(t, ExitOK, "--output", "json", "explain", string(answer.Request))
+	steps := parseJSON[[]router.Decision](t, stdout)
 	if len(steps) < 3 || steps[0].Step != router.StepAdmitted || steps[len(steps)-1].Step != router.StepFinished {
 		t.Errorf("decisions are %+v, want admitted first and finished last", steps)
 	}
-	want(t, ExitFailed, "explain", "szeged-a-1-none-1")
+	expectExit(t, ExitFailed, "explain", "szeged-a-1-none-1")
 
-	stdout, _ = want(t, ExitOK, "--output", "json", "status")
-	s := read[fleetStatus](t, stdout)
+	stdout, _ = expectExit(t, ExitOK, "--output", "json", "status")
+	s := parseJSON[fleetStatus](t, stdout)
 	if len(s.Nodes) != 1 || !s.Nodes[0].Ready || len(s.Nodes[0].Upstreams) != 12 || len(s.Nodes[0].Config.Objects) != 4 {
 		t.Errorf("status is %s, want a ready node with 12 upstreams and 4 documents", stdout)
 	}
-	stdout, _ = want(t, ExitOK, "status")
+	stdout, _ = expectExit(t, ExitOK, "status")
 	t.Log(stdout)
 }
--- a/mimosactl/app/list.go
+++ b/mimosactl/app/list.go
@@ -9,25 +9,25 @@
 	"mimosaarch.example/core/fleet"
 )
 
-// listCommand is "mimosactl profile list".
+// listCommand holds the options of "mimosactl profile list".
 type listCommand struct {
 	env *env
 	platformOptions
 }
 
-// list describes the command.
+// list returns the description of the list command.
 func (e *env) list() command {
 	return command{
 		name:  "list",
 		short: "List the published documents",
-		long:  "Lists the published documents of every kind with their versions and change ids.",
+		long:  "Lists the published documents of every kind with their versions and change IDs.",
 		data:  &listCommand{env: e},
 	}
 }
 
 // Execute implements flags.Commander.
 func (c *listCommand) Execute([]string) error {
-	return c.with(func(ctx context.Context, client *platform.Client) error {
+	return c.withClient(func(ctx context.Context, client *platform.Client) error {
 		reply, err := client.List(ctx, fleet.ConfigPrefix)
 		if err != nil {
 			return err
@@ -35,15 +35,15 @@
 		all := []published{}
 		for _, object := range reply.Objects {
 			if !object.Deleted {
-				all = append(all, describe(object))
+				all = append(all, newPublished(object))
 			}
 		}
-		return c.env.print(all, func(w io.Writer) { tableOf(w, all) })
+		return c.env.print(all, func(w io.Writer) { printPublished(w, all) })
 	})
 }
 
-// tableOf prints published documents as a table.
-func tableOf(w io.Writer, all []published) {
+// printPublished prints published documents as a table.
+func printPublished(w io.Writer, all []published) {
 	rows := [][]string{{"KEY", "VERSION", "CHANGE", ""}}
 	for _, p := range all {
 		note := ""
--- a/mimosactl/app/load.go
+++ b/mimosactl/app/load.go
@@ -13,39 +13,39 @@
 	"mimosaarch.example/mimosactl/documents"
 )
 
-// loadCommand is "mimosactl load".
+// loadCommand holds the options of "mimosactl load".
 type loadCommand struct {
 	env *env
 	mixOptions
 
-	Nodes    addresses     `long:"nodes" env:"MIMOSACTL_NODES" required:"yes" value-name:"ADDR" description:"nodes' ports for callers, used in rotation; several with commas"`
-	Accounts []string      `long:"account" env:"MIMOSACTL_ACCOUNTS" env-delim:"," value-name:"KEY[:WEIGHT]" description:"bearer key of an account with its weight; may be repeated; better given in the environment"`
-	Model    string        `long:"model" default:"mimosa-drafts" description:"model service"`
-	Plain    string        `long:"plain" default:"booking-api" description:"plain service"`
-	Rate     float64       `long:"rate" default:"10" description:"requests a second, at the peak"`
-	Callers  int           `long:"callers" description:"instead of a rate: callers who each send when their last answer has ended"`
+	Nodes    addresses     `long:"nodes" env:"MIMOSACTL_NODES" required:"yes" value-name:"ADDR" description:"nodes' caller addresses, used in rotation; separate several with commas"`
+	Accounts []string      `long:"account" env:"MIMOSACTL_ACCOUNTS" env-delim:"," value-name:"KEY[:WEIGHT]" description:"bearer key of an account and its share of the requests; may be repeated; prefer the environment variable"`
+	Model    string        `long:"model" default:"mimosa-drafts" description:"name of the model service"`
+	Plain    string        `long:"plain" default:"booking-api" description:"name of the plain service"`
+	Rate     float64       `long:"rate" default:"10" description:"requests per second, at the peak"`
+	Callers  int           `long:"callers" description:"number of callers that each send the next request when the last one has ended; replaces the rate"`
 	For      time.Duration `long:"for" default:"10s" description:"length of the run"`
-	Warmup   time.Duration `long:"warmup" default:"2s" description:"first part of the run that is not measured"`
-	Bound    float64       `long:"bound" description:"tokens a second that the hardware allows, to report the share of"`
-	InFlight int           `long:"max-in-flight" default:"4096" description:"most requests in flight; more are not sent, and reported so"`
-	Timeout  time.Duration `long:"timeout" default:"60s" description:"time to wait for an answer"`
-	NoCheck  bool          `long:"no-check" description:"don't check answers against what the stand-ins say"`
+	Warmup   time.Duration `long:"warmup" default:"2s" description:"initial part of the run that is not measured"`
+	Bound    float64       `long:"bound" description:"tokens per second that the hardware allows; the report compares the throughput with it"`
+	InFlight int           `long:"max-in-flight" default:"4096" description:"maximum requests in flight; further ones are reported as not sent"`
+	Timeout  time.Duration `long:"timeout" default:"60s" description:"timeout of each request"`
+	NoCheck  bool          `long:"no-check" description:"don't check answers against the expected answers of the stand-ins"`
 }
 
-// load describes the command.
+// load returns the description of the load command.
 func (e *env) load() command {
 	return command{
 		name:  "load",
-		short: "Send requests by a schedule and report",
-		long: "Sends requests to nodes at a rate, whatever became of earlier ones, or from a fixed count of callers; checks every answer; " +
-			"prints progress each second on stderr, and then throughput, latencies and outcomes.",
+		short: "Send requests on a schedule and report the results",
+		long: "Sends requests to nodes at a given rate, independent of earlier answers, or from a fixed number of callers. Checks every answer, " +
+			"prints progress to stderr each second, and then prints throughput, latencies and outcomes.",
 		data: &loadCommand{env: e},
 	}
 }
 
 // Execute implements flags.Commander.
 func (c *loadCommand) Execute([]string) error {
-	settings, err := c.settings()
+	settings, err := c.loadSettings()
 	if err != nil {
 		return err
 	}
@@ -55,9 +55,9 @@
 	if err != nil {
 		return &UsageError{Message: err.Error()}
 	}
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
-	load.Watch(ctx, run, c.env.progress)
+	load.Watch(ctx, run, c.env.printProgress)
 	result := recorder.Report()
 	if err := c.env.print(result, func(w io.Writer) { result.Text(w) }); err != nil {
 		return err
@@ -65,12 +65,13 @@
 	return c.plot(result)
 }
 
-// settings makes the settings of the run, without its observer.
-func (c *loadCommand) settings() (load.Settings, error) {
+// loadSettings returns the settings of the load run, without its observer. The
+// error is a *UsageError.
+func (c *loadCommand) loadSettings() (load.Settings, error) {
 	if c.Warmup < 0 || c.Warmup >= c.For {
 		return load.Settings{}, &UsageError{Message: "--warmup must be less than --for"}
 	}
-	accounts, err := readAccounts(c.Accounts)
+	accounts, err := parseAccounts(c.Accounts)
 	if err != nil {
 		return load.Settings{}, err
 	}
@@ -83,7 +84,7 @@
 		MaxInFlight: c.InFlight,
 		Timeout:     c.Timeout,
 		Deadline:    c.Deadline,
-		Returns:     c.Returns,
+		Returns:     c.MaxRetries,
 	}
 	s.Mix.Model = ids.Service(c.Model)
 	s.Mix.Plain = ids.Service(c.Plain)
@@ -95,8 +96,9 @@
 	return s, nil
 }
 
-// readAccounts reads keys with weights.
-func readAccounts(values []string) ([]load.Account, error) {
+// parseAccounts parses values of the form KEY or KEY:WEIGHT. The default weight is
+// 1. The error is a *UsageError.
+func parseAccounts(values []string) ([]load.Account, error) {
 	var out []load.Account
 	for _, value := range values {
 		key, weight, weighted := strings.Cut(value, ":")
@@ -104,7 +106,7 @@
 		if weighted {
 			n, err := strconv.Atoi(weight)
 			if err != nil || n < 1 {
-				return nil, &UsageError{Message: "--account: want KEY or KEY:WEIGHT, the weight a number from 1"}
+				return nil, &UsageError{Message: "--account: expected KEY or KEY:WEIGHT with a weight of at least 1"}
 			}
 			a.Weight = n
 		}
--- a/mimosactl/app/load_test.go
+++ b/mimosactl/app/load_test.go
@@ -13,9 +13,9 @@
 
 func TestLoadReportsOutcomes(t *testing.T) {
 	refusal := map[string]any{"error": map[string]any{"outcome": "not_run", "reason": "queue_full"}}
-	address := serve(t, map[string]any{"/v1/services/booking-api/slots": refusal})
+	address := serveJSON(t, map[string]any{"/v1/services/booking-api/slots": refusal})
 	plot := filepath.Join(t.TempDir(), "plot.svg")
-	stdout, stderr := want(t, ExitOK, "--output", "json", "load", "--nodes", address, "--rate", "200", "--for", "300ms",
+	stdout, stderr := expectExit(t, ExitOK, "--output", "json", "load", "--nodes", address, "--rate", "200", "--for", "300ms",
 		"--warmup", "100ms", "--bound", "100", "--plain-share", "1", "--write-share", "0", "--account", "a:3", "--account", "b", "--plot", plot)
 	var r report.Report
 	if err := json.Unmarshal([]byte(stdout), &r); err != nil {
@@ -44,6 +44,6 @@
 		{"bench", "--strategy", "best"},
 		{"bench", "--load", "0"},
 	} {
-		want(t, ExitUsage, args...)
+		expectExit(t, ExitUsage, args...)
 	}
 }
--- a/mimosactl/app/losses.go
+++ b/mimosactl/app/losses.go
@@ -11,28 +11,28 @@
 	"mimosaarch.example/mimosactl/losses"
 )
 
-// lossesCommand is "mimosactl losses".
+// lossesCommand holds the options of "mimosactl losses".
 type lossesCommand struct {
 	env *env
 
-	Span time.Duration `long:"span" default:"2s" description:"length of the spans of time that are told apart"`
+	Span time.Duration `long:"span" default:"2s" description:"length of the time intervals that losses are grouped by"`
 	Args struct {
 		Files []string `positional-arg-name:"FILE"`
 	} `positional-args:"yes"`
 }
 
-// losses describes the command.
+// losses returns the description of the losses command.
 func (e *env) losses() command {
 	return command{
 		name:  "losses",
-		short: "Sum up late, refused and cut answers from the logs of nodes",
-		long: "Reads the logs of nodes from files, or from standard input, and sums the requests that were not answered " +
-			"in time: by cause, moment, availability zone, service, and stage that was led around.",
+		short: "Summarize late, refused, failed and cut answers from node logs",
+		long: "Reads node logs from files or standard input and counts the requests that were not answered in time " +
+			"by cause, time interval, availability zone and service. Also counts the stages that requests were rerouted around.",
 		data: &lossesCommand{env: e},
 	}
 }
 
-// InvalidSpanError tells that a span of time cannot be used.
+// InvalidSpanError reports that the interval length is not positive.
 type InvalidSpanError struct{ Span time.Duration }
 
 // Error implements error.
@@ -43,19 +43,19 @@
 	if c.Span <= 0 {
 		return &InvalidSpanError{c.Span}
 	}
-	in, name, done, err := openLogs(c.Args.Files)
+	in, name, closeLogs, err := openLogs(c.Args.Files)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeLogs()
 	sum, err := losses.Read(in, c.Span)
 	if err != nil {
 		return &LogReadError{File: name, Cause: err}
 	}
-	return c.env.print(lossReportOf(sum), func(w io.Writer) { printLosses(w, sum) })
+	return c.env.print(newLossReport(sum), func(w io.Writer) { printLosses(w, sum) })
 }
 
-// lossReport is the summary as JSON.
+// lossReport is the JSON form of a losses.Summary.
 type lossReport struct {
 	Asked       int               `json:"asked"`
 	Lost        int               `json:"lost"`
@@ -69,15 +69,16 @@
 	Moments     []losses.Interval `json:"moments"`
 }
 
-// lossCause is one cause and its count.
+// lossCause is a cause and the number of requests lost to it.
 type lossCause struct {
 	Kind   losses.Kind `json:"kind"`
 	Reason string      `json:"reason"`
 	Count  int         `json:"count"`
 }
 
-// lossReportOf turns a summary into JSON.
-func lossReportOf(s *losses.Summary) lossReport {
+// newLossReport converts a summary to its JSON form, with the most frequent causes
+// first.
+func newLossReport(s *losses.Summary) lossReport {
 	r := lossReport{
 		Asked: s.Attempts, Lost: s.Lost, Unexplained: s.Unexplained(), Dropped: s.DroppedLines,
 		Zones: s.Zones, Services: s.Services, Stages: s.ReplacedStages, Calls: s.StoreCalls, Moments: s.Intervals,
@@ -88,10 +89,10 @@
 	return r
 }
 
-// topStages is how many stages are printed.
-const topStages = 8
+// maxStagesPrinted limits the stages in the text output.
+const maxStagesPrinted = 8
 
-// printLosses prints a summary.
+// printLosses prints a summary as tables.
 func printLosses(w io.Writer, s *losses.Summary) {
 	_, _ = fmt.Fprintf(w, "%d tries, %d without an answer in time, %d of them not explained\n", s.Attempts, s.Lost, s.Unexplained())
 	rows := [][]string{{"KIND", "CAUSE", "COUNT"}}
@@ -105,21 +106,22 @@
 	table(w, rows)
 	printCounts(w, "ZONE", s.Zones, len(s.Zones))
 	printCounts(w, "SERVICE", s.Services, len(s.Services))
-	printCounts(w, "STAGE LEFT", s.ReplacedStages, topStages)
+	printCounts(w, "STAGE LEFT", s.ReplacedStages, maxStagesPrinted)
 	printCounts(w, "CALLS TO THE STORE", s.StoreCalls, len(s.StoreCalls))
 	rows = [][]string{{"FROM", "TRIES", "LATE", "REFUSED", "FAILED", "CUT"}}
-	for _, m := range s.Intervals {
-		row := []string{m.Start.String(), fmt.Sprint(m.Attempts)}
+	for _, interval := range s.Intervals {
+		row := []string{interval.Start.String(), fmt.Sprint(interval.Attempts)}
 		for _, kind := range []losses.Kind{losses.Late, losses.Refused, losses.Failed, losses.Cut} {
-			row = append(row, fmt.Sprint(m.ByKind[kind]))
+			row = append(row, fmt.Sprint(interval.ByKind[kind]))
 		}
 		rows = append(rows, row)
 	}
 	table(w, rows)
 }
 
-// printCounts prints the names with the highest counts.
-func printCounts(w io.Writer, title string, counts map[string]int, most int) {
+// printCounts prints the names with the highest counts as a table, at most limit
+// of them.
+func printCounts(w io.Writer, title string, counts map[string]int, limit int) {
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		if counts[a] != counts[b] {
 			return counts[b] - counts[a]
@@ -127,7 +129,7 @@
 		return cmp.Compare(a, b)
 	})
 	rows := [][]string{{title, "COUNT"}}
-	for _, name := range names[:min(len(names), most)] {
+	for _, name := range names[:min(len(names), limit)] {
 		rows = append(rows, []string{name, fmt.Sprint(counts[name])})
 	}
 	table(w, rows)
--- a/mimosactl/app/node_test.go
+++ b/mimosactl/app/node_test.go
@@ -15,8 +15,8 @@
 	"mimosaarch.example/node"
 )
 
-// serve serves fixed answers by path on a port of its own.
-func serve(t *testing.T, answers map[string]any) string {
+// serveJSON serves fixed JSON responses by path and returns its address.
+func serveJSON(t *testing.T, answers map[string]any) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,8 +36,8 @@
 	return listener.Addr().String()
 }
 
-// closedPort gives an address that nothing listens on.
-func closedPort(t *testing.T) string {
+// unusedAddr returns an address that nothing listens on.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return listener.Addr().String()
 }
 
-// statusOf is a status with one upstream and one configuration object.
+// statusOf returns a status with one upstream and one configuration object.
 func statusOf(vm ids.VM, version int64, state string) node.Status {
 	s := node.Status{
 		VM:     vm,
@@ -61,9 +61,9 @@
 }
 
 func TestStatus(t *testing.T) {
-	one := serve(t, map[string]any{"/status": statusOf("vm-1", 4, "up")})
-	two := serve(t, map[string]any{"/status": statusOf("vm-2", 3, "ejected")})
-	stdout, _ := want(t, ExitOK, "status", "--operators", one+","+two)
+	one := serveJSON(t, map[string]any{"/status": statusOf("vm-1", 4, "up")})
+	two := serveJSON(t, map[string]any{"/status": statusOf("vm-2", 3, "ejected")})
+	stdout, _ := expectExit(t, ExitOK, "status", "--operators", one+","+two)
 	var rows [][]string
 	for line := range strings.Lines(stdout) {
 		rows = append(rows, strings.Fields(line))
@@ -87,8 +87,8 @@
 }
 
 func TestStatusNamesNodesThatDoNotAnswer(t *testing.T) {
-	up, down := serve(t, map[string]any{"/status": statusOf("vm-1", 4, "up")}), closedPort(t)
-	stdout, stderr := want(t, ExitFailed, "--output", "json", "status", up, down)
+	up, down := serveJSON(t, map[string]any{"/status": statusOf("vm-1", 4, "up")}), unusedAddr(t)
+	stdout, stderr := expectExit(t, ExitFailed, "--output", "json", "status", up, down)
 	var s fleetStatus
 	if err := json.Unmarshal([]byte(stdout), &s); err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 		t.Errorf("got %+v, want one node and %s unanswered", s, down)
 	}
 	if !strings.Contains(stderr, down) {
-		t.Errorf("the failure does not name %s: %q", down, stderr)
+		t.Errorf("the error does not name %s: %q", down, stderr)
 	}
 }
 
@@ -105,9 +105,9 @@
 	const early, late = "2026-05-01T17:00:00Z", "2026-05-01T17:00:01Z"
 	admitted := map[string]any{"at": early, "request": "r-1", "account": "school", "step": "admitted"}
 	finished := map[string]any{"at": late, "request": "r-1", "step": "finished", "attempt": 1, "outcome": "complete"}
-	one := serve(t, map[string]any{"/explain/r-1": []any{admitted, finished}})
-	two := serve(t, map[string]any{"/explain/r-1": []any{finished}})
-	stdout, _ := want(t, ExitOK, "--output", "json", "explain", "r-1", "--operators", two, one)
+	one := serveJSON(t, map[string]any{"/explain/r-1": []any{admitted, finished}})
+	two := serveJSON(t, map[string]any{"/explain/r-1": []any{finished}})
+	stdout, _ := expectExit(t, ExitOK, "--output", "json", "explain", "r-1", "--operators", two, one)
 	var steps []struct{ Step string }
 	if err := json.Unmarshal([]byte(stdout), &steps); err != nil {
 		t.Fatal(err)
@@ -115,18 +115,18 @@
 	if len(steps) != 2 || steps[0].Step != "admitted" || steps[1].Step != "finished" {
 		t.Errorf("steps are %v, want admitted and finished, once each", steps)
 	}
-	want(t, ExitFailed, "explain", "r-2", "--operators", one)
-	want(t, ExitFailed, "explain", "r-1", "--operators", closedPort(t))
+	expectExit(t, ExitFailed, "explain", "r-2", "--operators", one)
+	expectExit(t, ExitFailed, "explain", "r-1", "--operators", unusedAddr(t))
 }
 
-func TestSendTellsTheOutcome(t *testing.T) {
+func TestSendReportsOutcome(t *testing.T) {
 	refusal := map[string]any{"error": map[string]any{"outcome": "not_run", "reason": "no_upstream"}}
-	refuses := serve(t, map[string]any{"/v1/services/booking-api/slots": refusal})
-	for name, address := range map[string]string{"refused": refuses, "not connected": closedPort(t)} {
+	refuses := serveJSON(t, map[string]any{"/v1/services/booking-api/slots": refusal})
+	for name, address := range map[string]string{"refused": refuses, "not connected": unusedAddr(t)} {
 		t.Run(name, func(t *testing.T) {
-			stdout, _ := want(t, ExitNotComplete, "--output", "json", "send",
+			stdout, _ := expectExit(t, ExitNotComplete, "--output", "json", "send",
 				"--node", address, "--service", "booking-api", "--path", "/slots")
-			var s sent
+			var s sendResult
 			if err := json.Unmarshal([]byte(stdout), &s); err != nil {
 				t.Fatal(err)
 			}
--- a/mimosactl/app/operators.go
+++ b/mimosactl/app/operators.go
@@ -8,51 +8,53 @@
 	"mimosaarch.example/mimosactl/operator"
 )
 
-// operatorOptions say how to reach nodes' operator ports.
+// operatorOptions holds the options for connecting to nodes' operator ports.
 type operatorOptions struct {
-	Operators addresses     `long:"operators" env:"MIMOSACTL_OPERATORS" value-name:"ADDR" description:"operator ports to ask; several with commas, or as arguments"`
-	CA        string        `long:"tls-ca" value-name:"FILE" description:"certificate that signs the fleet's members, for operator ports with TLS"`
-	Cert      string        `long:"tls-cert" value-name:"FILE" description:"own certificate"`
-	Key       string        `long:"tls-key" value-name:"FILE" description:"key of the own certificate"`
-	Timeout   time.Duration `long:"timeout" default:"3s" description:"limit for each node"`
+	Operators addresses     `long:"operators" env:"MIMOSACTL_OPERATORS" value-name:"ADDR" description:"operator addresses to query; separate several with commas, or pass them as arguments"`
+	CA        string        `long:"tls-ca" value-name:"FILE" description:"CA certificate of the fleet, for operator ports with TLS"`
+	Cert      string        `long:"tls-cert" value-name:"FILE" description:"client certificate"`
+	Key       string        `long:"tls-key" value-name:"FILE" description:"private key of the client certificate"`
+	Timeout   time.Duration `long:"timeout" default:"3s" description:"timeout of the call to each node"`
 }
 
-// client makes the client and checks that there is a node to ask; more are
-// addresses given as arguments.
-func (o *operatorOptions) client(more []string) (*operator.Client, error) {
-	o.Operators = append(o.Operators, more...)
+// newClient adds extra, the addresses given as arguments, to the addresses to
+// query and returns a client. Errors: *UsageError if there is no address,
+// *identity.FileError.
+func (o *operatorOptions) newClient(extra []string) (*operator.Client, error) {
+	o.Operators = append(o.Operators, extra...)
 	if len(o.Operators) == 0 {
 		return nil, &UsageError{Message: "--operators names no address"}
 	}
 	return operator.New(operator.TLSFiles{CA: o.CA, Cert: o.Cert, Key: o.Key}, o.Timeout)
 }
 
-// answer is what one node said.
-type answer[T any] struct {
+// response is the result of querying one node.
+type response[T any] struct {
 	address string
 	value   T
 	err     error
 }
 
-// askAll asks every address at once and gives the answers in order.
-func askAll[T any](addresses []string, ask func(address string) (T, error)) []answer[T] {
-	out := make([]answer[T], len(addresses))
-	var all sync.WaitGroup
+// queryAll queries all addresses concurrently and returns the responses in the
+// order of addresses.
+func queryAll[T any](addresses []string, query func(address string) (T, error)) []response[T] {
+	out := make([]response[T], len(addresses))
+	var wg sync.WaitGroup
 	for i, address := range addresses {
-		all.Go(func() {
-			value, err := ask(address)
-			out[i] = answer[T]{address: address, value: value, err: err}
+		wg.Go(func() {
+			value, err := query(address)
+			out[i] = response[T]{address: address, value: value, err: err}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return out
 }
 
-// errorsOf joins the failures of answers; nil when there is none.
-func errorsOf[T any](answers []answer[T]) error {
-	var failed []error
-	for _, a := range answers {
-		failed = append(failed, a.err)
+// joinErrors joins the errors of responses; nil if there is none.
+func joinErrors[T any](responses []response[T]) error {
+	var errs []error
+	for _, r := range responses {
+		errs = append(errs, r.err)
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
--- a/mimosactl/app/profile.go
+++ b/mimosactl/app/profile.go
@@ -10,14 +10,14 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// profile describes the commands for configuration documents.
+// profile returns the description of the commands for configuration documents.
 func (e *env) profile() command {
 	return command{
 		name:  "profile",
 		short: "Publish and show configuration",
 		long:  "Publishes, shows and checks configuration: documents of the kinds profile, service and accounts.",
 		data:  &struct{}{},
-		below: []command{
+		subcommands: []command{
 			e.publish(),
 			e.show(),
 			e.list(),
@@ -27,14 +27,15 @@
 	}
 }
 
-// platformOptions say how to reach the platform.
+// platformOptions holds the options for connecting to the platform.
 type platformOptions struct {
-	Platform addresses     `long:"platform" env:"MIMOSACTL_PLATFORM" required:"yes" value-name:"ADDR" description:"the platform's IP address and port; several with commas"`
-	Timeout  time.Duration `long:"timeout" default:"15s" description:"limit of the whole command"`
+	Platform addresses     `long:"platform" env:"MIMOSACTL_PLATFORM" required:"yes" value-name:"ADDR" description:"the platform's IP address and port; separate several with commas"`
+	Timeout  time.Duration `long:"timeout" default:"15s" description:"timeout of the whole command"`
 }
 
-// with calls do with a client of the platform.
-func (o *platformOptions) with(do func(ctx context.Context, client *platform.Client) error) error {
+// withClient calls fn with a platform client and a context that ends after the
+// timeout.
+func (o *platformOptions) withClient(fn func(ctx context.Context, client *platform.Client) error) error {
 	client, err := platform.New(platform.Settings{Addresses: o.Platform})
 	if err != nil {
 		return err
@@ -42,31 +43,31 @@
 	defer client.Close()
 	ctx, done := context.WithTimeout(context.Background(), o.Timeout)
 	defer done()
-	return do(ctx, client)
+	return fn(ctx, client)
 }
 
-// kindPrefixes are the object key prefixes by kind of document.
+// kindPrefixes maps a document kind to its object key prefix.
 var kindPrefixes = map[string]string{
 	fleet.KindProfile:  fleet.ProfilePrefix,
 	fleet.KindService:  fleet.ServicePrefix,
 	fleet.KindAccounts: fleet.AccountPrefix,
 }
 
-// published is one published document as it is shown.
+// published is a published document in the output of show and list.
 type published struct {
 	Key     string `json:"key"`
 	Kind    string `json:"kind,omitempty"`
 	Name    string `json:"name,omitempty"`
 	Version int64  `json:"version"`
 	Change  string `json:"change,omitempty"`
-	// Invalid tells why the value is no valid document.
+	// Invalid is the parse error if the value is not a valid document.
 	Invalid string `json:"invalid,omitempty"`
-	// YAML is the whole document; left out of lists.
+	// YAML is the whole document; empty in lists.
 	YAML string `json:"yaml,omitempty"`
 }
 
-// describe makes what is shown of an object, without its text.
-func describe(object platformapi.Object) published {
+// newPublished converts a platform object to its output form, without the YAML.
+func newPublished(object platformapi.Object) published {
 	p := published{Key: object.Key, Version: object.Version}
 	doc, err := fleet.Parse(object.Value)
 	if err != nil {
@@ -79,5 +80,5 @@
 	return p
 }
 
-// version gives an object's version in words.
-func version(v int64) string { return fmt.Sprintf("version %d", v) }
+// versionText returns the printed form of an object's version.
+func versionText(v int64) string { return fmt.Sprintf("version %d", v) }
--- a/mimosactl/app/profile_test.go
+++ b/mimosactl/app/profile_test.go
@@ -13,24 +13,25 @@
 	"mimosaarch.example/standin/platform"
 )
 
-// ctl runs mimosactl and gives its exit code and output.
-func ctl(args ...string) (code int, stdout, stderr string) {
+// runCtl runs mimosactl and returns its exit code and output.
+func runCtl(args ...string) (code int, stdout, stderr string) {
 	var out, failed bytes.Buffer
 	code = Main(args, &out, &failed)
 	return code, out.String(), failed.String()
 }
 
-// want fails the test when a run of mimosactl ends with another code.
-func want(t *testing.T, code int, args ...string) (stdout, stderr string) {
+// expectExit runs mimosactl and fails the test if the exit code is not code.
+func expectExit(t *testing.T, code int, args ...string) (stdout, stderr string) {
 	t.Helper()
-	got, stdout, stderr := ctl(args...)
+	got, stdout, stderr := runCtl(args...)
 	if got != code {
 		t.Fatalf("mimosactl %v: exit code %d, want %d\n%s%s", args, got, code, stdout, stderr)
 	}
 	return stdout, stderr
 }
 
-// startPlatform starts a stand-in and makes it the commands' platform.
+// startPlatform starts a stand-in platform and sets it as the default of
+// --platform.
 func startPlatform(t *testing.T) *platform.Platform {
 	t.Helper()
 	p, err := platform.Start(platform.Config{})
@@ -42,8 +43,8 @@
 	return p
 }
 
-// write writes a file and gives its path.
-func write(t *testing.T, name, text string) string {
+// writeFile writes a file to a temporary directory and returns its path.
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -52,7 +53,7 @@
 	return path
 }
 
-// Documents of the tests.
+// Documents that the tests publish.
 const (
 	profileText  = "kind: profile\nname: evening\nstrategy: flow\n"
 	revisedText  = "kind: profile\nname: evening\nstrategy: two_choices\n"
@@ -65,11 +66,11 @@
 func TestPublishShowList(t *testing.T) {
 	p := startPlatform(t)
 	files := []string{
-		write(t, "accounts.yaml", accountsText),
-		write(t, "service.yaml", serviceText),
-		write(t, "profile.yaml", profileText),
+		writeFile(t, "accounts.yaml", accountsText),
+		writeFile(t, "service.yaml", serviceText),
+		writeFile(t, "profile.yaml", profileText),
 	}
-	want(t, ExitOK, append([]string{"profile", "publish"}, files...)...)
+	expectExit(t, ExitOK, append([]string{"profile", "publish"}, files...)...)
 	profile, _ := p.Object("config/profile/evening")
 	service, _ := p.Object("config/service/drafts")
 	accounts, _ := p.Object("config/account/schools")
@@ -77,7 +78,7 @@
 		t.Errorf("versions %d, %d, %d: want the profile, the service and the accounts in this order",
 			profile.Version, service.Version, accounts.Version)
 	}
-	stdout, _ := want(t, ExitOK, "--output", "json", "profile", "list")
+	stdout, _ := expectExit(t, ExitOK, "--output", "json", "profile", "list")
 	var all []published
 	if err := json.Unmarshal([]byte(stdout), &all); err != nil {
 		t.Fatal(err)
@@ -86,42 +87,42 @@
 	for _, one := range all {
 		keys = append(keys, one.Key)
 		if one.Change == "" || one.Change != all[0].Change {
-			t.Errorf("%s has change %q, want one id for the whole publish", one.Key, one.Change)
+			t.Errorf("%s has change %q, want the same ID for all documents of a publish", one.Key, one.Change)
 		}
 	}
 	wantKeys := []string{"config/account/schools", "config/profile/evening", "config/service/drafts"}
 	if d := cmp.Diff(wantKeys, keys); d != "" {
 		t.Error(d)
 	}
-	stdout, _ = want(t, ExitOK, "profile", "show", "profile", "evening")
+	stdout, _ = expectExit(t, ExitOK, "profile", "show", "profile", "evening")
 	if !strings.Contains(stdout, "strategy: flow") {
 		t.Errorf("show printed %q", stdout)
 	}
-	want(t, ExitFailed, "profile", "show", "profile", "morning")
-	want(t, ExitUsage, "profile", "show", "policy", "evening")
+	expectExit(t, ExitFailed, "profile", "show", "profile", "morning")
+	expectExit(t, ExitUsage, "profile", "show", "policy", "evening")
 }
 
 func TestInvalidFileStopsAllWrites(t *testing.T) {
 	p := startPlatform(t)
-	_, stderr := want(t, ExitInvalid, "profile", "publish",
-		write(t, "service.yaml", serviceText), write(t, "profile.yaml", invalidText))
+	_, stderr := expectExit(t, ExitInvalid, "profile", "publish",
+		writeFile(t, "service.yaml", serviceText), writeFile(t, "profile.yaml", invalidText))
 	if !strings.Contains(stderr, "profile.yaml") || !strings.Contains(stderr, "line 3: strategy") {
 		t.Errorf("no file, line and path in %q", stderr)
 	}
 	if _, ok := p.Object("config/service/drafts"); ok {
-		t.Error("a document was written beside an invalid one")
+		t.Error("a valid document was written although another one is invalid")
 	}
-	want(t, ExitInvalid, "profile", "validate", write(t, "profile.yaml", invalidText))
-	want(t, ExitInvalid, "profile", "publish", write(t, "a.yaml", profileText), write(t, "b.yaml", revisedText))
-	want(t, ExitOK, "profile", "validate", write(t, "profile.yaml", profileText))
+	expectExit(t, ExitInvalid, "profile", "validate", writeFile(t, "profile.yaml", invalidText))
+	expectExit(t, ExitInvalid, "profile", "publish", writeFile(t, "a.yaml", profileText), writeFile(t, "b.yaml", revisedText))
+	expectExit(t, ExitOK, "profile", "validate", writeFile(t, "profile.yaml", profileText))
 }
 
 func TestConflictNamesNewerVersion(t *testing.T) {
 	p := startPlatform(t)
-	path := write(t, "profile.yaml", profileText)
-	want(t, ExitOK, "profile", "publish", "--expect", "0", path)
+	path := writeFile(t, "profile.yaml", profileText)
+	expectExit(t, ExitOK, "profile", "publish", "--expect", "0", path)
 	newer := p.Put("config/profile/evening", []byte(revisedText+"change: other\n"))
-	_, stderr := want(t, ExitConflict, "--output", "json", "profile", "publish", "--expect", "1", path)
+	_, stderr := expectExit(t, ExitConflict, "--output", "json", "profile", "publish", "--expect", "1", path)
 	var f struct {
 		Error struct {
 			Exit  int
@@ -143,42 +144,42 @@
 	}
 }
 
-func TestLostAnswerIsSettled(t *testing.T) {
+func TestLostResponseIsResolvedByReadBack(t *testing.T) {
 	p := startPlatform(t)
-	path := write(t, "profile.yaml", profileText)
+	path := writeFile(t, "profile.yaml", profileText)
 	p.Control(platform.Control{Mode: platform.ModeLoseAnswers, Count: 1})
-	want(t, ExitOK, "profile", "publish", path)
+	expectExit(t, ExitOK, "profile", "publish", path)
 	if object, _ := p.Object("config/profile/evening"); object.Version != 1 {
 		t.Errorf("version %d, want the one write", object.Version)
 	}
 	p.Control(platform.Control{Mode: platform.ModeDown, Method: "PUT"})
-	_, stderr := want(t, ExitUnknown, "profile", "publish", path)
+	_, stderr := expectExit(t, ExitUnknown, "profile", "publish", path)
 	if !strings.Contains(stderr, "change") {
 		t.Errorf("no change id in %q", stderr)
 	}
 	p.Control(platform.Control{Mode: platform.ModeDown})
-	want(t, ExitFailed, "profile", "publish", path)
+	expectExit(t, ExitFailed, "profile", "publish", path)
 }
 
 func TestDiff(t *testing.T) {
 	startPlatform(t)
-	want(t, ExitOK, "profile", "publish", write(t, "profile.yaml", profileText))
-	same := write(t, "same.yaml", "# as published\n"+profileText+"deadline: 60s\n")
-	stdout, _ := want(t, ExitOK, "profile", "diff", "--exit-code", same)
+	expectExit(t, ExitOK, "profile", "publish", writeFile(t, "profile.yaml", profileText))
+	same := writeFile(t, "same.yaml", "# as published\n"+profileText+"deadline: 60s\n")
+	stdout, _ := expectExit(t, ExitOK, "profile", "diff", "--exit-code", same)
 	if stdout != "" {
 		t.Errorf("a document with the same meaning differs:\n%s", stdout)
 	}
-	revised := write(t, "revised.yaml", revisedText)
-	stdout, _ = want(t, ExitOK, "profile", "diff", revised)
+	revised := writeFile(t, "revised.yaml", revisedText)
+	stdout, _ = expectExit(t, ExitOK, "profile", "diff", revised)
 	if !strings.Contains(stdout, "-strategy: flow\n+strategy: two_choices\n") {
 		t.Errorf("diff is\n%s", stdout)
 	}
-	want(t, ExitFailed, "profile", "diff", "--exit-code", revised)
+	expectExit(t, ExitFailed, "profile", "diff", "--exit-code", revised)
 }
 
 func TestUsage(t *testing.T) {
 	startPlatform(t)
-	path := write(t, "profile.yaml", profileText)
+	path := writeFile(t, "profile.yaml", profileText)
 	for _, args := range [][]string{
 		{},
 		{"profile"},
@@ -192,10 +193,10 @@
 		{"explain", "--operators", "127.0.0.1:1"},
 		{"send", "--node", "127.0.0.1:1", "--service", "drafts"},
 	} {
-		want(t, ExitUsage, args...)
+		expectExit(t, ExitUsage, args...)
 	}
 	for _, command := range []string{"profile", "status", "explain", "send", "demo"} {
-		stdout, _ := want(t, ExitOK, command, "--help")
+		stdout, _ := expectExit(t, ExitOK, command, "--help")
 		if !strings.Contains(stdout, "Exit codes") {
 			t.Errorf("help of %s names no exit codes", command)
 		}
--- a/mimosactl/app/publish.go
+++ b/mimosactl/app/publish.go
@@ -9,25 +9,25 @@
 	"mimosaarch.example/mimosactl/documents"
 )
 
-// publishCommand is "mimosactl profile publish".
+// publishCommand holds the options of "mimosactl profile publish".
 type publishCommand struct {
 	env *env
 	platformOptions
 
-	Expect *int64 `long:"expect" value-name:"VERSION" description:"publish only over this version; 0: only if none exists; needs a single file"`
+	Expect *int64 `long:"expect" value-name:"VERSION" description:"publish only if this is the current version; 0: only if the document does not exist; needs a single file"`
 
 	Args struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// publish describes the command.
+// publish returns the description of the publish command.
 func (e *env) publish() command {
 	return command{
 		name:  "publish",
 		short: "Publish documents",
-		long: "Checks all files, then writes each by a conditional update over the version that stands or is expected. " +
-			"An answer that was lost is settled by reading back. Stops at the first document that is not written.",
+		long: "Checks all files, then writes each with a conditional update against the current or expected version. " +
+			"If the response to a write is lost, reads the document back to find the result. Stops at the first document that is not written.",
 		data: &publishCommand{env: e},
 	}
 }
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	return c.with(func(ctx context.Context, client *platform.Client) error {
+	return c.withClient(func(ctx context.Context, client *platform.Client) error {
 		written, err := documents.Publish(ctx, client, files, expected, documents.NewChangeID())
 		if printErr := c.show(written); err == nil {
 			err = printErr
@@ -51,7 +51,8 @@
 	})
 }
 
-// expected gives the version to publish over.
+// expected returns the version that the published document must have. The error
+// is a *UsageError.
 func (c *publishCommand) expected() (int64, error) {
 	switch {
 	case c.Expect == nil:
@@ -64,14 +65,14 @@
 	return *c.Expect, nil
 }
 
-// show prints what was written.
+// show prints the documents that were written.
 func (c *publishCommand) show(written []documents.Published) error {
 	if written == nil {
 		written = []documents.Published{}
 	}
 	return c.env.print(written, func(w io.Writer) {
 		for _, p := range written {
-			fmt.Fprintf(w, "published %s as %s (change %s)\n", p.Key, version(p.Version), p.Change)
+			fmt.Fprintf(w, "published %s as %s (change %s)\n", p.Key, versionText(p.Version), p.Change)
 		}
 	})
 }
--- a/mimosactl/app/send.go
+++ b/mimosactl/app/send.go
@@ -12,45 +12,45 @@
 	"mimosaarch.example/loadgen/client"
 )
 
-// sendCommand is "mimosactl send".
+// sendCommand holds the options of "mimosactl send".
 type sendCommand struct {
 	env *env
 
 	Node       string        `long:"node" env:"MIMOSACTL_NODE" required:"yes" value-name:"ADDR" description:"a node's IP address and port for callers"`
-	AccountKey string        `long:"account-key" env:"MIMOSACTL_ACCOUNT_KEY" description:"bearer key of the client account; better given in the environment"`
+	AccountKey string        `long:"account-key" env:"MIMOSACTL_ACCOUNT_KEY" description:"bearer key of the client account; prefer the environment variable"`
 	Service    string        `long:"service" required:"yes" description:"the service to call"`
 	Key        string        `long:"idempotency-key" description:"idempotency key of the request"`
-	Deadline   time.Duration `long:"deadline" description:"time remaining that the node is told"`
-	Timeout    time.Duration `long:"timeout" default:"60s" description:"time to wait for the whole answer"`
+	Deadline   time.Duration `long:"deadline" description:"deadline sent with the request, as the remaining time"`
+	Timeout    time.Duration `long:"timeout" default:"60s" description:"timeout of the whole request"`
 
-	MaxTokens int    `long:"max-tokens" default:"32" description:"most tokens of a model's answer"`
+	MaxTokens int    `long:"max-tokens" default:"32" description:"maximum tokens of a model's answer"`
 	Priority  int    `long:"priority" description:"priority of a model request, 0 to 9"`
 	System    string `long:"system" description:"system message before the prompt"`
 
-	Path   string `long:"path" description:"path of a plain call; makes the request a plain one"`
-	Method string `long:"method" default:"GET" description:"method of a plain call"`
-	Body   string `long:"body" description:"body of a plain call"`
+	Path   string `long:"path" description:"path of a plain request; sends a plain request instead of a model request"`
+	Method string `long:"method" default:"GET" description:"method of a plain request"`
+	Body   string `long:"body" description:"body of a plain request"`
 
 	Args struct {
 		Prompt string `positional-arg-name:"PROMPT"`
 	} `positional-args:"yes"`
 }
 
-// send describes the command.
+// send returns the description of the send command.
 func (e *env) send() command {
 	return command{
 		name:  "send",
 		short: "Send one request",
-		long: "Sends a model request with a prompt, or with --path a call of a plain service, prints the answer as it comes, " +
-			"and then the outcome. It repeats nothing by itself.",
+		long: "Sends a model request with a prompt, or a plain request with --path. Prints the answer as it arrives, " +
+			"and then the outcome. Does not retry.",
 		data: &sendCommand{env: e},
 	}
 }
 
-// OutcomeError tells that a request had another outcome than complete.
+// OutcomeError reports that a request had an outcome other than complete.
 type OutcomeError struct {
 	Result client.Result
-	// Cause is the failure of the transport; nil when an answer came.
+	// Cause is the transport error; nil if a response was received.
 	Cause error
 }
 
@@ -63,11 +63,11 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *OutcomeError) Unwrap() error { return e.Cause }
 
-// sent is the result of a request.
-type sent struct {
+// sendResult is the JSON form of a request's result.
+type sendResult struct {
 	Request      ids.Request     `json:"request"`
 	Status       int             `json:"status"`
 	Outcome      outcome.Outcome `json:"outcome"`
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// call sends the request and prints the answer as it comes.
+// call sends the request. In text output, it prints the tokens of a model's answer
+// as they arrive.
 func (c *sendCommand) call(caller *client.Client) (client.Result, error) {
 	if c.Path != "" {
 		return caller.Plain(context.Background(), client.Plain{
@@ -123,7 +124,7 @@
 	return caller.Chat(context.Background(), chat)
 }
 
-// messages makes the prompt.
+// messages returns the chat messages: the system message, if any, and the prompt.
 func (c *sendCommand) messages() []engineapi.Message {
 	var out []engineapi.Message
 	if c.System != "" {
@@ -132,9 +133,9 @@
 	return append(out, engineapi.Message{Role: "user", Content: c.Args.Prompt})
 }
 
-// show prints the result.
+// show prints the result; err is the transport error, if any.
 func (c *sendCommand) show(r client.Result, err error) error {
-	s := sent{
+	s := sendResult{
 		Request:      r.Request,
 		Status:       r.Status,
 		Outcome:      r.Outcome,
--- a/mimosactl/app/show.go
+++ b/mimosactl/app/show.go
@@ -8,7 +8,7 @@
 	"mimosaarch.example/adapter/platform"
 )
 
-// showCommand is "mimosactl profile show".
+// showCommand holds the options of "mimosactl profile show".
 type showCommand struct {
 	env *env
 	platformOptions
@@ -19,12 +19,12 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// show describes the command.
+// show returns the description of the show command.
 func (e *env) show() command {
 	return command{
 		name:  "show",
 		short: "Show a published document",
-		long:  "Prints a published document with its version. Text output is the document, with the version as a comment.",
+		long:  "Prints a published document with its version. Text output is the document's YAML, with the version in a comment.",
 		data:  &showCommand{env: e},
 	}
 }
@@ -35,15 +35,15 @@
 	if !ok {
 		return &UsageError{Message: "KIND must be profile, service or accounts"}
 	}
-	return c.with(func(ctx context.Context, client *platform.Client) error {
+	return c.withClient(func(ctx context.Context, client *platform.Client) error {
 		object, err := client.Get(ctx, prefix+c.Args.Name)
 		if err != nil {
 			return err
 		}
-		p := describe(object)
+		p := newPublished(object)
 		p.YAML = string(object.Value)
 		return c.env.print(p, func(w io.Writer) {
-			fmt.Fprintf(w, "# %s, %s\n%s", p.Key, version(p.Version), p.YAML)
+			fmt.Fprintf(w, "# %s, %s\n%s", p.Key, versionText(p.Version), p.YAML)
 		})
 	})
 }
--- a/mimosactl/app/status.go
+++ b/mimosactl/app/status.go
@@ -13,34 +13,34 @@
 	"mimosaarch.example/node"
 )
 
-// statusCommand is "mimosactl status".
+// statusCommand holds the options of "mimosactl status".
 type statusCommand struct {
 	env *env
 	operatorOptions
 
 	Args struct {
-		More []string `positional-arg-name:"ADDR"`
+		ExtraAddresses []string `positional-arg-name:"ADDR"`
 	} `positional-args:"yes"`
 }
 
-// status describes the command.
+// status returns the description of the status command.
 func (e *env) status() command {
 	return command{
 		name:  "status",
-		short: "Show nodes, upstreams and configuration in force",
-		long: "Asks nodes for their status: VMs, the versions of configuration in force on each, and upstreams by zone " +
-			"with state, load and reason as each node sees them. Fails when a node does not answer, after printing the others.",
+		short: "Show nodes, upstreams and active configuration",
+		long: "Queries nodes for their status: VMs, the active configuration versions of each, and upstreams by zone " +
+			"with the state, reason and load that each node reports. Fails if a node does not answer, after printing the others.",
 		data: &statusCommand{env: e},
 	}
 }
 
-// unanswered is a node that gave no status.
+// unanswered is a node that returned no status.
 type unanswered struct {
 	Address string `json:"address"`
 	Error   string `json:"error"`
 }
 
-// fleetStatus is the status of all nodes asked.
+// fleetStatus is the status of all queried nodes.
 type fleetStatus struct {
 	Nodes      []node.Status `json:"nodes"`
 	Unanswered []unanswered  `json:"unanswered"`
@@ -48,24 +48,24 @@
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
-	client, err := c.client(c.Args.More)
+	client, err := c.newClient(c.Args.ExtraAddresses)
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	answers := askAll(c.Operators, client.Status)
+	responses := queryAll(c.Operators, client.Status)
 	status := fleetStatus{Nodes: []node.Status{}, Unanswered: []unanswered{}}
-	for _, a := range answers {
-		if a.err != nil {
-			status.Unanswered = append(status.Unanswered, unanswered{Address: a.address, Error: a.err.Error()})
+	for _, r := range responses {
+		if r.err != nil {
+			status.Unanswered = append(status.Unanswered, unanswered{Address: r.address, Error: r.err.Error()})
 			continue
 		}
-		status.Nodes = append(status.Nodes, a.value)
+		status.Nodes = append(status.Nodes, r.value)
 	}
 	if err := c.env.print(status, status.text); err != nil {
 		return err
 	}
-	return errorsOf(answers)
+	return joinErrors(responses)
 }
 
 // text prints the status as tables.
@@ -80,7 +80,7 @@
 	table(w, s.upstreamRows())
 }
 
-// vmRows is a row for each VM.
+// vmRows returns the table header and a row for each VM.
 func (s fleetStatus) vmRows() [][]string {
 	rows := [][]string{{"VM", "ZONE", "READY", "DRAINING", "REQUESTS", "WAITING", "CONFIG", "PEERS"}}
 	for _, n := range s.Nodes {
@@ -97,7 +97,8 @@
 	return rows
 }
 
-// peerText counts peers by state, such as "alive 7, suspect 1".
+// peerText returns the number of peers in each state, such as
+// "alive 7, suspect 1".
 func peerText(peers []node.PeerStatus) string {
 	counts := make(map[string]int)
 	for _, p := range peers {
@@ -106,7 +107,7 @@
 	return countsText(counts)
 }
 
-// countsText prints counts by name.
+// countsText formats counts sorted by name, or returns "-" if there are none.
 func countsText(counts map[string]int) string {
 	if len(counts) == 0 {
 		return "-"
@@ -118,8 +119,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// configRows is a row for each configuration object and version in force,
-// with the VMs that have it.
+// configRows returns the table header and a row for each active version of each
+// configuration object, with the VMs that use it.
 func (s fleetStatus) configRows() [][]string {
 	holders := make(map[node.ObjectStatus][]string)
 	for _, n := range s.Nodes {
@@ -141,7 +142,7 @@
 	return rows
 }
 
-// vmsText names VMs, or all of them in a word.
+// vmsText lists VMs, or returns their number if every node is listed.
 func (s fleetStatus) vmsText(vms []string) string {
 	if len(vms) == len(s.Nodes) {
 		return fmt.Sprintf("all %d", len(vms))
@@ -149,16 +150,17 @@
 	return strings.Join(vms, " ")
 }
 
-// view is what nodes say of an upstream, apart from their load.
-type view struct {
+// upstreamView is the state of an upstream as reported by one or more nodes.
+type upstreamView struct {
 	zone          ids.Zone
 	service       ids.Service
 	id            ids.Upstream
 	state, reason string
 }
 
-// sum gathers the load under a view.
-type sum struct {
+// upstreamLoad aggregates the load that the nodes with the same upstreamView
+// report. Counts and rates are the maximum over these nodes, weight is the sum.
+type upstreamLoad struct {
 	vms      []string
 	inFlight float64
 	slots    int
@@ -166,11 +168,12 @@
 	weight   float64
 }
 
-// upstreamRows is a row for each upstream and state, with the VMs that see it
-// so. Each VM estimates the requests in flight of all VMs: the most is shown.
+// upstreamRows returns the table header and a row for each upstream and state,
+// with the VMs that report it. Each VM estimates the in-flight requests of all
+// VMs, so the row shows the highest estimate instead of the sum.
 func (s fleetStatus) upstreamRows() [][]string {
-	views := s.views()
-	keys := slices.SortedFunc(maps.Keys(views), func(a, b view) int {
+	views := s.groupUpstreams()
+	keys := slices.SortedFunc(maps.Keys(views), func(a, b upstreamView) int {
 		return cmp.Or(
 			cmp.Compare(a.zone, b.zone),
 			cmp.Compare(a.service, b.service),
@@ -183,7 +186,7 @@
 	for _, v := range keys {
 		load := views[v]
 		rows = append(rows, []string{
-			string(v.zone), string(v.service), string(v.id), v.state, orDash(v.reason),
+			string(v.zone), string(v.service), string(v.id), v.state, textOrDash(v.reason),
 			fmt.Sprintf("%.1f", load.inFlight),
 			strconv.Itoa(load.slots),
 			fmt.Sprintf("%.0f", load.rate),
@@ -194,14 +197,14 @@
 	return rows
 }
 
-// views gathers the nodes' views of upstreams.
-func (s fleetStatus) views() map[view]*sum {
-	out := make(map[view]*sum)
+// groupUpstreams groups the upstreams that the nodes report by upstreamView.
+func (s fleetStatus) groupUpstreams() map[upstreamView]*upstreamLoad {
+	out := make(map[upstreamView]*upstreamLoad)
 	for _, n := range s.Nodes {
 		for _, u := range n.Upstreams {
-			v := view{zone: u.Zone, service: u.Service, id: u.ID, state: u.State, reason: u.Reason}
+			v := upstreamView{zone: u.Zone, service: u.Service, id: u.ID, state: u.State, reason: u.Reason}
 			if out[v] == nil {
-				out[v] = &sum{}
+				out[v] = &upstreamLoad{}
 			}
 			load := out[v]
 			load.vms = append(load.vms, string(n.VM))
@@ -214,8 +217,8 @@
 	return out
 }
 
-// orDash gives text, or a dash when it is empty.
-func orDash(text string) string {
+// textOrDash returns text, or "-" if it is empty.
+func textOrDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/mimosactl/app/trace.go
+++ b/mimosactl/app/trace.go
@@ -12,7 +12,7 @@
 	"mimosaarch.example/mimosactl/logtrace"
 )
 
-// traceCommand is "mimosactl trace".
+// traceCommand holds the options of "mimosactl trace".
 type traceCommand struct {
 	env *env
 
@@ -22,18 +22,18 @@
 	} `positional-args:"yes"`
 }
 
-// trace describes the command.
+// trace returns the description of the trace command.
 func (e *env) trace() command {
 	return command{
 		name:  "trace",
-		short: "Explain a request from the logs of nodes",
-		long: "Reads the logs of nodes from files, or from standard input, and prints the lines of a request with " +
-			"those by which a node changed its belief about the upstreams the request met.",
+		short: "Explain a request from node logs",
+		long: "Reads node logs from files or standard input and prints the lines of a request, together with the " +
+			"state changes that nodes logged for the upstreams of the request.",
 		data: &traceCommand{env: e},
 	}
 }
 
-// LogReadError tells that a log could not be read.
+// LogReadError reports that a log could not be read.
 type LogReadError struct {
 	File  string
 	Cause error
@@ -42,16 +42,16 @@
 // Error implements error.
 func (e *LogReadError) Error() string { return "log " + e.File + ": " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *LogReadError) Unwrap() error { return e.Cause }
 
 // Execute implements flags.Commander.
 func (c *traceCommand) Execute([]string) error {
-	in, name, done, err := openLogs(c.Args.Files)
+	in, name, closeLogs, err := openLogs(c.Args.Files)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeLogs()
 	trace, err := logtrace.Read(in, c.Args.Request)
 	if err != nil {
 		return &LogReadError{File: name, Cause: err}
@@ -62,33 +62,34 @@
 	return c.env.print(trace.Lines, func(w io.Writer) { printTrace(w, trace) })
 }
 
-// openLogs gives the logs in files one after the other, or standard input for
-// none.
-func openLogs(paths []string) (in io.Reader, name string, done func(), err error) {
+// openLogs returns a reader of the concatenated files, or of standard input if
+// paths is empty, and a name for error messages. The caller must call closeLogs.
+// The error is a *LogReadError.
+func openLogs(paths []string) (in io.Reader, name string, closeLogs func(), err error) {
 	if len(paths) == 0 {
 		return os.Stdin, "standard input", func() {}, nil
 	}
 	var readers []io.Reader
 	var files []*os.File
-	done = func() {
+	closeLogs = func() {
 		for _, f := range files {
-			_ = f.Close() // it was only read
+			_ = f.Close() // opened only for reading
 		}
 	}
 	for _, path := range paths {
 		f, err := os.Open(path)
 		if err != nil {
-			done()
+			closeLogs()
 			return nil, "", nil, &LogReadError{File: path, Cause: err}
 		}
 		files = append(files, f)
 		readers = append(readers, f)
 	}
-	return io.MultiReader(readers...), strings.Join(paths, ", "), done, nil
+	return io.MultiReader(readers...), strings.Join(paths, ", "), closeLogs, nil
 }
 
-// printTrace prints a line for each line of the trace, with the time since the
-// request's first.
+// printTrace prints a table row for each line of a non-empty trace, with the time
+// since the first line of the request.
 func printTrace(w io.Writer, t *logtrace.Trace) {
 	start := t.Lines[0].At
 	for _, line := range t.Lines {
@@ -103,13 +104,13 @@
 		if line.Request == "" {
 			mark = "belief"
 		}
-		rows = append(rows, []string{line.At.Sub(start).String(), line.VM, mark, line.Event, fields(line)})
+		rows = append(rows, []string{line.At.Sub(start).String(), line.VM, mark, line.Event, fieldsText(line)})
 	}
 	table(w, rows)
 }
 
-// fields gives a line's other fields in the order of their names.
-func fields(line logtrace.Line) string {
+// fieldsText returns a line's remaining fields as key=value, sorted by key.
+func fieldsText(line logtrace.Line) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(line.Fields)) {
 		parts = append(parts, fmt.Sprintf("%s=%v", name, line.Fields[name]))
--- a/mimosactl/app/validate.go
+++ b/mimosactl/app/validate.go
@@ -7,7 +7,7 @@
 	"mimosaarch.example/mimosactl/documents"
 )
 
-// validateCommand is "mimosactl profile validate".
+// validateCommand holds the options of "mimosactl profile validate".
 type validateCommand struct {
 	env *env
 
@@ -16,18 +16,18 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// validate describes the command.
+// validate returns the description of the validate command.
 func (e *env) validate() command {
 	return command{
 		name:  "validate",
 		short: "Check documents",
-		long:  "Checks files and lists every fault with its line, path and what is allowed there. Asks no platform.",
+		long:  "Checks files and lists every error with its line, path and allowed values. Does not contact the platform.",
 		data:  &validateCommand{env: e},
 	}
 }
 
-// validated is one file found good.
-type validated struct {
+// validFile is a file that holds a valid document.
+type validFile struct {
 	Path string `json:"path"`
 	Key  string `json:"key"`
 }
@@ -38,9 +38,9 @@
 	if err != nil {
 		return err
 	}
-	out := make([]validated, len(files))
+	out := make([]validFile, len(files))
 	for i, file := range files {
-		out[i] = validated{Path: file.Path, Key: file.Key()}
+		out[i] = validFile{Path: file.Path, Key: file.Key()}
 	}
 	return c.env.print(out, func(w io.Writer) {
 		for _, v := range out {
--- a/mimosactl/main.go
+++ b/mimosactl/main.go
@@ -1,4 +1,4 @@
-// Command mimosactl is the operators' tool of mimosaarch.
+// Command mimosactl is the command-line tool for operating mimosaarch.
 package main
 
 import (
