--- a/mimosactl/bench/bench.go
+++ b/mimosactl/bench/bench.go
@@ -1,5 +1,6 @@
-// Package bench runs nodes with stand-ins of today's size in one process and
-// measures them under load against what the stand-ins' hardware allows.
+// Package bench runs nodes and a full-size fleet of stand-ins in one process and
+// measures the nodes under load. It compares the delivered tokens with the upper
+// bound given by the simulated hardware, and can inject a failure during the run.
 package bench
 
 import (
@@ -18,63 +19,66 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-// Options of a bench.
+// Options configures a bench run.
 type Options struct {
-	// Nodes is the count of nodes.
+	// Nodes is the number of nodes to start.
 	Nodes int
-	// Strategy chooses chains.
+	// Strategy is the profile's strategy for choosing the chain of a request.
 	Strategy string
-	// TokenInterval is the profile's; 0 stands for its default.
+	// TokenInterval is the profile's target time between tokens; 0 uses the
+	// profile's default.
 	TokenInterval time.Duration
-	// LoadFraction is the model requests offered, in parts of the bound.
+	// LoadFraction is the offered model load as a fraction of the bound.
 	LoadFraction float64
-	// Duration is the length of the run, Warmup its first part that isn't
-	// measured.
+	// Duration is the length of the run. Warmup is the initial part of it that
+	// is not measured.
 	Duration, Warmup time.Duration
 	// Scale multiplies the stand-ins' rates.
 	Scale float64
-	// Shape of the load. With load.Evening, Load is at the peak.
+	// Shape is the request rate over time. With load.Evening, LoadFraction is
+	// the peak.
 	Shape load.Shape
-	// Mix sizes the requests; services, accounts and the run's name are
-	// filled in.
+	// Mix sets the kinds and sizes of requests. Run fills in the services, the
+	// accounts and the run's name.
 	Mix  load.Mix
 	Seed uint64
-	// Deadline is told to nodes; 0 leaves it to the profile.
+	// Deadline is sent with each request; 0 uses the profile's deadline.
 	Deadline time.Duration
-	// MaxRetries is how often refused callers come back.
+	// MaxRetries is how often a refused request is sent again after the advised
+	// delay.
 	MaxRetries int
-	// Failure is made to happen FailAt after the run's start; FailNothing for
-	// nothing.
+	// Failure is the failure to inject, FailAfter after the start of the run;
+	// FailNone injects none.
 	Failure   FailureKind
 	FailAfter time.Duration
-	// Log takes the nodes' log lines.
+	// Log receives the nodes' log lines.
 	Log zerolog.Logger
-	// OnProgress is told how far the load has come, each second; nil means
-	// not told.
+	// OnProgress is called with the counters of the load each second; may be
+	// nil.
 	OnProgress func(load.Progress)
 }
 
-// Result is what a bench measured.
+// Result holds the measurements of a bench run.
 type Result struct {
-	Nodes    int     `json:"nodes"`
-	Engines  int     `json:"engines"`
-	Strategy string  `json:"strategy"`
-	LoadFraction     float64 `json:"load"`
-	Scale    float64 `json:"scale"`
-	// BoundStepsPerSec is the maximum flow in token steps a second, the steps of
-	// prompts included; the report's bound is in tokens.
+	Nodes        int     `json:"nodes"`
+	Engines      int     `json:"engines"`
+	Strategy     string  `json:"strategy"`
+	LoadFraction float64 `json:"load"`
+	Scale        float64 `json:"scale"`
+	// BoundStepsPerSec is the upper bound in token steps per second, including
+	// the steps of prompts. The bound in Report is in tokens per second.
 	BoundStepsPerSec float64 `json:"bound_steps_per_s"`
-	// RequestsPerSec is the requests offered a second, at the peak.
+	// RequestsPerSec is the offered request rate, at the peak.
 	RequestsPerSec float64 `json:"rate"`
-	// CPUCores is the processor time of the whole process, stand-ins, nodes and
-	// load tool, for each second of the run.
-	CPUCores  float64       `json:"cores"`
-	Report report.Report `json:"report"`
-	// Failure is nil when nothing was made to fail.
+	// CPUCores is the average number of CPU cores that the process used during
+	// the run, for stand-ins, nodes and load generator together.
+	CPUCores float64       `json:"cores"`
+	Report   report.Report `json:"report"`
+	// Failure is nil if no failure was injected.
 	Failure *FailureReport `json:"failed,omitempty"`
 }
 
-// OptionError tells that an option can't be used.
+// OptionError reports an invalid option and its allowed values.
 type OptionError struct{ Option, Expected string }
 
 // Error implements error.
@@ -82,8 +86,8 @@
 	return fmt.Sprintf("bench: %s: expected %s", e.Option, e.Expected)
 }
 
-// check checks the options.
-func (o Options) check() error {
+// validate checks the options. The error is an *OptionError.
+func (o Options) validate() error {
 	switch {
 	case o.Nodes < 1:
 		return &OptionError{Option: "nodes", Expected: "at least 1"}
@@ -96,13 +100,14 @@
 	case o.Mix.PlainShare >= 1:
 		return &OptionError{Option: "plain share", Expected: "below 1"}
 	}
-	return o.checkFailure()
+	return o.validateFailure()
 }
 
-// Run runs a bench and leaves nothing running. Errors: *SettingError,
-// *node.NotReadyError, or those of starting nodes, stand-ins and load.
+// Run starts the stand-ins and nodes, runs the load and stops everything before
+// it returns. Errors: *OptionError, *node.NotReadyError, or an error from starting
+// the nodes, stand-ins or load.
 func Run(ctx context.Context, o Options) (Result, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return Result{}, err
 	}
 	cfg := standins.Today(o.Scale)
@@ -114,23 +119,24 @@
 	return f.measure(ctx)
 }
 
-// promptChunk is the stand-ins' prompt tokens a step.
-const promptChunk = 64
+// promptChunkTokens is the number of prompt tokens that a stand-in engine
+// processes in one step; it equals the default of the engines.
+const promptChunkTokens = 64
 
-// measure runs the load.
+// measure runs the load, injects the failure, if any, and collects the result.
 func (f *fixture) measure(ctx context.Context) (Result, error) {
 	o := f.options
 	mix := f.mix()
-	means := mix.Means(o.Seed, promptChunk)
+	means := mix.Means(o.Seed, promptChunkTokens)
 	bound := Bound(f.config)
 	result := Result{
-		Nodes:      o.Nodes,
-		Engines:    len(f.config.Engines),
-		Strategy:   o.Strategy,
-		LoadFraction:       o.LoadFraction,
-		Scale:      o.Scale,
+		Nodes:            o.Nodes,
+		Engines:          len(f.config.Engines),
+		Strategy:         o.Strategy,
+		LoadFraction:     o.LoadFraction,
+		Scale:            o.Scale,
 		BoundStepsPerSec: bound,
-		RequestsPerSec:       o.LoadFraction * bound / means.Steps / means.ModelShare,
+		RequestsPerSec:   o.LoadFraction * bound / means.Steps / means.ModelShare,
 	}
 	start := time.Now()
 	recorder := report.New(report.Options{
@@ -139,34 +145,35 @@
 		Until: o.Duration,
 		Bound: bound * means.Tokens / means.Steps,
 	})
-	failing, err := f.newFailing(recorder, o.LoadFraction*bound, means.Tokens/means.Steps)
+	injector, err := f.newFailureInjector(recorder, o.LoadFraction*bound, means.Tokens/means.Steps)
 	if err != nil {
 		return Result{}, err
 	}
-	defer failing.close()
+	defer injector.close()
 	run, err := load.New(load.Settings{
-		Nodes:    failing.addresses(),
+		Nodes:    injector.addresses(),
 		Mix:      mix,
 		Schedule: load.Schedule{Rate: result.RequestsPerSec, Shape: o.Shape, For: o.Duration},
 		Seed:     o.Seed,
 		Deadline: o.Deadline,
 		Returns:  o.MaxRetries,
 		Checker:  answers.Checker{},
-		Observer: failing,
+		Observer: injector,
 	})
 	if err != nil {
 		return Result{}, err
 	}
-	began, used := time.Now(), cpuTime()
-	failing.schedule(ctx, start)
+	runStart, cpuBefore := time.Now(), cpuTime()
+	injector.schedule(ctx, start)
 	load.Watch(ctx, run, o.OnProgress)
-	result.CPUCores = (cpuTime() - used).Seconds() / time.Since(began).Seconds()
-	result.Failure = failing.end()
+	result.CPUCores = (cpuTime() - cpuBefore).Seconds() / time.Since(runStart).Seconds()
+	result.Failure = injector.report()
 	result.Report = recorder.Report()
 	return result, nil
 }
 
-// mix fills in what the fixture decides.
+// mix returns the request mix of the options with the fixture's services and
+// accounts.
 func (f *fixture) mix() load.Mix {
 	mix := f.options.Mix
 	mix.Model = ids.Service(standins.ModelService)
@@ -179,10 +186,10 @@
 	return mix
 }
 
-// cpuTime gives the processor time of this process.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
-	// Getrusage of the own process does not fail.
+	// Getrusage for RUSAGE_SELF does not fail.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/mimosactl/bench/bench_test.go
+++ b/mimosactl/bench/bench_test.go
@@ -15,7 +15,7 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-func TestBoundKnowsEnginesAndLinks(t *testing.T) {
+func TestBoundCountsEnginesAndLinks(t *testing.T) {
 	cfg := standins.Config{Layers: 2, Engines: []standins.EngineSpec{
 		{Engine: engine.Config{ID: "head-0", First: 0, Last: 0, Rate: 100, Links: []engine.Link{{To: "tail-0", Rate: 30}}}},
 		{Engine: engine.Config{ID: "head-1", First: 0, Last: 0, Rate: 50, Links: []engine.Link{{To: "tail-1"}}}},
@@ -30,12 +30,12 @@
 func TestRunAnswersEveryRequest(t *testing.T) {
 	var last load.Progress
 	r, err := Run(context.Background(), Options{
-		Nodes:    3,
-		Strategy: fleet.StrategyFlow,
-		LoadFraction:     0.2,
-		Duration:      600 * time.Millisecond,
-		Warmup:   100 * time.Millisecond,
-		Scale:    1,
+		Nodes:        3,
+		Strategy:     fleet.StrategyFlow,
+		LoadFraction: 0.2,
+		Duration:     600 * time.Millisecond,
+		Warmup:       100 * time.Millisecond,
+		Scale:        1,
 		Mix: load.Mix{
 			PlainShare:  0.3,
 			WriteShare:  0.5,
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestBadOptions(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	good := Options{Nodes: 1, LoadFraction: 1, Scale: 1, Duration: time.Second}
 	for option, change := range map[string]func(*Options){
 		"nodes":  func(o *Options) { o.Nodes = 0 },
@@ -72,7 +72,7 @@
 		bad := good
 		change(&bad)
 		_, err := Run(context.Background(), bad)
-		if setting, ok := errors.AsType[*OptionError](err); !ok || setting.Option != option {
+		if optionErr, ok := errors.AsType[*OptionError](err); !ok || optionErr.Option != option {
 			t.Errorf("%s: error is %v", option, err)
 		}
 	}
--- a/mimosactl/bench/bound.go
+++ b/mimosactl/bench/bound.go
@@ -8,8 +8,8 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-// Bound gives the token steps a second that a set of stand-ins allows: the
-// maximum flow through its engines and links.
+// Bound returns the upper bound of the throughput of a set of stand-ins, in token
+// steps per second: the maximum flow through its engines and links.
 func Bound(cfg standins.Config) float64 {
 	var engines []topology.Engine
 	var links []topology.Link
--- a/mimosactl/bench/failing_test.go
+++ b/mimosactl/bench/failure_test.go
@@ -16,21 +16,22 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-// failingRun runs a short bench with a failure.
-func failingRun(t *testing.T, fail FailureKind) Result {
+// runWithFailure runs a short bench with an injected failure and checks that no
+// answer is wrong and that the recovery is measured.
+func runWithFailure(t *testing.T, fail FailureKind) Result {
 	t.Helper()
 	r, err := Run(context.Background(), Options{
-		Nodes:    3,
-		Strategy: fleet.StrategyFlow,
-		LoadFraction:     0.2,
-		Duration:      1500 * time.Millisecond,
-		Scale:    1,
-		Mix:      load.Mix{KeyedShare: 0.5, PromptWords: load.Sizes{Min: 4, Max: 80}, MaxTokens: load.Sizes{Min: 2, Max: 12}},
-		Seed:     1,
-		MaxRetries:  3,
-		Failure:     fail,
-		FailAfter:   500 * time.Millisecond,
-		Log:      zerolog.Nop(),
+		Nodes:        3,
+		Strategy:     fleet.StrategyFlow,
+		LoadFraction: 0.2,
+		Duration:     1500 * time.Millisecond,
+		Scale:        1,
+		Mix:          load.Mix{KeyedShare: 0.5, PromptWords: load.Sizes{Min: 4, Max: 80}, MaxTokens: load.Sizes{Min: 2, Max: 12}},
+		Seed:         1,
+		MaxRetries:   3,
+		Failure:      fail,
+		FailAfter:    500 * time.Millisecond,
+		Log:          zerolog.Nop(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -52,16 +53,16 @@
 }
 
 func TestEngineFails(t *testing.T) {
-	r := failingRun(t, FailEngine)
+	r := runWithFailure(t, FailEngine)
 	if r.Failure.RemainingBoundStepsPerSec <= 0 || r.Failure.RemainingBoundStepsPerSec >= r.BoundStepsPerSec {
-		t.Errorf("the rest allows %v of %v", r.Failure.RemainingBoundStepsPerSec, r.BoundStepsPerSec)
+		t.Errorf("remaining bound %v of %v", r.Failure.RemainingBoundStepsPerSec, r.BoundStepsPerSec)
 	}
 }
 
 func TestNodeFails(t *testing.T) {
-	r := failingRun(t, FailNode)
+	r := runWithFailure(t, FailNode)
 	if r.Failure.Resends == 0 {
-		t.Error("no request went on to another node")
+		t.Error("no request was resent to another node")
 	}
 	complete := r.Report.Outcomes[outcome.Complete]
 	if complete+r.Report.Recovery.NotComplete != r.Report.Sent {
@@ -69,14 +70,14 @@
 	}
 }
 
-func TestPlannedStopCutsNothingOff(t *testing.T) {
-	r := failingRun(t, FailDrain)
+func TestDrainCutsOffNoRequests(t *testing.T) {
+	r := runWithFailure(t, FailDrain)
 	if r.Failure.StopError != "" || r.Report.Outcomes[outcome.Complete] != r.Report.Sent {
 		t.Errorf("outcomes are %v of %d, reasons %v, stop %q", r.Report.Outcomes, r.Report.Sent, r.Report.Reasons, r.Failure.StopError)
 	}
 }
 
-func TestFailKillsTheEngine(t *testing.T) {
+func TestEngineFailureKillsTheEngine(t *testing.T) {
 	f := &fixture{
 		options: Options{Nodes: 1, Strategy: fleet.StrategyFlow, Failure: FailEngine, Log: zerolog.Nop()},
 		config:  standins.Small(),
@@ -85,28 +86,28 @@
 	if err := f.start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	x, err := f.newFailing(report.New(report.Options{Start: time.Now()}), 1, 1)
+	x, err := f.newFailureInjector(report.New(report.Options{Start: time.Now()}), 1, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer x.close()
 	address := f.standins.Engine(x.result.Name).Addr()
-	x.fail()
+	x.injectFailure()
 	if conn, err := net.Dial("tcp4", address); err == nil {
 		_ = conn.Close()
 		t.Errorf("%s still listens", x.result.Name)
 	}
 }
 
-func TestMiddleEngine(t *testing.T) {
+func TestRemoveMiddleEngine(t *testing.T) {
 	cfg := standins.Small()
-	name, rest := withoutMiddle(cfg)
+	name, rest := removeMiddleEngine(cfg)
 	if name != "mid-szeged-a-0" || len(rest.Engines) != len(cfg.Engines)-1 || Bound(rest) >= Bound(cfg) {
-		t.Errorf("%s is left out, bound %v of %v", name, Bound(rest), Bound(cfg))
+		t.Errorf("removed %s, bound %v of %v", name, Bound(rest), Bound(cfg))
 	}
 }
 
-func TestBadFailures(t *testing.T) {
+func TestInvalidFailureOptions(t *testing.T) {
 	good := Options{Nodes: 2, LoadFraction: 1, Scale: 1, Duration: time.Second, Failure: FailNode, FailAfter: time.Millisecond}
 	for option, change := range map[string]func(*Options){
 		"fail":    func(o *Options) { o.Failure = "meteor" },
@@ -116,7 +117,7 @@
 		bad := good
 		change(&bad)
 		_, err := Run(context.Background(), bad)
-		if setting, ok := errors.AsType[*OptionError](err); !ok || setting.Option != option {
+		if optionErr, ok := errors.AsType[*OptionError](err); !ok || optionErr.Option != option {
 			t.Errorf("%s: error is %v", option, err)
 		}
 	}
--- a/mimosactl/bench/fixture.go
+++ b/mimosactl/bench/fixture.go
@@ -17,41 +17,43 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-// Names and figures of a bench.
+// Names, addresses and limits of a bench run.
 const (
-	anyPort       = "127.0.0.1:0"
-	profileName   = "bench"
-	accountRate   = 100000
-	readyWithin   = 20 * time.Second
-	profileWindow = time.Minute
+	anyPort               = "127.0.0.1:0"
+	profileName           = "bench"
+	accountRequestsPerSec = 100000
+	readyTimeout          = 20 * time.Second
+	requestDeadline       = time.Minute
 )
 
-// account is a client account of a bench.
+// account is a client account of the generated requests.
 type account struct {
 	id     ids.Account
 	key    string
 	weight int
 }
 
-// accounts are of unequal weight: a few are large.
+// accounts have unequal weights, so that the load includes large and small
+// accounts.
 var accounts = [...]account{
 	{id: "szeged-district", key: "bench-key-1", weight: 6},
 	{id: "kecskemet-district", key: "bench-key-2", weight: 3},
 	{id: "village-school", key: "bench-key-3", weight: 1},
 }
 
-// fixture is the stand-ins and nodes of a bench.
+// fixture holds the stand-ins and nodes of a bench run.
 type fixture struct {
 	options  Options
 	config   standins.Config
 	standins *standins.Fleet
 	nodes    []*node.Node
 	vms      []platformapi.VM
-	// stopped are the nodes that were stopped before the end.
+	// stopped holds the nodes that the injected failure stopped.
 	stopped map[*node.Node]bool
 }
 
-// start starts everything and waits until the nodes are ready.
+// start starts the stand-ins and nodes, publishes the configuration and waits
+// until all nodes are ready.
 func (f *fixture) start(ctx context.Context) error {
 	running, err := standins.Start(f.config)
 	if err != nil {
@@ -70,7 +72,7 @@
 	return f.waitReady(ctx)
 }
 
-// close stops whatever runs.
+// close stops the nodes and stand-ins that are running.
 func (f *fixture) close() {
 	for _, n := range f.nodes {
 		if !f.stopped[n] {
@@ -97,14 +99,14 @@
 	return err
 }
 
-// documents are the configuration of the bench.
+// documents returns the configuration documents of the bench run.
 func (f *fixture) documents() []fleet.Document {
 	profile := fleet.Profile{
 		Kind:          fleet.KindProfile,
 		Name:          profileName,
 		Strategy:      f.options.Strategy,
 		TokenInterval: fleet.Duration(f.options.TokenInterval),
-		Deadline:      fleet.Duration(profileWindow),
+		Deadline:      fleet.Duration(requestDeadline),
 	}
 	model := fleet.Service{
 		Kind:    fleet.KindService,
@@ -126,14 +128,14 @@
 		shard.Accounts = append(shard.Accounts, fleet.Account{
 			ID:        a.id,
 			KeySHA256: hex.EncodeToString(hash[:]),
-			Rate:      accountRate,
+			Rate:      accountRequestsPerSec,
 			Weight:    a.weight,
 		})
 	}
 	return []fleet.Document{profile.WithDefaults(), model, plain.WithDefaults(), shard.WithDefaults()}
 }
 
-// startNode starts the i-th node; the zones take turns.
+// startNode starts the i-th node. Nodes are assigned to zones in rotation.
 func (f *fixture) startNode(i int) error {
 	zones := f.zones()
 	zone := zones[i%len(zones)]
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// zones lists the stand-ins' zones in order.
+// zones returns the stand-ins' zones in order of first use.
 func (f *fixture) zones() []string {
 	var out []string
 	seen := make(map[string]bool)
@@ -173,7 +175,7 @@
 	return out
 }
 
-// addresses are where the nodes take callers.
+// addresses returns the nodes' caller addresses.
 func (f *fixture) addresses() []string {
 	out := make([]string, len(f.nodes))
 	for i, n := range f.nodes {
@@ -184,7 +186,7 @@
 
 // waitReady waits until every node has configuration and upstreams.
 func (f *fixture) waitReady(ctx context.Context) error {
-	ctx, done := context.WithTimeout(ctx, readyWithin)
+	ctx, done := context.WithTimeout(ctx, readyTimeout)
 	defer done()
 	for _, n := range f.nodes {
 		if err := n.WaitReady(ctx); err != nil {
--- a/mimosactl/bench/front_test.go
+++ b/mimosactl/bench/proxy_test.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// serve serves a handler and gives its address; a nil one ends each
-// connection without an answer.
+// serve serves a handler and returns its address. With a nil handler, each
+// connection is closed without a response.
 func serve(t *testing.T, handle fasthttp.RequestHandler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", anyPort)
@@ -23,31 +23,32 @@
 	return listener.Addr().String()
 }
 
-// through sends a request through a front of backends and gives the status
-// and how often it was sent anew.
-func through(t *testing.T, method, key string, cut string, backends ...backend) (int, int64) {
+// sendThrough sends a request through a proxy for backends, with all connections
+// to the address cut closed before. It returns the response status and the number
+// of resends.
+func sendThrough(t *testing.T, method, key string, cut string, backends ...backend) (int, int64) {
 	t.Helper()
-	f, err := newFront(backends)
+	f, err := newProxy(backends)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.close()
-	f.cut(cut)
+	f.closeConns(cut)
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + f.listener.Addr().String() + "/slots")
 	if key != "" {
-		req.Header.Set(keyHeader, key)
+		req.Header.Set(idempotencyKeyHeader, key)
 	}
 	host := &fasthttp.HostClient{Addr: f.listener.Addr().String()}
 	defer host.CloseIdleConnections()
 	if err := host.Do(req, resp); err != nil {
 		t.Fatal(err)
 	}
-	return resp.StatusCode(), f.repeats.Load()
+	return resp.StatusCode(), f.resends.Load()
 }
 
-func TestFrontGoesOnWhereItMay(t *testing.T) {
+func TestProxyResendsOnlySafeRequests(t *testing.T) {
 	yes, no := func() bool { return true }, func() bool { return false }
 	good := backend{address: serve(t, func(*fasthttp.RequestCtx) {}), ready: yes}
 	silent := backend{address: serve(t, nil), ready: yes}
@@ -57,7 +58,7 @@
 		method, key, cut string
 		first            backend
 		status           int
-		repeats          int64
+		resends          int64
 	}{
 		"not ready":          {"POST", "", "", leaving, fasthttp.StatusOK, 0},
 		"never sent":         {"POST", "", other.address, other, fasthttp.StatusOK, 1},
@@ -65,9 +66,9 @@
 		"no answer, key":     {"POST", "k", "", silent, fasthttp.StatusOK, 1},
 		"no answer, not key": {"POST", "", "", silent, fasthttp.StatusBadGateway, 0},
 	} {
-		status, repeats := through(t, c.method, c.key, c.cut, c.first, good)
-		if status != c.status || repeats != c.repeats {
-			t.Errorf("%s: status %d after %d repeats, want %d after %d", name, status, repeats, c.status, c.repeats)
+		status, resends := sendThrough(t, c.method, c.key, c.cut, c.first, good)
+		if status != c.status || resends != c.resends {
+			t.Errorf("%s: status %d after %d resends, want %d after %d", name, status, resends, c.status, c.resends)
 		}
 	}
 }
