--- a/mimosactl/demo/demo.go
+++ b/mimosactl/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo runs a node with stand-ins of everything around it in one
-// process, serves a draft and a booking, and shows how they were routed.
+// Package demo runs a node with a stand-in platform, stand-in engines and plain
+// services in one process. It sends a model request (a draft) and a plain request
+// (a booking) and prints how they were routed.
 package demo
 
 import (
@@ -22,25 +23,26 @@
 	standins "mimosaarch.example/standin/fleet"
 )
 
-// documents are the configuration that the demo publishes.
+// documents holds the configuration documents that the demo publishes.
 //
 //go:embed config/*.yaml
 var documents embed.FS
 
-// Names and figures of the demo.
+// Names, addresses and limits of the demo.
 const (
-	vmName      = "szeged-a-1"
-	zoneName    = "szeged-a"
-	anyPort     = "127.0.0.1:0"
-	accountKey  = "demo-key"
-	draftTokens = 24
-	readyWithin = 10 * time.Second
+	vmName         = "szeged-a-1"
+	zoneName       = "szeged-a"
+	anyPort        = "127.0.0.1:0"
+	accountKey     = "demo-key"
+	maxDraftTokens = 24
+	readyTimeout   = 10 * time.Second
 )
 
-// IncompleteAnswerError tells that a request of the demo was not answered as it should.
+// IncompleteAnswerError reports that a request of the demo had an outcome other
+// than complete.
 type IncompleteAnswerError struct {
-	Request   string
-	Result client.Result
+	Request string
+	Result  client.Result
 }
 
 // Error implements error.
@@ -48,8 +50,9 @@
 	return fmt.Sprintf("%s: outcome %s, reason %s %s", e.Request, e.Result.Outcome, e.Result.Reason, e.Result.Message)
 }
 
-// Run runs the demo and prints to out. It leaves nothing running. Log lines
-// of the node go to log.
+// Run runs the demo and prints its progress to out and the node's log to log. It
+// stops everything before it returns. Errors: *IncompleteAnswerError,
+// *node.NotReadyError, or an error from the stand-ins, the node or the client.
 func Run(ctx context.Context, out io.Writer, log zerolog.Logger) error {
 	d := &demo{out: out, log: log}
 	defer d.close()
@@ -80,7 +83,7 @@
 	requests []ids.Request
 }
 
-// close stops whatever runs.
+// close stops the client, the node and the stand-ins that are running.
 func (d *demo) close() {
 	if d.client != nil {
 		d.client.Close()
@@ -93,8 +96,8 @@
 	}
 }
 
-// startStandins starts the platform, three chains of engines and the booking
-// services.
+// startStandins starts the stand-in platform, three chains of engines and the
+// booking services.
 func (d *demo) startStandins(context.Context) error {
 	running, err := standins.Start(standins.Small())
 	if err != nil {
@@ -127,7 +130,7 @@
 	return nil
 }
 
-// startNode starts the node and lists it on the platform.
+// startNode starts the node and adds it to the platform's list of VMs.
 func (d *demo) startNode(context.Context) error {
 	s := settings.Settings{
 		VM:       vmName,
@@ -151,28 +154,28 @@
 
 // waitReady waits until the node has configuration and upstreams.
 func (d *demo) waitReady(ctx context.Context) error {
-	ctx, done := context.WithTimeout(ctx, readyWithin)
+	ctx, done := context.WithTimeout(ctx, readyTimeout)
 	defer done()
 	return d.node.WaitReady(ctx)
 }
 
-// draft sends a model request and prints its tokens as they come.
+// draft sends a model request and prints the tokens as they arrive.
 func (d *demo) draft(ctx context.Context) error {
 	fmt.Fprint(d.out, "\ndraft: ")
 	result, err := d.client.Chat(ctx, client.Chat{
 		Model:     standins.ModelService,
 		Messages:  []engineapi.Message{{Role: "user", Content: "Summarise the slots of Ms Nagy on Thursday evening."}},
-		MaxTokens: draftTokens,
+		MaxTokens: maxDraftTokens,
 		OnToken:   func(_ int, text string) { fmt.Fprint(d.out, text) },
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(d.out, "\n%s: %d tokens of request %s\n", result.Outcome, result.Tokens, result.Request)
-	return d.check("draft", result)
+	return d.requireComplete("draft", result)
 }
 
-// booking sends a call that may run at most once.
+// booking sends a plain request that must be executed at most once.
 func (d *demo) booking(ctx context.Context) error {
 	result, err := d.client.Plain(ctx, client.Plain{
 		Service: standins.PlainService,
@@ -185,13 +188,14 @@
 		return err
 	}
 	fmt.Fprintf(d.out, "\nbooking: status %d, %s\n%s: request %s\n", result.Status, result.Body, result.Outcome, result.Request)
-	return d.check("booking", result)
+	return d.requireComplete("booking", result)
 }
 
-// check keeps a request for the explanation, if it was answered whole.
-func (d *demo) check(what string, result client.Result) error {
+// requireComplete records the request for explain if its outcome is complete, and
+// returns an *IncompleteAnswerError otherwise.
+func (d *demo) requireComplete(request string, result client.Result) error {
 	if result.Outcome != outcome.Complete {
-		return &IncompleteAnswerError{Request: what, Result: result}
+		return &IncompleteAnswerError{Request: request, Result: result}
 	}
 	d.requests = append(d.requests, result.Request)
 	return nil
