--- a/mimosactl/documents/documents.go
+++ b/mimosactl/documents/documents.go
@@ -1,5 +1,5 @@
-// Package documents reads configuration documents from files and publishes
-// them to the platform by conditional updates.
+// Package documents reads configuration documents from files and publishes them
+// to the platform with conditional updates.
 package documents
 
 import (
@@ -11,17 +11,17 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// File is one document read from a file.
+// File is a document and the file it was read from.
 type File struct {
 	Path string
 	// Document has its defaults filled in.
 	Document fleet.Document
 }
 
-// Key is the key of the platform object that holds the document.
+// Key returns the key of the platform object that holds the document.
 func (f File) Key() string { return fleet.Key(f.Document) }
 
-// Read reads and checks one file. Errors: *ReadError, *FileError.
+// Read reads and validates one file. Errors: *ReadError, *FileError.
 func Read(path string) (File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return Parse(path, data)
 }
 
-// Parse checks one document; path names where it came from. The error is a
-// *FileError.
+// Parse parses and validates one document. path identifies its source in errors.
+// The error is a *FileError.
 func Parse(path string, data []byte) (File, error) {
 	doc, err := fleet.Parse(data)
 	if err != nil {
@@ -40,13 +40,13 @@
 	return File{Path: path, Document: doc}, nil
 }
 
-// ReadAll reads and checks files, each document at most once. Errors:
-// *ReadError at the first file that can't be read, else *InvalidFilesError
-// with every fault found. The files are given in the order to publish them in:
-// profiles, the services that name them, accounts.
+// ReadAll reads and validates files. No two files may hold the same document. It
+// returns them in the order to publish: profiles, the services that refer to them,
+// accounts. Errors: *ReadError at the first file that cannot be read, otherwise
+// *InvalidFilesError with all errors found.
 func ReadAll(paths []string) ([]File, error) {
 	var files []File
-	var faults []error
+	var errs []error
 	seen := make(map[string]string)
 	for _, path := range paths {
 		file, err := Read(path)
@@ -54,32 +54,32 @@
 			return nil, err
 		}
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		if earlier, twice := seen[file.Key()]; twice {
-			faults = append(faults, &DuplicateError{Key: file.Key(), Paths: [2]string{earlier, path}})
+			errs = append(errs, &DuplicateError{Key: file.Key(), Paths: [2]string{earlier, path}})
 			continue
 		}
 		seen[file.Key()] = path
 		files = append(files, file)
 	}
-	if len(faults) > 0 {
-		return nil, &InvalidFilesError{Errors: faults}
+	if len(errs) > 0 {
+		return nil, &InvalidFilesError{Errors: errs}
 	}
-	sortForPublishing(files)
+	sortByPublishOrder(files)
 	return files, nil
 }
 
-// publishOrder gives each kind its place.
+// publishOrder maps a document kind to its position in the publish order.
 var publishOrder = map[string]int{
 	fleet.KindProfile:  0,
 	fleet.KindService:  1,
 	fleet.KindAccounts: 2,
 }
 
-// sortForPublishing orders files by kind; those of one kind stay as given.
-func sortForPublishing(files []File) {
+// sortByPublishOrder sorts files by kind and keeps the order within a kind.
+func sortByPublishOrder(files []File) {
 	slices.SortStableFunc(files, func(a, b File) int {
 		return cmp.Compare(
 			publishOrder[a.Document.DocumentKind()],
@@ -88,28 +88,28 @@
 	})
 }
 
-// encoded is a file ready to be written.
-type encoded struct {
+// encodedFile is a file with its encoded value, ready to be written.
+type encodedFile struct {
 	File
 	change string
 	value  []byte
 }
 
-// encode gives a file its change id and checks its size. The error is a
-// *FileError.
-func encode(f File, change string) (encoded, error) {
+// encodeFile encodes a file's document with a change ID and checks its size. The
+// error is a *FileError.
+func encodeFile(f File, change string) (encodedFile, error) {
 	value, err := fleet.Encode(f.Document.WithChange(change))
 	if err != nil {
-		return encoded{}, &FileError{Path: f.Path, Cause: err}
+		return encodedFile{}, &FileError{Path: f.Path, Cause: err}
 	}
 	if len(value) > platformapi.MaxValueBytes {
-		return encoded{}, &FileError{Path: f.Path, Cause: &TooLargeError{Size: len(value)}}
+		return encodedFile{}, &FileError{Path: f.Path, Cause: &TooLargeError{Size: len(value)}}
 	}
-	return encoded{File: f, change: change, value: value}, nil
+	return encodedFile{File: f, change: change, value: value}, nil
 }
 
-// ChangeIDOf gives the change id of a published value; empty when the value does
-// not parse or has none.
+// ChangeIDOf returns the change ID of a published value; empty if the value does
+// not parse or has no change ID.
 func ChangeIDOf(value []byte) string {
 	doc, err := fleet.Parse(value)
 	if err != nil {
--- a/mimosactl/documents/errors.go
+++ b/mimosactl/documents/errors.go
@@ -7,16 +7,16 @@
 	"mimosaarch.example/core/platformapi"
 )
 
-// ReadError tells that a file could not be read.
+// ReadError reports that a file could not be read.
 type ReadError struct{ Cause error }
 
 // Error implements error.
 func (e *ReadError) Error() string { return e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// FileError tells that a file holds no valid document.
+// FileError reports that a file does not hold a valid document.
 type FileError struct {
 	Path string
 	// Cause is a *fleet.InvalidError, *fleet.EncodeError or *TooLargeError.
@@ -26,10 +26,11 @@
 // Error implements error.
 func (e *FileError) Error() string { return e.Path + ": " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// TooLargeError tells that a document is larger than a platform object.
+// TooLargeError reports that an encoded document exceeds the maximum size of a
+// platform object.
 type TooLargeError struct {
 	// Size is in bytes.
 	Size int
@@ -37,10 +38,10 @@
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%d bytes with its defaults, at most %d are allowed", e.Size, platformapi.MaxValueBytes)
+	return fmt.Sprintf("%d bytes with defaults filled in, at most %d are allowed", e.Size, platformapi.MaxValueBytes)
 }
 
-// DuplicateError tells that two files hold the same document.
+// DuplicateError reports that two files hold the same document.
 type DuplicateError struct {
 	Key   string
 	Paths [2]string
@@ -48,13 +49,13 @@
 
 // Error implements error.
 func (e *DuplicateError) Error() string {
-	return fmt.Sprintf("%s: %s is in %s already", e.Paths[1], e.Key, e.Paths[0])
+	return fmt.Sprintf("%s: %s is already defined in %s", e.Paths[1], e.Key, e.Paths[0])
 }
 
-// InvalidFilesError lists every fault found in a set of files; nothing was
+// InvalidFilesError lists all errors found in a set of files, of which none was
 // written.
 type InvalidFilesError struct {
-	// Errors are of type *FileError or *DuplicateError.
+	// Errors holds errors of type *FileError or *DuplicateError.
 	Errors []error
 }
 
@@ -67,15 +68,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// ConflictError tells that a publish was refused, since the published document
-// is not at the version expected.
+// ConflictError reports that a publish was refused because the published document
+// is not at the expected version.
 type ConflictError struct {
 	Key string
-	// Expected is the version asked for; 0 means that none was to exist.
+	// Expected is the expected version; 0 means that no document should exist.
 	Expected int64
-	// Current is the version that stands; 0 means that none exists.
+	// Current is the published version; 0 means that no document exists.
 	Current int64
-	// Change is the id of the publish that wrote it; empty when not known.
+	// Change is the change ID of the current version; empty if unknown.
 	Change string
 }
 
@@ -84,9 +85,9 @@
 	return fmt.Sprintf("conflict: %s is at version %d (change %q), not at %d", e.Key, e.Current, e.Change, e.Expected)
 }
 
-// SupersededError tells that the answer to a publish was lost and a newer
-// document of somebody else stands. Ours may have been in force before it, and
-// won't come back.
+// SupersededError reports that the response to a publish was lost and that another
+// publish has written a newer version since. The lost publish may have been active
+// before that version and will not become active again.
 type SupersededError struct {
 	Key     string
 	Current int64
@@ -98,8 +99,9 @@
 	return fmt.Sprintf("conflict: %s was superseded by version %d (change %q)", e.Key, e.Current, e.Change)
 }
 
-// UnknownResultError tells that it is not known whether a publish took effect.
-// Change is its id: it has taken effect once the document shows that id.
+// UnknownResultError reports that it is unknown whether a publish took effect.
+// Change is its change ID: the publish has taken effect once the published document
+// has this ID.
 type UnknownResultError struct {
 	Key    string
 	Change string
@@ -111,10 +113,10 @@
 	return fmt.Sprintf("unknown: %s may be published or not, look for change %q: %v", e.Key, e.Change, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *UnknownResultError) Unwrap() error { return e.Cause }
 
-// NotPublishedError tells that a publish had no effect and will have none.
+// NotPublishedError reports that a publish had no effect and will have none.
 type NotPublishedError struct {
 	Key   string
 	Cause error
@@ -125,5 +127,5 @@
 	return fmt.Sprintf("not published: %s: %v", e.Key, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *NotPublishedError) Unwrap() error { return e.Cause }
--- a/mimosactl/documents/publish.go
+++ b/mimosactl/documents/publish.go
@@ -18,29 +18,30 @@
 	Change  string `json:"change"`
 }
 
-// AnyVersion, as expected version, stands for the one published when Publish
-// begins.
+// AnyVersion, as the expected version, means the version that is published when
+// Publish starts.
 const AnyVersion = -1
 
-// changeBytes is the length of a change id's random part.
-const changeBytes = 8
+// changeIDBytes is the length of a change ID before hex encoding, in bytes.
+const changeIDBytes = 8
 
-// NewChangeID draws a change id.
+// NewChangeID returns a random change ID.
 func NewChangeID() string {
-	var b [changeBytes]byte
+	var b [changeIDBytes]byte
 	// crypto/rand.Read never fails.
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Publish writes files in the order given, each under the condition that the
-// published document is at the version expected: 0 means that none exists.
-// The versions for AnyVersion are all read, and all files are encoded, before
-// anything is written. change marks the documents and must be new.
+// Publish writes files in the given order, each on condition that the published
+// document has the expected version; 0 means that no document may exist. Before
+// the first write, it encodes all files and reads the versions that AnyVersion
+// stands for. The documents are marked with the change ID change, which must be
+// unique: Publish uses it to recognize its own writes.
 //
-// It stops at the first file that is not written, and gives those written
-// before it. Errors: *InvalidFilesError, *FailedError, *ConflictError,
-// *SupersededError, *UnsettledError.
+// It stops at the first file that is not written and returns the files written
+// before. Errors: *InvalidFilesError, *NotPublishedError, *ConflictError,
+// *SupersededError, *UnknownResultError.
 func Publish(ctx context.Context, store platform.Store, files []File, expected int64, change string) ([]Published, error) {
 	ready, err := encodeAll(files, change)
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 	var out []Published
 	for i, file := range ready {
-		object, err := write(ctx, store, file, versions[i])
+		object, err := writeFile(ctx, store, file, versions[i])
 		if err != nil {
 			return out, err
 		}
@@ -61,27 +62,28 @@
 	return out, nil
 }
 
-// encodeAll encodes every file, or lists what is wrong.
-func encodeAll(files []File, change string) ([]encoded, error) {
-	out := make([]encoded, 0, len(files))
-	var faults []error
+// encodeAll encodes all files. The error is an *InvalidFilesError with all errors
+// found.
+func encodeAll(files []File, change string) ([]encodedFile, error) {
+	out := make([]encodedFile, 0, len(files))
+	var errs []error
 	for _, file := range files {
-		e, err := encode(file, change)
+		e, err := encodeFile(file, change)
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		out = append(out, e)
 	}
-	if len(faults) > 0 {
-		return nil, &InvalidFilesError{Errors: faults}
+	if len(errs) > 0 {
+		return nil, &InvalidFilesError{Errors: errs}
 	}
 	return out, nil
 }
 
-// currentVersions gives the version that each write is conditional on. The
-// error is a *FailedError.
-func currentVersions(ctx context.Context, store platform.Store, files []encoded, expected int64) ([]int64, error) {
+// currentVersions returns the version that each write is conditional on. The error
+// is a *NotPublishedError.
+func currentVersions(ctx context.Context, store platform.Store, files []encodedFile, expected int64) ([]int64, error) {
 	out := make([]int64, len(files))
 	for i, file := range files {
 		if expected != AnyVersion {
@@ -97,7 +99,7 @@
 	return out, nil
 }
 
-// versionOf reads an object's version; 0 when there is none.
+// versionOf returns an object's version; 0 if it does not exist.
 func versionOf(ctx context.Context, store platform.Store, key string) (int64, error) {
 	object, err := store.Get(ctx, key)
 	var missing *platform.NotFoundError
@@ -107,10 +109,11 @@
 	return object.Version, err
 }
 
-// write writes one file and tells what is known of it.
-func write(ctx context.Context, store platform.Store, file encoded, ifMatch int64) (platformapi.Object, error) {
-	isMine := func(value []byte) bool { return ChangeIDOf(value) == file.change }
-	result := platform.PutAndVerify(ctx, store, file.Key(), file.value, ifMatch, isMine)
+// writeFile writes one file on condition that the object has version ifMatch. If
+// the response is lost, it reads the object back to find the result.
+func writeFile(ctx context.Context, store platform.Store, file encodedFile, ifMatch int64) (platformapi.Object, error) {
+	hasChangeID := func(value []byte) bool { return ChangeIDOf(value) == file.change }
+	result := platform.PutAndVerify(ctx, store, file.Key(), file.value, ifMatch, hasChangeID)
 	key, current := file.Key(), result.Object
 	switch result.Outcome {
 	case platform.PutWritten:
