--- a/mimosactl/logtrace/logtrace.go
+++ b/mimosactl/logtrace/logtrace.go
@@ -1,6 +1,6 @@
-// Package logtrace reads what became of a request from the log of nodes: its own
-// lines, and those by which nodes changed their belief about the upstreams it
-// met, shortly before or while it ran.
+// Package logtrace extracts the trace of a request from node logs: the lines of
+// the request, and the state changes that the same nodes logged for its upstreams
+// shortly before or during the request.
 package logtrace
 
 import (
@@ -13,74 +13,75 @@
 	"time"
 )
 
-// before is how long before a request's first line changes of belief still
-// matter: entries of dead upstreams stand in a directory for some seconds.
-const before = 10 * time.Second
+// lookback is how long before the first line of a request state changes are
+// included. Entries of dead upstreams stay in a directory for some seconds.
+const lookback = 10 * time.Second
 
-// maxLine is the longest line that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a line.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed line of a log.
 type Line struct {
 	At    time.Time `json:"time"`
 	VM    string    `json:"vm"`
 	Event string    `json:"event"`
-	// Request is set on lines about a request.
+	// Request is the request ID; empty if the line is not about a request.
 	Request string `json:"request,omitempty"`
-	// Fields are all others.
+	// Fields holds all other fields except the level.
 	Fields map[string]any `json:"-"`
-	// place is the line's place in the log, which tells the order of lines of
-	// one instant.
-	place int
+	// index is the line's index in the log. It orders lines with the same
+	// time.
+	index int
 }
 
-// Trace is what a log tells of a request, in the order of time.
+// Trace holds the log lines that are relevant to a request, in order of time.
 type Trace struct {
 	Request string
 	Lines   []Line
-	// SkippedLines counts lines that are no JSON objects.
+	// SkippedLines counts lines that are not JSON objects of an event.
 	SkippedLines int
 }
 
-// Read reads the log of one or more nodes and keeps what concerns a request.
-// Lines may have a prefix before their JSON object.
+// Read reads the log of one or more nodes and returns the trace of a request. Lines
+// may have a prefix before their JSON object. Errors are those of r, or
+// bufio.ErrTooLong for a line of more than 1 MiB.
 func Read(r io.Reader, request string) (*Trace, error) {
 	t := &Trace{Request: request}
-	var beliefs []Line
+	var changes []Line
 	skipped, err := ForEachLine(r, func(line Line) {
 		switch line.Request {
 		case request:
 			t.Lines = append(t.Lines, line)
 		case "":
-			beliefs = append(beliefs, line)
+			changes = append(changes, line)
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
 	t.SkippedLines = skipped
-	t.join(beliefs)
+	t.addStateChanges(changes)
 	return t, nil
 }
 
-// ForEachLine gives every line of a log in its order, and counts lines that are no JSON
-// objects of an event.
-func ForEachLine(r io.Reader, take func(Line)) (skipped int, err error) {
+// ForEachLine calls handle with each line of a log in order. It returns the number
+// of lines that are not JSON objects of an event. It returns the same errors as Read.
+func ForEachLine(r io.Reader, handle func(Line)) (skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
-	for place := 0; scanner.Scan(); place++ {
+	scanner.Buffer(nil, maxLineBytes)
+	for index := 0; scanner.Scan(); index++ {
 		line, ok := parse(scanner.Bytes())
 		if !ok {
 			skipped++
 			continue
 		}
-		line.place = place
-		take(line)
+		line.index = index
+		handle(line)
 	}
 	return skipped, scanner.Err()
 }
 
-// parse reads one line.
+// parse parses one line; false if it is not a JSON object of an event.
 func parse(data []byte) (Line, bool) {
 	start := bytes.IndexByte(data, '{')
 	if start < 0 {
@@ -91,70 +92,72 @@
 	if json.Unmarshal(data, &line) != nil || json.Unmarshal(data, &line.Fields) != nil || line.Event == "" {
 		return Line{}, false
 	}
-	for _, known := range []string{"time", "vm", "event", "request", "level"} {
-		delete(line.Fields, known)
+	for _, name := range []string{"time", "vm", "event", "request", "level"} {
+		delete(line.Fields, name)
 	}
 	return line, true
 }
 
-// join adds the changes of belief that concern the request's upstreams.
-func (t *Trace) join(beliefs []Line) {
+// addStateChanges adds the state changes that are relevant to the request's
+// upstreams, and sorts the lines by time.
+func (t *Trace) addStateChanges(changes []Line) {
 	if len(t.Lines) == 0 {
 		return
 	}
 	first, last := t.Lines[0].At, t.Lines[len(t.Lines)-1].At
-	met, vms := t.met()
-	for _, b := range beliefs {
-		if b.At.Before(first.Add(-before)) || b.At.After(last) || !slices.Contains(vms, b.VM) {
+	upstreams, vms := t.upstreamsAndVMs()
+	for _, change := range changes {
+		if change.At.Before(first.Add(-lookback)) || change.At.After(last) || !slices.Contains(vms, change.VM) {
 			continue
 		}
-		if !b.concerns(met) {
+		if !change.isRelevant(upstreams) {
 			continue
 		}
-		if b.At.Before(first) && b.Fields["upstream"] == nil {
-			// Of what the whole node believes, the latest counts.
-			t.Lines = slices.DeleteFunc(t.Lines, func(l Line) bool { return l.Request == "" && l.same(b) })
+		if change.At.Before(first) && change.Fields["upstream"] == nil {
+			// Keep only the latest of the changes that apply to the whole node.
+			t.Lines = slices.DeleteFunc(t.Lines, func(l Line) bool { return l.Request == "" && l.isSupersededBy(change) })
 		}
-		t.Lines = append(t.Lines, b)
+		t.Lines = append(t.Lines, change)
 	}
 	slices.SortStableFunc(t.Lines, func(a, b Line) int {
 		if c := a.At.Compare(b.At); c != 0 {
 			return c
 		}
-		return a.place - b.place
+		return a.index - b.index
 	})
 }
 
-// met gives the upstreams of the request's lines, as one text of names and
-// addresses, and the VMs that wrote them.
-func (t *Trace) met() (text string, vms []string) {
+// upstreamsAndVMs returns the names and addresses of all upstreams in the request's
+// lines, joined by spaces, and the VMs that logged the lines.
+func (t *Trace) upstreamsAndVMs() (upstreams string, vms []string) {
 	for _, line := range t.Lines {
 		if !slices.Contains(vms, line.VM) {
 			vms = append(vms, line.VM)
 		}
 		for _, field := range []string{"upstream", "address", "chain", "was"} {
 			if value, ok := line.Fields[field].(string); ok {
-				text += " " + value
+				upstreams += " " + value
 			}
 		}
 	}
-	return text, vms
+	return upstreams, vms
 }
 
-// same reports whether a later line of a node takes the place of this one.
-func (l Line) same(o Line) bool {
+// isSupersededBy reports whether the later line o replaces l: both are from the same
+// node, and have the same event and kind. Lines about an upstream are never replaced.
+func (l Line) isSupersededBy(o Line) bool {
 	return l.VM == o.VM && l.Event == o.Event && l.Fields["kind"] == o.Fields["kind"] && l.Fields["upstream"] == nil
 }
 
-// concerns reports whether a line is about an upstream that was met, or about
-// what the whole node depends on.
-func (l Line) concerns(met string) bool {
+// isRelevant reports whether a line is about one of upstreams, given as names and
+// addresses joined by spaces, or about the state of the whole node.
+func (l Line) isRelevant(upstreams string) bool {
 	switch l.Event {
 	case "store_lost", "store_back", "zone_suspected", "started", "stopping", "configuration", "log_lines_dropped":
 		return true
 	}
 	for _, field := range []string{"upstream", "address"} {
-		if value, ok := l.Fields[field].(string); ok && value != "" && strings.Contains(met, value) {
+		if value, ok := l.Fields[field].(string); ok && value != "" && strings.Contains(upstreams, value) {
 			return true
 		}
 	}
--- a/mimosactl/logtrace/logtrace_test.go
+++ b/mimosactl/logtrace/logtrace_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const sample = `
+const sampleLog = `
 {"level":"info","vm":"v1","event":"started","time":"2026-01-01T00:00:00Z"}
 {"level":"info","vm":"v1","event":"upstream_suspected","upstream":"u-old","address":"10.0.0.2:1","time":"2026-01-01T00:00:20Z"}
   3.2 v1 {"level":"info","vm":"v1","event":"upstream_suspected","upstream":"u2","address":"10.0.0.2:1","time":"2026-01-01T00:00:25Z"}
@@ -22,8 +22,8 @@
 {"level":"info","vm":"v1","event":"store_lost","kind":"upstreams","time":"2026-01-01T00:00:32Z"}
 `
 
-func TestTraceHoldsWhatConcernsTheRequest(t *testing.T) {
-	trace, err := Read(strings.NewReader(sample), "r1")
+func TestTraceIncludesRelevantLines(t *testing.T) {
+	trace, err := Read(strings.NewReader(sampleLog), "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,12 +36,12 @@
 		t.Error(diff)
 	}
 	if trace.SkippedLines != 2 {
-		t.Errorf("%d lines skipped, want the blank one and the one that is no line", trace.SkippedLines)
+		t.Errorf("%d lines skipped, want the blank line and the one that is not JSON", trace.SkippedLines)
 	}
 }
 
 func TestUnknownRequestHasNoLines(t *testing.T) {
-	trace, err := Read(strings.NewReader(sample), "r7")
+	trace, err := Read(strings.NewReader(sampleLog), "r7")
 	if err != nil || len(trace.Lines) > 0 {
 		t.Errorf("lines %v, error %v", trace.Lines, err)
 	}
