--- a/mimosactl/losses/losses.go
+++ b/mimosactl/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses sums up, from the logs of nodes, which answers callers did not
-// get in time and why: late, refused, broken off, or lost with a node's process.
+// Package losses summarizes from node logs which requests were not answered in
+// time and why. An answer may be late, refused, failed, or cut off, either by the
+// node or by the end of its process.
 package losses
 
 import (
@@ -13,54 +14,62 @@
 	"mimosaarch.example/mimosactl/logtrace"
 )
 
-// Kind is what a caller got in place of an answer in time.
+// Kind is the kind of loss: what a caller got instead of an answer in time.
 type Kind string
 
 // Kinds of losses.
 const (
-	Late    Kind = "late"
+	// Late is a complete answer that arrived too late.
+	Late Kind = "late"
+	// Refused is a response with status 429 or 503 from the node itself.
 	Refused Kind = "refused"
-	Failed  Kind = "failed"
-	Cut     Kind = "cut"
+	// Failed is any other server error, from the node or an upstream.
+	Failed Kind = "failed"
+	// Cut is an answer that ended early.
+	Cut Kind = "cut"
 )
 
-// Cause is a kind of loss and its reason; an empty reason is not explained.
+// Cause is a kind of loss and its reason. The reason is empty if the logs do not
+// explain the loss.
 type Cause struct {
 	Kind   Kind
 	Reason string
 }
 
-// Unexplained reports whether the logs do not tell the reason.
+// Unexplained reports whether the logs give no reason.
 func (c Cause) Unexplained() bool { return c.Reason == "" }
 
-// Interval counts what was lost in a span of time.
+// Interval counts the requests that ended in a time interval. Its JSON form keeps
+// the field names From and Asked.
 type Interval struct {
-	// Start is the time since the log's first request.
+	// Start is the start of the interval, since the first request in the log.
 	Start    time.Duration `json:"From"`
 	Attempts int           `json:"Asked"`
 	ByKind   map[Kind]int
 }
 
-// Summary is what logs tell. Requests count once for each try of a caller.
+// Summary summarizes the losses in node logs. A request counts once for each
+// attempt of the caller.
 type Summary struct {
-	// Attempts counts all tries that met a route, Lost those without an answer in
-	// time.
+	// Attempts counts all attempts that matched a route. Lost counts those
+	// without an answer in time.
 	Attempts, Lost int
 	Causes         map[Cause]int
-	// Zones counts losses by the node's availability zone, Services by service.
+	// Zones counts losses by the node's availability zone. Services counts them
+	// by service.
 	Zones, Services map[string]int
-	// ReplacedStages counts stages that were led around, by their address.
+	// ReplacedStages counts by address how often a reroute replaced a stage.
 	ReplacedStages map[string]int
 	Intervals      []Interval
-	// StoreCalls counts the calls to the platform's store: all by purpose, and apart
-	// those refused and those without an answer.
+	// StoreCalls counts the calls to the platform's store by purpose, with
+	// separate counts of refused and unanswered calls.
 	StoreCalls map[string]int
-	// SkippedLines counts lines that are no log lines, DroppedLines those that a node says
-	// it left out.
+	// SkippedLines counts lines that are not log lines. DroppedLines counts the
+	// lines that nodes report as dropped.
 	SkippedLines, DroppedLines int
 }
 
-// Unexplained counts the losses without a reason.
+// Unexplained returns the number of losses without a reason.
 func (s *Summary) Unexplained() int {
 	n := 0
 	for cause, count := range s.Causes {
@@ -71,27 +80,29 @@
 	return n
 }
 
-// CausesByCount gives the causes, the most frequent first.
+// CausesByCount returns the causes, most frequent first.
 func (s *Summary) CausesByCount() []Cause {
 	return slices.SortedFunc(maps.Keys(s.Causes), func(a, b Cause) int {
 		return cmp.Or(s.Causes[b]-s.Causes[a], cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Reason, b.Reason))
 	})
 }
 
-// reader gathers a Summary.
-type reader struct {
+// summarizer builds a Summary.
+type summarizer struct {
 	*Summary
 	span  time.Duration
 	first time.Time
-	// zones are those of nodes; open are the requests under way at each.
+	// zones maps a VM to its zone. open maps a VM to its in-flight requests by
+	// ID, with the latest line that began or routed each.
 	zones map[string]string
 	open  map[string]map[string]logtrace.Line
 }
 
-// Read reads the logs of nodes. Losses are summed over spans of time of the
-// given length.
+// Read reads the logs of nodes and summarizes the losses in intervals of length
+// span, which must be positive. It returns the summary up to a read error, with the
+// error of logtrace.ForEachLine.
 func Read(r io.Reader, span time.Duration) (*Summary, error) {
-	in := &reader{
+	sum := &summarizer{
 		Summary: &Summary{
 			Causes: make(map[Cause]int), Zones: make(map[string]int), Services: make(map[string]int), ReplacedStages: make(map[string]int),
 			StoreCalls: make(map[string]int),
@@ -100,53 +111,55 @@
 		zones: make(map[string]string),
 		open:  make(map[string]map[string]logtrace.Line),
 	}
-	skipped, err := logtrace.ForEachLine(r, in.take)
-	in.SkippedLines = skipped
-	return in.Summary, err
+	skipped, err := logtrace.ForEachLine(r, sum.addLine)
+	sum.SkippedLines = skipped
+	return sum.Summary, err
 }
 
-// take takes one line.
-func (r *reader) take(line logtrace.Line) {
+// addLine processes one line.
+func (s *summarizer) addLine(line logtrace.Line) {
 	switch line.Event {
 	case "started":
-		r.zones[line.VM] = text(line, "zone")
-		r.ended(line.VM, line.At)
+		s.zones[line.VM] = stringField(line, "zone")
+		s.countInterrupted(line.VM, line.At)
 	case "log_lines_dropped":
 		if n, ok := line.Fields["lines"].(float64); ok {
-			r.DroppedLines += int(n)
+			s.DroppedLines += int(n)
 		}
 	case "store_calls":
-		r.called(line)
+		s.addStoreCalls(line)
 	case "chain", "sent":
-		r.begin(line)
+		s.recordOpen(line)
 	case "rerouted":
-		r.leftStages(line)
+		s.countReplacedStages(line)
 	case "answered":
-		r.end(line, answered(line))
+		s.finish(line, causeOfAnswer(line))
 	case "refused":
-		r.end(line, refused(line))
+		s.finish(line, causeOfRefusal(line))
 	case "broken_off":
-		r.end(line, &Cause{Cut, text(line, "reason")})
+		s.finish(line, &Cause{Cut, stringField(line, "reason")})
 	case "caller_gone":
-		r.end(line, nil)
+		s.finish(line, nil)
 	}
 }
 
-// called adds the calls that a node tells of. Counts of another form are not its own.
-func (r *reader) called(line logtrace.Line) {
+// addStoreCalls adds the store calls that a node reports. It ignores counts that
+// are not numbers.
+func (s *summarizer) addStoreCalls(line logtrace.Line) {
 	calls, _ := line.Fields["calls"].(map[string]any)
 	for name, count := range calls {
 		if n, ok := count.(float64); ok {
-			r.StoreCalls[strings.TrimPrefix(name, "store.")] += int(n)
+			s.StoreCalls[strings.TrimPrefix(name, "store.")] += int(n)
 		}
 	}
 }
 
-// answered gives the cause of an answer that is no success in time.
-func answered(line logtrace.Line) *Cause {
+// causeOfAnswer returns the cause of the loss if an answer is late or has a server
+// error status; otherwise nil.
+func causeOfAnswer(line logtrace.Line) *Cause {
 	status, _ := line.Fields["status"].(float64)
-	switch late := text(line, "late"); {
-	case status >= serverError:
+	switch late := stringField(line, "late"); {
+	case status >= minServerErrorStatus:
 		return &Cause{Failed, "upstream_failure"}
 	case late != "":
 		return &Cause{Late, late}
@@ -154,101 +167,106 @@
 	return nil
 }
 
-// Statuses that tell kinds of losses apart.
+// HTTP statuses that distinguish the kinds of losses.
 const (
-	serverError = 500
-	unavailable = 503
-	tooMany     = 429
+	minServerErrorStatus  = 500
+	statusUnavailable     = 503
+	statusTooManyRequests = 429
 )
 
-// refused gives the cause of a node's own answer; nil where the request was not
-// a proper one.
-func refused(line logtrace.Line) *Cause {
+// causeOfRefusal returns the cause of a response that the node itself generated;
+// nil if the request was at fault.
+func causeOfRefusal(line logtrace.Line) *Cause {
 	status, _ := line.Fields["status"].(float64)
 	switch {
-	case status == unavailable || status == tooMany:
-		return &Cause{Refused, text(line, "reason")}
-	case status >= serverError:
-		return &Cause{Failed, text(line, "reason")}
+	case status == statusUnavailable || status == statusTooManyRequests:
+		return &Cause{Refused, stringField(line, "reason")}
+	case status >= minServerErrorStatus:
+		return &Cause{Failed, stringField(line, "reason")}
 	}
 	return nil
 }
 
-// text gives a field of a line, empty if it has none.
-func text(line logtrace.Line, field string) string {
+// stringField returns a string field of a line; empty if it is missing or has
+// another type.
+func stringField(line logtrace.Line, field string) string {
 	value, _ := line.Fields[field].(string)
 	return value
 }
 
-// begin notes a request under way.
-func (r *reader) begin(line logtrace.Line) {
-	if r.first.IsZero() {
-		r.first = line.At
+// recordOpen records a request as in flight.
+func (s *summarizer) recordOpen(line logtrace.Line) {
+	if s.first.IsZero() {
+		s.first = line.At
 	}
-	if r.open[line.VM] == nil {
-		r.open[line.VM] = make(map[string]logtrace.Line)
+	if s.open[line.VM] == nil {
+		s.open[line.VM] = make(map[string]logtrace.Line)
 	}
-	r.open[line.VM][line.Request] = line
+	s.open[line.VM][line.Request] = line
 }
 
-// end counts a request that ended.
-func (r *reader) end(line logtrace.Line, cause *Cause) {
-	delete(r.open[line.VM], line.Request)
-	r.count(line, cause)
+// finish counts a request that ended; cause is nil if it was not lost.
+func (s *summarizer) finish(line logtrace.Line, cause *Cause) {
+	delete(s.open[line.VM], line.Request)
+	s.count(line, cause)
 }
 
-// ended counts what was under way at a node whose process began anew.
-func (r *reader) ended(vm string, at time.Time) {
-	for _, line := range r.open[vm] {
+// countInterrupted counts the requests that were in flight at a node whose process
+// restarted at the given time.
+func (s *summarizer) countInterrupted(vm string, at time.Time) {
+	for _, line := range s.open[vm] {
 		line.At = at
-		r.count(line, &Cause{Cut, "process_ended"})
+		s.count(line, &Cause{Cut, "process_ended"})
 	}
-	delete(r.open, vm)
+	delete(s.open, vm)
 }
 
-// count adds one request.
-func (r *reader) count(line logtrace.Line, cause *Cause) {
-	moment := r.moment(line.At)
-	r.Attempts++
-	moment.Attempts++
+// count adds one ended request to the summary; cause is nil if it was not lost.
+func (s *summarizer) count(line logtrace.Line, cause *Cause) {
+	interval := s.intervalAt(line.At)
+	s.Attempts++
+	interval.Attempts++
 	if cause == nil {
 		return
 	}
-	r.Lost++
-	r.Causes[*cause]++
-	moment.ByKind[cause.Kind]++
-	r.Zones[r.zones[line.VM]]++
-	r.Services[text(line, "service")]++
+	s.Lost++
+	s.Causes[*cause]++
+	interval.ByKind[cause.Kind]++
+	s.Zones[s.zones[line.VM]]++
+	s.Services[stringField(line, "service")]++
 }
 
-// moment gives the span of time that a time lies in.
-func (r *reader) moment(at time.Time) *Interval {
-	if r.first.IsZero() {
-		r.first = at
+// intervalAt returns the interval that contains a time, and adds missing intervals.
+// Times before the first request belong to the first interval.
+func (s *summarizer) intervalAt(at time.Time) *Interval {
+	if s.first.IsZero() {
+		s.first = at
 	}
-	i := int(max(at.Sub(r.first), 0) / r.span)
-	for len(r.Intervals) <= i {
-		r.Intervals = append(r.Intervals, Interval{Start: time.Duration(len(r.Intervals)) * r.span, ByKind: make(map[Kind]int)})
+	i := int(max(at.Sub(s.first), 0) / s.span)
+	for len(s.Intervals) <= i {
+		s.Intervals = append(s.Intervals, Interval{Start: time.Duration(len(s.Intervals)) * s.span, ByKind: make(map[Kind]int)})
 	}
-	return &r.Intervals[i]
+	return &s.Intervals[i]
 }
 
-// leftStages counts the stages that a request was led around.
-func (r *reader) leftStages(line logtrace.Line) {
-	kept := addresses(text(line, "chain"))
-	for _, address := range addresses(text(line, "was")) {
+// countReplacedStages counts the stages of the previous chain that are not in the
+// new chain of a rerouted request.
+func (s *summarizer) countReplacedStages(line logtrace.Line) {
+	kept := chainAddresses(stringField(line, "chain"))
+	for _, address := range chainAddresses(stringField(line, "was")) {
 		if !slices.Contains(kept, address) {
-			r.ReplacedStages[address]++
+			s.ReplacedStages[address]++
 		}
 	}
 }
 
-// addresses gives those of a chain.
-func addresses(chain string) []string {
-	var all []string
+// chainAddresses returns the stage addresses of a chain in the log format
+// "address=first-last,...".
+func chainAddresses(chain string) []string {
+	var addresses []string
 	for hop := range strings.SplitSeq(chain, ",") {
 		address, _, _ := strings.Cut(hop, "=")
-		all = append(all, address)
+		addresses = append(addresses, address)
 	}
-	return all
+	return addresses
 }
--- a/mimosactl/losses/losses_test.go
+++ b/mimosactl/losses/losses_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// day is the log of two nodes, one of which starts again.
-const day = `built in 0.0 s
+// twoNodeLog is the log of two nodes, one of which restarts.
+const twoNodeLog = `built in 0.0 s
    0.1 n1 {"vm":"n1","event":"started","zone":"z1","time":"2026-08-31T10:00:00Z"}
 {"vm":"n2","event":"started","zone":"z2","time":"2026-08-31T10:00:00Z"}
 {"vm":"n1","event":"chain","request":"a","chain":"1.1.1.1:1=0-4,1.1.1.2:1=4-8","time":"2026-08-31T10:00:01Z"}
@@ -29,7 +29,7 @@
 `
 
 func TestLossesAreSummedByCause(t *testing.T) {
-	s, err := Read(strings.NewReader(day), 2*time.Second)
+	s, err := Read(strings.NewReader(twoNodeLog), 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,21 +54,21 @@
 	total := 0
 	for i, m := range s.Intervals {
 		if m.Start != time.Duration(i)*2*time.Second {
-			t.Errorf("moment %d begins at %v", i, m.Start)
+			t.Errorf("interval %d starts at %v", i, m.Start)
 		}
 		for _, n := range m.ByKind {
 			total += n
 		}
 	}
 	if total != s.Lost {
-		t.Errorf("moments hold %d losses of %d", total, s.Lost)
+		t.Errorf("intervals hold %d losses of %d", total, s.Lost)
 	}
 	if top := s.CausesByCount(); len(top) != 5 || top[0].Kind != Cut {
-		t.Errorf("top %v", top)
+		t.Errorf("causes by count %v", top)
 	}
 }
 
-func TestEmptyLogIsNoLoss(t *testing.T) {
+func TestEmptyLogHasNoLosses(t *testing.T) {
 	s, err := Read(strings.NewReader(""), time.Second)
 	if err != nil || s.Attempts != 0 || len(s.Intervals) != 0 {
 		t.Errorf("%+v, %v", s, err)
