--- a/mimosactl/operator/client.go
+++ b/mimosactl/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator asks nodes' operator ports for their status and for the
-// decisions they keep of a request.
+// Package operator is a client for nodes' operator ports. It queries a node's
+// status and the decisions that the node has recorded for a request.
 package operator
 
 import (
@@ -22,15 +22,16 @@
 	explainPath = node.ExplainPath
 )
 
-// maxAnswer bounds an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the size of a response body.
+const maxResponseBytes = 64 << 20
 
-// CallError tells that an operator port gave no usable answer.
+// CallError reports that an operator port returned no usable response.
 type CallError struct {
 	Address string
-	// Status is the HTTP status; 0 when no answer came.
+	// Status is the HTTP status; 0 if no response was received.
 	Status int
-	// Cause is the failure of the transport or decoder; may be nil.
+	// Cause is the transport or decoding error; nil if only the status is
+	// unexpected.
 	Cause error
 }
 
@@ -42,37 +43,38 @@
 	return fmt.Sprintf("%s: status %d", e.Address, e.Status)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// TLSFiles names the PEM files for nodes whose operator port wants TLS. All empty
-// means plain TCP.
+// TLSFiles names the PEM files for operator ports with TLS: the CA certificate of
+// the fleet, and the client certificate with its key. If all are empty, the client
+// uses plain HTTP.
 type TLSFiles struct{ CA, Cert, Key string }
 
-// config makes the TLS settings; nil for plain TCP. The error is an
-// *identity.FileError.
-func (k TLSFiles) config() (*tls.Config, error) {
-	if k == (TLSFiles{}) {
+// tlsConfig returns the TLS client configuration; nil for plain HTTP. The error is
+// an *identity.FileError.
+func (f TLSFiles) tlsConfig() (*tls.Config, error) {
+	if f == (TLSFiles{}) {
 		return nil, nil
 	}
-	own, err := identity.Load(k.CA, k.Cert, k.Key)
+	id, err := identity.Load(f.CA, f.Cert, f.Key)
 	if err != nil {
 		return nil, err
 	}
-	return own.Client, nil
+	return id.Client, nil
 }
 
-// Client calls operator ports. Any goroutine may call any method.
+// Client calls operator ports. It is safe for concurrent use.
 type Client struct {
 	client  *fasthttp.Client
 	scheme  string
 	timeout time.Duration
 }
 
-// New makes a Client whose calls take at most timeout. The error is an
+// New returns a Client that limits each call to timeout. The error is an
 // *identity.FileError.
-func New(keys TLSFiles, timeout time.Duration) (*Client, error) {
-	config, err := keys.config()
+func New(files TLSFiles, timeout time.Duration) (*Client, error) {
+	config, err := files.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -81,35 +83,35 @@
 		scheme = "https://"
 	}
 	return &Client{
-		client:  &fasthttp.Client{TLSConfig: config, MaxResponseBodySize: maxAnswer},
+		client:  &fasthttp.Client{TLSConfig: config, MaxResponseBodySize: maxResponseBytes},
 		scheme:  scheme,
 		timeout: timeout,
 	}, nil
 }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// Status asks a node for its status. The error is a *CallError.
+// Status returns the status of the node at address. The error is a *CallError.
 func (c *Client) Status(address string) (node.Status, error) {
 	var status node.Status
 	_, err := c.get(address, statusPath, &status)
 	return status, err
 }
 
-// Explain asks a node for the decisions it keeps of a request; none when it
-// keeps none. The error is a *CallError.
+// Explain returns the decisions that the node at address has recorded for a
+// request; empty if it has none. The error is a *CallError.
 func (c *Client) Explain(address string, id ids.Request) ([]router.Decision, error) {
-	var steps []router.Decision
-	found, err := c.get(address, explainPath+string(id), &steps)
+	var decisions []router.Decision
+	found, err := c.get(address, explainPath+string(id), &decisions)
 	if !found || err != nil {
 		return nil, err
 	}
-	return steps, nil
+	return decisions, nil
 }
 
-// get reads one JSON value; found is false for a 404, which is an error only
-// for a fixed path.
+// get requests a path and decodes the JSON response into value. A 404 returns
+// found as false and no error, except for statusPath, where it is a *CallError.
 func (c *Client) get(address, path string, value any) (found bool, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
