--- /dev/null
+++ b/node/entry/upstreams_test.go
@@ -0,0 +1,189 @@
+package entry
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/rs/zerolog"
+
+	"mimosaarch.example/adapter/listwatch"
+	"mimosaarch.example/adapter/relay"
+	"mimosaarch.example/core/boottime"
+	"mimosaarch.example/core/ids"
+	"mimosaarch.example/decide/directory"
+)
+
+// upstreamList returns n upstreams with revisions 1 to n.
+func upstreamList(n int) []directory.Upstream {
+	var out []directory.Upstream
+	for i := range n {
+		out = append(out, directory.Upstream{ID: ids.Instance{Upstream: ids.Upstream(fmt.Sprintf("u-%04d", i))}, Service: "s", Address: fmt.Sprint("at ", i), Revision: int64(i + 1)})
+	}
+	return out
+}
+
+// listedUpstreams returns the directory of a process that has listed the given
+// upstreams. A nil list leaves it empty.
+func listedUpstreams(process string, list []directory.Upstream) *upstreams {
+	u := newUpstreams(process, zerolog.Nop(), newNotifier())
+	u.onRemoved = func(*directory.Upstream) {}
+	u.onStoreRecovered = func() {}
+	if list != nil {
+		u.Listed(listwatch.List[directory.Upstream]{Items: list, Revision: int64(len(list))})
+	}
+	return u
+}
+
+// transferUpdate requests an update from one directory for another, applies it
+// and returns it.
+func transferUpdate(to, from *upstreams) relay.Update {
+	var update relay.Update
+	peer := ids.VM(from.process)
+	from.addTo(&update, to.updateRequest(peer))
+	if update.Revision > 0 {
+		to.merge(peer, update, boottime.Now())
+	}
+	return update
+}
+
+// removalOf returns the change that removes an upstream.
+func removalOf(name string, revision int64) listwatch.Changes[directory.Upstream] {
+	return listwatch.Changes[directory.Upstream]{
+		Events:   []listwatch.Event[directory.Upstream]{{Removed: listwatch.Removal{Name: name, Revision: revision}}},
+		Revision: revision,
+	}
+}
+
+func TestUpdateContainsOnlyChanges(t *testing.T) {
+	from, to := listedUpstreams("p", upstreamList(3000)), listedUpstreams("q", nil)
+	if first := transferUpdate(to, from); len(first.Upstreams) != 3000 || first.Delta {
+		t.Fatalf("first update contains %d upstreams", len(first.Upstreams))
+	}
+	from.Changed(removalOf("u-0007", 3001))
+	update := transferUpdate(to, from)
+	if len(update.Present) != 0 || len(update.Upstreams) != 0 || len(update.Gone) != 1 {
+		t.Errorf("update for one removal contains %d present, %d changed and %d removed upstreams", len(update.Present), len(update.Upstreams), len(update.Gone))
+	}
+	if to.view.Load().Get(instance("u-0007")) != nil || len(to.view.Load().All()) != 2999 {
+		t.Error("the removal did not take effect")
+	}
+	if again := transferUpdate(to, from); again.Revision != 0 {
+		t.Errorf("update without a change is not empty: %+v", again)
+	}
+}
+
+func TestRestartedPeerSendsItsWholeDirectory(t *testing.T) {
+	from, to := listedUpstreams("p", upstreamList(3)), listedUpstreams("q", nil)
+	transferUpdate(to, from)
+	from = listedUpstreams("p2", upstreamList(5)[1:])
+	from.Changed(removalOf("u-0001", 9))
+	if update := transferUpdate(to, from); update.Delta {
+		t.Error("a restarted process sends only changes")
+	}
+	if diff := cmp.Diff(from.view.Load().All(), to.view.Load().All()); diff != "" {
+		t.Error(diff)
+	}
+}
+
+func TestRemovalAfterTheGracePeriodReachesPeers(t *testing.T) {
+	from, to := listedUpstreams("p", upstreamList(3)), listedUpstreams("q", nil)
+	from.Recovered()
+	from.Listed(listwatch.List[directory.Upstream]{Items: upstreamList(2), Revision: 9})
+	transferUpdate(to, from)
+	if to.view.Load().Get(instance("u-0002")) == nil {
+		t.Fatal("a missing upstream was removed before the end of the grace period")
+	}
+	from.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
+		return d.Expire(now.Add(2 * directory.RemovalGrace))
+	})
+	transferUpdate(to, from)
+	if to.view.Load().Get(instance("u-0002")) != nil {
+		t.Error("the removal at the end of the grace period, which has no store revision, did not reach the peer")
+	}
+}
+
+func TestUpstreamsCutOffWithTheNodeAreKeptForTheGracePeriod(t *testing.T) {
+	to := listedUpstreams("q", upstreamList(3))
+	recoveries := 0
+	to.onStoreRecovered = func() { recoveries++ }
+	to.Failed(context.DeadlineExceeded)
+	// The partition ends. A peer answers before the store does, and the store
+	// has expired the entries that were cut off.
+	from := listedUpstreams("p", upstreamList(3))
+	from.Changed(removalOf("u-0000", 8))
+	from.Changed(removalOf("u-0001", 9))
+	transferUpdate(to, from)
+	if left := len(to.view.Load().All()); left != 3 {
+		t.Errorf("%d of 3 upstreams are left after the first peer's update", left)
+	}
+	back := directory.Upstream{ID: ids.Instance{Upstream: "u-0001"}, Service: "s", Address: "at 1", Revision: 10}
+	from.Changed(listwatch.Changes[directory.Upstream]{Events: []listwatch.Event[directory.Upstream]{{Put: &back}}, Revision: 10})
+	transferUpdate(to, from)
+	to.update(origin{from: "expired"}, func(d *directory.Directory, now time.Time) []directory.Change {
+		return d.Expire(now.Add(2 * directory.RemovalGrace))
+	})
+	if view := to.view.Load(); view.Get(instance("u-0001")) == nil || view.Get(instance("u-0000")) != nil {
+		t.Error("after the grace period, want u-0001, which returned, and not u-0000")
+	}
+	to.Recovered()
+	if recoveries != 1 {
+		t.Errorf("onStoreRecovered was called %d times", recoveries)
+	}
+	if to.heardFromPeer {
+		t.Error("heardFromPeer was not reset for the next loss")
+	}
+}
+
+// TestRemovalAfterAShortStoreLossTakesEffectAtOnce guards against requests to
+// an upstream whose entry was removed 3.5 s before. The node had lost its
+// watchers and read the removal from the store 2 s late. It mistook the missing
+// entry for an effect of a store outage, in which entries expire, and kept the
+// upstream for another grace period of 1.5 s. Entries expire only after several
+// missed heartbeats, so a loss shorter than that cannot be the reason for a
+// missing entry.
+func TestRemovalAfterAShortStoreLossTakesEffectAtOnce(t *testing.T) {
+	for _, tc := range []struct {
+		lost    time.Duration
+		removed bool
+	}{{time.Second, true}, {1900 * time.Millisecond, true}, {4 * time.Second, false}} {
+		to := listedUpstreams("q", upstreamList(3))
+		to.lastAnswer.Store(&storeAnswer{at: boottime.Now().Add(-tc.lost)})
+		to.Failed(context.DeadlineExceeded)
+		to.storeAnswered()
+		to.Recovered()
+		to.Changed(removalOf("u-0001", 9))
+		if removed := to.view.Load().Get(instance("u-0001")) == nil; removed != tc.removed {
+			t.Errorf("store lost for %v: removed %t, want %t", tc.lost, removed, tc.removed)
+		}
+	}
+}
+
+// instance returns the ID of an upstream with an unknown start time.
+func instance(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
+
+// TestUpstreamLogLineNamesItsOrigin checks that a log line names the peer, age
+// and hops of a change. With these, a late change can be traced from the store
+// through the nodes that passed it on.
+func TestUpstreamLogLineNamesItsOrigin(t *testing.T) {
+	var log bytes.Buffer
+	to := newUpstreams("to", zerolog.New(&log), newNotifier())
+	update := relay.Update{Revision: 7, Upstreams: []directory.Upstream{{ID: ids.Instance{Upstream: "e"}, Revision: 7}}, Present: []ids.Upstream{"e"}, AgeMs: 1500, Hops: 1}
+	to.merge("vm-2", update, boottime.Now().Add(-time.Second))
+	var line struct {
+		Event, From, Peer string
+		Age               float64 `json:"age_ms"`
+		Took              float64 `json:"took_ms"`
+		Hops              int
+	}
+	if err := json.Unmarshal(log.Bytes(), &line); err != nil {
+		t.Fatal(err)
+	}
+	if line.Event != "upstream_seen" || line.From != "peer" || line.Peer != "vm-2" || line.Age != 1500 || line.Hops != 1 || line.Took < 1000 {
+		t.Errorf("%+v", line)
+	}
+}
