--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -163,7 +163,7 @@
 	if c.dead[u.ID] {
 		return layered.Report{}, &CallerGoneError{Cause: context.DeadlineExceeded}
 	}
-	return layered.Report{Born: c.born[u.ID.Upstream], Pace: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
+	return layered.Report{StartedMs: c.born[u.ID.Upstream], Slowdown: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
 }
 
 // Reroute implements Engines.
--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -158,7 +158,7 @@
 	defer cancel()
 	p.opts.Metrics.Add("upstream.probes", 1)
 	report, err := p.opts.Engines.Probe(probeCtx, u)
-	if now := report.Life(u.ID); err == nil && now != u.ID {
+	if now := report.Instance(u.ID); err == nil && now != u.ID {
 		err = &directory.RestartedError{Known: u.ID, Now: now}
 		p.opts.OnRestart(now)
 	}
@@ -172,12 +172,12 @@
 		p.picker.connectFailed(u, err)
 		return
 	}
-	out.slowdown = report.Pace
+	out.slowdown = report.Slowdown
 	out.full = isFull(report)
 	out.stalled = report.Stalled
 	p.picker.recordAnswer(u)
-	p.picker.setSlowdown(u, report.Pace)
-	if report.Pace >= condition.StalledSlowdown {
-		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Pace).Send()
+	p.picker.setSlowdown(u, report.Slowdown)
+	if report.Slowdown >= condition.StalledSlowdown {
+		p.opts.Log.Info().Str("event", "upstream_slow").Str("upstream", u.ID.String()).Float64("pace", report.Slowdown).Send()
 	}
 }
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -327,7 +327,7 @@
 	if err != nil {
 		return Unfit, err
 	}
-	if now := report.Life(u.ID); now != u.ID {
+	if now := report.Instance(u.ID); now != u.ID {
 		p.opts.Restarted(now)
 		return Unfit, &directory.RestartedError{Known: u.ID, Now: now}
 	}
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -79,7 +79,7 @@
 	if f.probeFails {
 		return layered.Report{}, &LeaseError{}
 	}
-	return layered.Report{Born: f.startTimes[u.ID.Upstream], OrdersStarted: 4}, nil
+	return layered.Report{StartedMs: f.startTimes[u.ID.Upstream], OrdersStarted: 4}, nil
 }
 
 func (f *fleet) Place(_ context.Context, u *directory.Upstream, o Order) (Result, error) {
--- a/core/layered/layered.go
+++ b/core/layered/layered.go
@@ -144,14 +144,14 @@
 	return tokens / m.PrefillTokensPerMs * card.PrefillFactor * m.layerFraction(layers)
 }
 
-// Life returns the life of the engine that sent the report: known, or a later one if
-// the report has a later start time. A known life without a start time is returned as
-// it is.
-func (r Report) Life(known ids.Instance) ids.Instance {
+// Instance returns the instance of the engine that sent the report: known, or a later one
+// if the report has a later start time. If known has no start time, it is returned
+// unchanged.
+func (r Report) Instance(known ids.Instance) ids.Instance {
 	if known.StartedMs == 0 {
 		return known
 	}
-	return ids.Instance{Upstream: known.Upstream, StartedMs: max(known.StartedMs, r.Born)}
+	return ids.Instance{Upstream: known.Upstream, StartedMs: max(known.StartedMs, r.StartedMs)}
 }
 
 // ZoneLinkUtilization returns the fraction of the capacity of the link between two
@@ -169,12 +169,12 @@
 // Report is the state that an engine reports of itself. It is some hundred ms old when
 // a node has it.
 type Report struct {
-	// Born is the start time of the engine's process, in ms since the Unix epoch; 0
+	// StartedMs is the start time of the engine's process, in ms since the Unix epoch; 0
 	// when not reported.
-	Born int64
-	// Pace is the time that the engine takes per step as a multiple of the normal
+	StartedMs int64
+	// Slowdown is the time that the engine takes per step as a multiple of the normal
 	// time: 1 is normal, more is slower.
-	Pace float64
+	Slowdown float64
 	// Active and Queued are the numbers of requests that run and that wait.
 	Active, Queued int
 	// ExecutingOrder is set while the engine executes an order to load other layers.
--- a/decide/chain/chain_test.go
+++ b/decide/chain/chain_test.go
@@ -190,12 +190,12 @@
 	conditions := condition.New()
 	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.SetSlowdown(start, life("a"), 5)
+	conditions.SetSlowdown(start, instanceOf("a"), 5)
 	if got := mustPick(t, p, v, request); got != "b=0-80" {
 		t.Errorf("with engine a slow: chain %s", got)
 	}
-	conditions.SetSlowdown(start, life("a"), 1)
-	conditions.RefusedFull(start, life("a"))
+	conditions.SetSlowdown(start, instanceOf("a"), 1)
+	conditions.RefusedFull(start, instanceOf("a"))
 	if got := mustPick(t, p, v, request); got != "b=0-80" {
 		t.Errorf("with engine a full: chain %s", got)
 	}
@@ -251,9 +251,9 @@
 	conditions := condition.New()
 	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z1", "fast", 0, 80))
-	conditions.SetSlowdown(start, life("b"), 4)
+	conditions.SetSlowdown(start, instanceOf("b"), 4)
 	streams := 0
-	for c, _ := p.Pick(start, model(), v, request); c.Has(life("a")); c, _ = p.Pick(start, model(), v, request) {
+	for c, _ := p.Pick(start, model(), v, request); c.Has(instanceOf("a")); c, _ = p.Pick(start, model(), v, request) {
 		p.RequestStarted(start, c, request)
 		if streams++; streams > 10_000 {
 			t.Fatal("the slow engine is never used")
@@ -265,8 +265,8 @@
 	}
 }
 
-// life returns the ID of an upstream that does not report its start time.
-func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
+// instanceOf returns the ID of an upstream that does not report its start time.
+func instanceOf(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // A chain through an engine that has recently refused a request is picked only if
 // there is no other, and FullEngine returns that engine.
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -334,22 +334,22 @@
 	if p.conditions.IsFull(now, e.ID) {
 		capacityCost += recentRefusalCostMs
 	}
-	return r.decodePasses(m)*(stageTransferCostMs+wait*p.paceFactor(now, e.ID)) + capacityCost
+	return r.decodePasses(m)*(stageTransferCostMs+wait*p.slowdownFactor(now, e.ID)) + capacityCost
 }
 
 // slowEngineFactor multiplies the cost of an engine that is slow enough to delay
 // answers: callers lose more by a late answer than the time that it takes.
 const slowEngineFactor = 4.0
 
-// paceFactor returns the factor that the pace of an engine puts on its costs: the
-// pace itself, which is 1 at normal speed and higher for a slower engine, and
-// slowEngineFactor times that from condition.SlowPace on.
-func (p *Picker) paceFactor(now time.Time, id ids.Instance) float64 {
-	pace := p.conditions.Slowdown(now, id)
-	if pace < condition.StalledSlowdown {
-		return pace
+// slowdownFactor returns the factor on the costs of an engine for its slowdown: the
+// slowdown itself, which is 1 at normal speed and higher for a slower engine, and
+// slowEngineFactor times that from condition.StalledSlowdown on.
+func (p *Picker) slowdownFactor(now time.Time, id ids.Instance) float64 {
+	slowdown := p.conditions.Slowdown(now, id)
+	if slowdown < condition.StalledSlowdown {
+		return slowdown
 	}
-	return pace * slowEngineFactor
+	return slowdown * slowEngineFactor
 }
 
 // layerCost returns the expected time in ms that a request takes in one layer of
@@ -364,7 +364,7 @@
 		streams += s.loadPerNode(now).streams * p.nodeCount
 	}
 	cost := m.PrefillMs(card, 1, r.PromptTokens) + r.decodePasses(m)*m.PassMs(card, 1, streams, r.kvTokens())
-	return cost * p.paceFactor(now, e.ID)
+	return cost * p.slowdownFactor(now, e.ID)
 }
 
 // chainOf returns the chain of the path that ends at boundary last.
--- a/decide/chain/shortage_test.go
+++ b/decide/chain/shortage_test.go
@@ -28,11 +28,11 @@
 		engine("b", "z2", "fast", 40, 80),
 	)
 	m := linkedModel()
-	conditions.RefusedFull(start, life("a2"))
+	conditions.RefusedFull(start, instanceOf("a2"))
 	now, crossed, crossedLate := start, 0, 0
 	for i := range 100 {
 		now = now.Add(10 * time.Millisecond)
-		conditions.RefusedFull(now, life("a2"))
+		conditions.RefusedFull(now, instanceOf("a2"))
 		c, err := p.Pick(now, m, v, request)
 		if err != nil {
 			t.Fatal(err)
@@ -60,16 +60,16 @@
 	conditions := condition.New()
 	p := New(conditions)
 	v := view(engine("a", "z1", "fast", 0, 80), engine("b", "z2", "fast", 0, 80))
-	conditions.Failed(start, life("a"))
+	conditions.Failed(start, instanceOf("a"))
 	late := start.Add(time.Minute)
 	c, err := p.Pick(late, model(), v, request)
 	if err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
-	if due := conditions.ProbesDue(late); len(due) != 1 || due[0] != life("a") {
+	if due := conditions.ProbesDue(late); len(due) != 1 || due[0] != instanceOf("a") {
 		t.Errorf("engines due for a probe: %v", due)
 	}
-	conditions.Answered(life("a"), "z1")
+	conditions.Answered(instanceOf("a"), "z1")
 	if c, err := p.Pick(late, model(), v, request); err != nil || c.String() != "a=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
@@ -83,7 +83,7 @@
 		engine("a1", "z1", "fast", 0, 40), engine("a2", "z1", "fast", 40, 80), engine("a3", "z1", "fast", 0, 80),
 		engine("b", "z2", "fast", 0, 80),
 	)
-	for _, id := range []ids.Instance{life("a1"), life("a2")} {
+	for _, id := range []ids.Instance{instanceOf("a1"), instanceOf("a2")} {
 		conditions.Failed(start, id)
 		conditions.Unreachable(start, id, "z1")
 	}
@@ -91,7 +91,7 @@
 	if c, err := p.Pick(late, model(), v, request); err != nil || c.String() != "b=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
-	conditions.Answered(life("a1"), "z1")
+	conditions.Answered(instanceOf("a1"), "z1")
 	if c, err := p.Pick(late, model(), v, request); err != nil || c.String() != "a3=0-80" {
 		t.Errorf("chain %s, %v", c, err)
 	}
--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -231,15 +231,15 @@
 	return d.drop(nil, u)
 }
 
-// Restarted applies a process's own report that it started later than the life in the
-// directory. The new life holds no layers.
-func (d *Directory) Restarted(life ids.Instance) []Change {
-	old := d.byID[life.Upstream]
-	if old == nil || old.ID.StartedMs == 0 || !life.NewerThan(old.ID) {
+// Restarted applies an upstream's own report that its process started later than the
+// instance in the directory. The new instance holds no layers.
+func (d *Directory) Restarted(id ids.Instance) []Change {
+	old := d.byID[id.Upstream]
+	if old == nil || old.ID.StartedMs == 0 || !id.NewerThan(old.ID) {
 		return nil
 	}
 	now := *old
-	now.ID, now.Leaving, now.Busy, now.Layers = life, false, false, layered.Range{}
+	now.ID, now.Leaving, now.Busy, now.Layers = id, false, false, layered.Range{}
 	return d.put(nil, &now)
 }
 
@@ -255,8 +255,8 @@
 }
 
 // put adds or changes an entry. An upstream that is leaving stays so until it restarts.
-// A later life inherits nothing from the one before, and an entry of an earlier life is
-// ignored.
+// A later instance inherits nothing from the one before, and an entry of an earlier
+// instance is ignored.
 func (d *Directory) put(changes []Change, u *Upstream) []Change {
 	id := u.ID.Upstream
 	if d.services != nil && !d.services[u.Service] {
@@ -362,7 +362,7 @@
 // changeRecord is a change of an entry. active is false if the entry's service was not
 // configured.
 type changeRecord struct {
-	life   ids.Instance
+	id     ids.Instance
 	active bool
 }
 
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -120,11 +120,11 @@
 	d.Put(upstream("a", 1))
 	before := d.View()
 	d.Remove(start, "a", 2)
-	if before.Get(life("a")) == nil || len(before.All()) != 1 {
+	if before.Get(instanceOf("a")) == nil || len(before.All()) != 1 {
 		t.Error("a view changed after it was taken")
 	}
 	var none *View
-	if none.Get(life("a")) != nil || none.ByService("s") != nil || none.All() != nil {
+	if none.Get(instanceOf("a")) != nil || none.ByService("s") != nil || none.All() != nil {
 		t.Error("a nil view contains upstreams")
 	}
 }
@@ -307,8 +307,8 @@
 	}
 }
 
-// life returns the life of an upstream without a known start time.
-func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
+// instanceOf returns the ID of an upstream that does not report its start time.
+func instanceOf(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
 
 // An outage too short for live entries to expire starts no grace period.
 func TestRemovalAfterAShortOutageTakesEffectAtOnce(t *testing.T) {
--- a/decide/directory/restart_test.go
+++ b/decide/directory/restart_test.go
@@ -10,10 +10,10 @@
 	"mimosaarch.example/core/layered"
 )
 
-// born returns an upstream with a known start time.
-func born(id string, at, revision int64) Upstream {
+// startedAt returns an upstream with a known start time.
+func startedAt(id string, startedMs, revision int64) Upstream {
 	u := upstream(id, revision)
-	u.ID.StartedMs = at
+	u.ID.StartedMs = startedMs
 	return u
 }
 
@@ -25,11 +25,11 @@
 
 func TestRestartedUpstreamInheritsNothing(t *testing.T) {
 	d := New()
-	leaving := holding(born("a", 100, 1), 9)
+	leaving := holding(startedAt("a", 100, 1), 9)
 	leaving.Leaving = true
 	d.Put(leaving)
 	before := d.View().ByService("s")[0]
-	changes := d.Put(born("a", 200, 2))
+	changes := d.Put(startedAt("a", 200, 2))
 	if diff := cmp.Diff([]string{"gone a", "seen a"}, changeTexts(changes)); diff != "" {
 		t.Error(diff)
 	}
@@ -38,21 +38,21 @@
 		t.Errorf("%+v was added, %+v removed", now, changes[0].Upstream)
 	}
 	if d.View().Get(before.ID) != nil || d.View().Get(now.ID) != now {
-		t.Error("a life is found under the ID of another")
+		t.Error("an instance is found under the ID of another")
 	}
 }
 
-func TestEntryOfAnEarlierLifeIsIgnored(t *testing.T) {
+func TestEntryOfAnEarlierInstanceIsIgnored(t *testing.T) {
 	d := New()
-	d.Put(born("a", 200, 2))
-	if changes := d.Put(holding(born("a", 100, 3), 9)); len(changes) > 0 || !d.View().ByService("s")[0].Layers.Empty() {
-		t.Errorf("an entry of an earlier life took effect: %v", changeTexts(changes))
+	d.Put(startedAt("a", 200, 2))
+	if changes := d.Put(holding(startedAt("a", 100, 3), 9)); len(changes) > 0 || !d.View().ByService("s")[0].Layers.Empty() {
+		t.Errorf("an entry of an earlier instance took effect: %v", changeTexts(changes))
 	}
 }
 
 func TestRestartIsNotTakenForALateHeartbeat(t *testing.T) {
 	d := New()
-	a, b := born("a", 100, 1), born("b", 150, 2)
+	a, b := startedAt("a", 100, 1), startedAt("b", 150, 2)
 	b.Address = a.Address
 	d.Put(a)
 	d.Put(b)
@@ -73,10 +73,10 @@
 
 func TestReportedRestartIsAppliedBeforeItsEntry(t *testing.T) {
 	d := New()
-	d.Put(holding(born("a", 100, 1), 9))
+	d.Put(holding(startedAt("a", 100, 1), 9))
 	mark := d.Mark()
 	if changes := d.Restarted(ids.Instance{Upstream: "a", StartedMs: 100}); len(changes) > 0 {
-		t.Errorf("report of the known life: %v", changeTexts(changes))
+		t.Errorf("report of the known instance: %v", changeTexts(changes))
 	}
 	if changes := d.Restarted(ids.Instance{Upstream: "b", StartedMs: 300}); len(changes) > 0 {
 		t.Errorf("report of an unknown upstream: %v", changeTexts(changes))
@@ -86,19 +86,19 @@
 		t.Error(diff)
 	}
 	if u := d.View().ByService("s")[0]; !u.Layers.Empty() || u.ID.StartedMs != 300 {
-		t.Errorf("upstream %+v, want the later life without layers", u)
+		t.Errorf("upstream %+v, want the later instance without layers", u)
 	}
 	if changed, _, ok := d.View().Since(mark); !ok || len(changed) != 1 || changed[0].ID.StartedMs != 300 {
 		t.Errorf("changes since the mark: %+v", changed)
 	}
-	// This is an entry of the earlier life that arrives late.
-	d.Put(holding(born("a", 100, 2), 9))
+	// This is an entry of the earlier instance that arrives late.
+	d.Put(holding(startedAt("a", 100, 2), 9))
 	if u := d.View().ByService("s")[0]; u.ID.StartedMs != 300 {
-		t.Errorf("upstream %+v, want the later life without layers", u)
+		t.Errorf("upstream %+v, want the later instance without layers", u)
 	}
 }
 
-func TestEntryWithoutAStartTimeKeepsTheKnownLife(t *testing.T) {
+func TestEntryWithoutAStartTimeKeepsTheKnownInstance(t *testing.T) {
 	d := New()
 	leaving := upstream("a", 1)
 	leaving.Leaving = true
@@ -106,10 +106,10 @@
 	if changes := d.Put(upstream("a", 2)); len(changes) != 1 || !changes[0].Upstream.Leaving {
 		t.Errorf("the upstream is no longer leaving: %v", changeTexts(changes))
 	}
-	d.Put(born("b", 100, 3))
+	d.Put(startedAt("b", 100, 3))
 	d.Put(upstream("b", 4))
 	if u := d.View().Get(ids.Instance{Upstream: "b", StartedMs: 100}); u == nil || u.Revision != 4 {
-		t.Errorf("an entry without a start time was not applied to the known life: %+v", u)
+		t.Errorf("an entry without a start time was not applied to the known instance: %+v", u)
 	}
 }
 
--- a/decide/directory/view.go
+++ b/decide/directory/view.go
@@ -30,7 +30,7 @@
 	return v.services[service]
 }
 
-// Get returns an upstream, or nil if it is not in the view with this life.
+// Get returns an upstream, or nil if the view does not hold this instance of it.
 func (v *View) Get(id ids.Instance) *Upstream {
 	if v == nil {
 		return nil
@@ -72,7 +72,7 @@
 	}
 	seen := make(map[ids.Upstream]bool)
 	for _, change := range v.recentChanges[uint64(len(v.recentChanges))-(v.Mark-mark):] {
-		id := change.life.Upstream
+		id := change.id.Upstream
 		if seen[id] {
 			continue
 		}
--- a/decide/health/leaving.go
+++ b/decide/health/leaving.go
@@ -10,7 +10,7 @@
 const maxEpochs = 4
 
 // epochs remembers the latest epochs of an upstream, newest last, so that a late report
-// of an earlier life is not taken for a restart.
+// of an earlier process is not taken for a restart.
 type epochs struct{ seen []string }
 
 // add adds an epoch, and reports whether it is new and not the first.
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -152,7 +152,7 @@
 	h.want("confirmed", got)
 	h.reportOne(130, h.plan.Engines[0], "m", "y")
 	got, _ = h.tick(130, heldLease(5))
-	h.want("a new process life is ordered anew", got, "e00")
+	h.want("a restarted process is ordered again", got, "e00")
 }
 
 func TestLeaseGuardsOrders(t *testing.T) {
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -147,7 +147,7 @@
 		{ID: ids.Instance{Upstream: "m"}, Zone: "a", Card: "large", Holds: layered.Range{From: 28, To: 52}},
 		{ID: ids.Instance{Upstream: "n"}, Zone: "a", Card: "large", Holds: layered.Range{From: 52, To: 80}},
 	}
-	want := []Order{{Engine: life("l"), Layers: layered.Range{From: 0, To: 28}}}
+	want := []Order{{Engine: instanceOf("l"), Layers: layered.Range{From: 0, To: 28}}}
 	if diff := cmp.Diff(want, Plan(m, engines, Options{})); diff != "" {
 		t.Error(diff)
 	}
@@ -208,5 +208,5 @@
 	}
 }
 
-// life returns the life of an upstream whose start time is unknown.
-func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
+// instanceOf returns the ID of an upstream that does not report its start time.
+func instanceOf(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/decide/placement/relocate_test.go
+++ b/decide/placement/relocate_test.go
@@ -13,7 +13,7 @@
 func TestEngineWhoseNeighboursTakeOverMovesToGap(t *testing.T) {
 	m := model()
 	hold := func(id ids.Upstream, card string, from, to int) Engine {
-		return Engine{ID: life(id), Zone: "a", Card: card, Holds: layered.Range{From: from, To: to}}
+		return Engine{ID: instanceOf(id), Zone: "a", Card: card, Holds: layered.Range{From: from, To: to}}
 	}
 	// The spare capacity is at the front; layers 70 to 80 are missing.
 	engines := []Engine{
--- a/decide/placement/tiling_test.go
+++ b/decide/placement/tiling_test.go
@@ -201,8 +201,8 @@
 // the zone holds them.
 func TestTrimWaitsForOthersToHold(t *testing.T) {
 	m := model()
-	full := Engine{ID: life("full"), Zone: "a", Card: "small", Holds: layered.Range{From: 0, To: 10}}
-	next := Engine{ID: life("next"), Zone: "a", Card: "medium", Holds: layered.Range{From: 8, To: 18}}
+	full := Engine{ID: instanceOf("full"), Zone: "a", Card: "small", Holds: layered.Range{From: 0, To: 10}}
+	next := Engine{ID: instanceOf("next"), Zone: "a", Card: "medium", Holds: layered.Range{From: 8, To: 18}}
 	o := Options{groupFraction: DefaultWeightFraction}
 	want := Order{Engine: full.ID, Layers: layered.Range{From: 0, To: 8}}
 	if got := trim(m, []Engine{full, next}, o); len(got) != 1 || got[0] != want {
