--- a/adapter/configfeed/feed_test.go
+++ b/adapter/configfeed/feed_test.go
@@ -101,7 +101,7 @@
 		}
 		objects, err := h.Newer(ctx, nil, 1)
 		summary, err2 := h.Summary(ctx)
-		if err := errors.Join(err, err2); err != nil || len(objects) != 1 || summary[0] != (configorder.KeyVersion{Key: key, Version: 7, Good: 7}) {
+		if err := errors.Join(err, err2); err != nil || len(objects) != 1 || summary[0] != (configorder.KeyVersion{Key: key, Version: 7, Active: 7}) {
 			t.Fatalf("%v %v %v", objects, summary, err)
 		}
 		// The platform has a later version when it is reachable again.
--- a/core/peerapi/calls.go
+++ b/core/peerapi/calls.go
@@ -38,7 +38,7 @@
 	for _, kv := range p.Summary {
 		c.name("summary.key", kv.Key)
 		c.atLeast("summary.version", kv.Version, 0)
-		c.atLeast("summary.good", kv.Good, 0)
+		c.atLeast("summary.good", kv.Active, 0)
 	}
 	return c.err
 }
--- a/core/peerapi/peerapi.go
+++ b/core/peerapi/peerapi.go
@@ -171,7 +171,7 @@
 type KeyVersion struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
-	Good    int64  `json:"good"`
+	Active  int64  `json:"good"`
 }
 
 // Pull requests the configuration objects that the caller lacks.
--- a/decide/configorder/relay.go
+++ b/decide/configorder/relay.go
@@ -14,11 +14,11 @@
 	Key string `json:"key"`
 	// Version is the highest version seen.
 	Version int64 `json:"version"`
-	// Good is the active version, or 0 if no version is active. It is below
+	// Active is the active version, or 0 if no version is active. It is below
 	// Version if the newest object is not valid for this node. If the node has
-	// also rejected a version between the two, Good is that version, so that
+	// also rejected a version between the two, Active is that version, so that
 	// peers don't send it again.
-	Good int64 `json:"good"`
+	Active int64 `json:"good"`
 }
 
 // Status summarizes the contents of a Store.
@@ -60,7 +60,7 @@
 	summary := make([]KeyVersion, 0, len(s.entries))
 	for _, key := range s.keys() {
 		e := s.entries[key]
-		summary = append(summary, KeyVersion{Key: key, Version: e.newest.Version, Good: max(e.active.Version, e.rejectedVersion)})
+		summary = append(summary, KeyVersion{Key: key, Version: e.newest.Version, Active: max(e.active.Version, e.rejectedVersion)})
 	}
 	return summary
 }
@@ -70,7 +70,7 @@
 	var keys []string
 	for _, their := range theirs {
 		e := s.entries[their.Key]
-		if e == nil || their.Version > e.newest.Version || their.Good > max(e.active.Version, e.rejectedVersion) {
+		if e == nil || their.Version > e.newest.Version || their.Active > max(e.active.Version, e.rejectedVersion) {
 			keys = append(keys, their.Key)
 		}
 	}
@@ -126,7 +126,7 @@
 
 // add appends the objects of an entry that a peer lacks.
 func (b *batch) add(e *entry, theirs KeyVersion) {
-	if e.active.Version > theirs.Good {
+	if e.active.Version > theirs.Active {
 		b.put(e.active)
 	}
 	if e.invalid() && e.newest.Version > theirs.Version {
--- a/decide/router/peer.go
+++ b/decide/router/peer.go
@@ -55,8 +55,8 @@
 
 // PeerGone reports that a peer's digests are no longer valid, and why.
 type PeerGone struct {
-	VM  ids.VM
-	Why member.GoneReason
+	VM     ids.VM
+	Reason member.GoneReason
 }
 
 // SendDigest is the reply to DigestDue: the digest to send to all peers.
@@ -169,10 +169,10 @@
 func (r *Router) peerGone(ev PeerGone) {
 	r.loads.RemovePeer(r.now, ev.VM)
 	r.applyPeerLeaving(ev.VM, nil)
-	if ev.Why != member.Restarted {
+	if ev.Reason != member.Restarted {
 		r.gonePeers[ev.VM] = true
 	}
-	if ev.Why != member.Silent {
+	if ev.Reason != member.Silent {
 		r.limiter.PeerGone(ev.VM)
 	}
 }
--- a/decide/router/router_test.go
+++ b/decide/router/router_test.go
@@ -158,7 +158,7 @@
 	} {
 		s := newScript()
 		if test.gone {
-			s.step(PeerGone{VM: "vm-2", Why: member.Silent})
+			s.step(PeerGone{VM: "vm-2", Reason: member.Silent})
 		}
 		s.step(newArrival("r", withKey))
 		s.step(ClaimEnded{ID: "r", Result: ClaimTaken, Prior: test.prior})
@@ -201,7 +201,7 @@
 		},
 	} {
 		s := newScript()
-		s.step(PeerGone{VM: "vm-2", Why: member.Silent})
+		s.step(PeerGone{VM: "vm-2", Reason: member.Silent})
 		s.step(newArrival("r", withKey))
 		s.step(ClaimEnded{ID: "r", Result: ClaimTaken, Prior: prior(nil)})
 		s.ended(outcome.MaybeSent, outcome.UpstreamRefused)
--- a/node/peers.go
+++ b/node/peers.go
@@ -89,7 +89,7 @@
 
 // PeerGone implements peer.Sink.
 func (n *Node) PeerGone(vm ids.VM, reason member.GoneReason) {
-	n.postEvent(router.PeerGone{VM: vm, Why: reason})
+	n.postEvent(router.PeerGone{VM: vm, Reason: reason})
 }
 
 // PeerVMs implements peer.Sink. It takes over a newer list of VMs from a peer.
