--- a/decide/placement/coverage_test.go
+++ b/decide/placement/coverage_test.go
@@ -41,16 +41,16 @@
 // zone by itself, has memory for the whole model.
 func checkComplete(t *testing.T, seed uint64, m *layered.Model, engines []Engine) {
 	t.Helper()
-	most := minReserveOptions(m).groupFraction
-	if groupCapacity(m, engines, most) >= m.Layers {
+	maxFraction := minReserveOptions(m).groupFraction
+	if groupCapacity(m, engines, maxFraction) >= m.Layers {
 		if missing := findGaps(coverage(m, engines)); len(missing) > 0 {
-			t.Errorf("seed %d: no engine holds %v, with memory for %d layers: %+v", seed, missing, groupCapacity(m, engines, most), engines)
+			t.Errorf("seed %d: no engine holds %v, with memory for %d layers: %+v", seed, missing, groupCapacity(m, engines, maxFraction), engines)
 		}
 	}
 	complete := CompleteZones(m, engines)
 	for name, members := range enginesByZone(engines) {
-		if groupCapacity(m, members, most) >= m.Layers && !complete[name] {
-			t.Errorf("seed %d: zone %s with memory for %d layers is not complete: %+v", seed, name, groupCapacity(m, members, most), members)
+		if groupCapacity(m, members, maxFraction) >= m.Layers && !complete[name] {
+			t.Errorf("seed %d: zone %s with memory for %d layers is not complete: %+v", seed, name, groupCapacity(m, members, maxFraction), members)
 		}
 	}
 }
--- a/decide/placement/group.go
+++ b/decide/placement/group.go
@@ -19,8 +19,8 @@
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(m.Cards[a.Card].StepFactor, m.Cards[b.Card].StepFactor), a.ID.Compare(b.ID))
 	})
 	zones := splitByZone(engines)
-	most := minReserveOptions(m).groupFraction
-	fits := func(zone []Engine) bool { return groupCapacity(m, zone, most) >= m.Layers }
+	maxFraction := minReserveOptions(m).groupFraction
+	fits := func(zone []Engine) bool { return groupCapacity(m, zone, maxFraction) >= m.Layers }
 	if len(zones) > 1 && !slices.ContainsFunc(zones, fits) && fits(engines) {
 		return [][]Engine{engines}
 	}
--- a/decide/placement/memory.go
+++ b/decide/placement/memory.go
@@ -19,8 +19,8 @@
 // KV cache to leave beside the weights, as a number of concurrent requests of mean
 // size. A fixed fraction of the memory would ignore the length of prompts.
 const (
-	// slotUtilization is the fraction of an engine's slots for which it has KV
-	// cache. More requests than that reach an engine only while they queue.
+	// slotUtilization is the fraction of an engine's slots for whose requests it keeps
+	// KV cache. An engine gets more requests only while requests queue for it.
 	slotUtilization = 0.85
 	// repairReserveStreams is the number of requests for which an engine keeps KV cache
 	// when it takes over missing layers.
@@ -69,14 +69,14 @@
 // upwards with which its engines can hold the whole model, or usual if none
 // suffices.
 func fittingFraction(m *layered.Model, engines []Engine, usual float64) float64 {
-	most := minReserveOptions(m).groupFraction
-	for fraction := usual; fraction < most; fraction += weightFractionStep {
+	maxFraction := minReserveOptions(m).groupFraction
+	for fraction := usual; fraction < maxFraction; fraction += weightFractionStep {
 		if groupCapacity(m, engines, fraction) >= m.Layers {
 			return fraction
 		}
 	}
-	if groupCapacity(m, engines, most) >= m.Layers {
-		return max(most, usual)
+	if groupCapacity(m, engines, maxFraction) >= m.Layers {
+		return max(maxFraction, usual)
 	}
 	return usual
 }
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -133,11 +133,11 @@
 	}
 	usual := firstChainMs(m, engines, best)
 	bestMs := usual
-	most := minReserveOptions(m).groupFraction
+	maxFraction := minReserveOptions(m).groupFraction
 	for step := 1; float64(step)*weightFractionIncreaseStep <= maxWeightFractionIncrease; step++ {
 		wider := o
 		wider.groupFraction += float64(step) * weightFractionIncreaseStep
-		if wider.groupFraction > most {
+		if wider.groupFraction > maxFraction {
 			break
 		}
 		orders := planWithFraction(m, engines, wider)
@@ -331,15 +331,15 @@
 
 // bestNeighbour returns the engine with the most spare capacity among those that
 // fit, and that capacity in layers; nil and 0 if there is none.
-func bestNeighbour(m *layered.Model, engines []Engine, fits func(Engine) bool) (best *Engine, most int) {
+func bestNeighbour(m *layered.Model, engines []Engine, fits func(Engine) bool) (best *Engine, maxSpare int) {
 	for i := range engines {
 		e := &engines[i]
 		if e.Fixed || e.Holds.Empty() || !fits(*e) {
 			continue
 		}
-		if spare := capacity(m, *e, repairOptions(m)) - e.Holds.Len(); spare > most {
-			best, most = e, spare
+		if spare := capacity(m, *e, repairOptions(m)) - e.Holds.Len(); spare > maxSpare {
+			best, maxSpare = e, spare
 		}
 	}
-	return best, most
+	return best, maxSpare
 }
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -76,18 +76,18 @@
 		for _, name := range []string{"a", "b", "c", "d"}[:1+r.IntN(4)] {
 			engines = append(engines, zone(name, r.IntN(3), r.IntN(7), r.IntN(12))...)
 		}
-		move, spare := make(map[ids.Zone]bool), make(map[ids.Zone]bool)
+		move, reassign := make(map[ids.Zone]bool), make(map[ids.Zone]bool)
 		for i := range engines {
 			if r.IntN(3) == 0 {
-				most := int(m.Cards[engines[i].Card].MemoryMB / m.LayerMB)
+				maxLayers := int(m.Cards[engines[i].Card].MemoryMB / m.LayerMB)
 				from := r.IntN(m.Layers)
-				engines[i].Holds = layered.Range{From: from, To: min(m.Layers, from+1+r.IntN(most))}
+				engines[i].Holds = layered.Range{From: from, To: min(m.Layers, from+1+r.IntN(maxLayers))}
 			}
 			engines[i].Fixed = r.IntN(10) == 0
 			move[engines[i].Zone] = r.IntN(2) == 0
-			spare[engines[i].Zone] = r.IntN(2) == 0
+			reassign[engines[i].Zone] = r.IntN(2) == 0
 		}
-		o := Options{Reassign: spare, Move: move}
+		o := Options{Reassign: reassign, Move: move}
 		orders := Plan(m, engines, o)
 		checkServed(t, m, engines, orders)
 		seen := make(map[ids.Instance]bool)
@@ -102,7 +102,7 @@
 				t.Errorf("seed %d: %s is told to hold %s", seed, o.Engine, o.Layers)
 			case !m.Fits(m.Cards[e.Card], o.Layers.Len()):
 				t.Errorf("seed %d: %s does not fit %s", seed, o.Layers, o.Engine)
-			case !move[e.Zone] && !spare[e.Zone] && !e.Holds.Empty() && !o.Layers.Covers(e.Holds):
+			case !move[e.Zone] && !reassign[e.Zone] && !e.Holds.Empty() && !o.Layers.Covers(e.Holds):
 				t.Errorf("seed %d: %s was moved from %s to %s", seed, o.Engine, e.Holds, o.Layers)
 			}
 			seen[o.Engine] = true
--- a/decide/placement/repair.go
+++ b/decide/placement/repair.go
@@ -82,11 +82,11 @@
 }
 
 // nextRange returns what an engine is to hold next on its way to goal. It extends
-// its range towards the goal up to most layers; once it is full, it replaces
+// its range towards the goal up to maxLayers; once it is full, it replaces
 // redundant layers at its far end. If the goal does not touch its range, it moves
 // there once all its layers are redundant. It returns holds if no step is possible
 // yet.
-func nextRange(holds, goal layered.Range, most int, serving []int) layered.Range {
+func nextRange(holds, goal layered.Range, maxLayers int, serving []int) layered.Range {
 	next := holds
 	switch {
 	case goal.From > holds.To || goal.To < holds.From:
@@ -94,15 +94,15 @@
 			next = goal
 		}
 	case goal.To > holds.To:
-		if holds.Len() >= most {
+		if holds.Len() >= maxLayers {
 			next.From += redundantAtStart(serving, holds, goal.From-holds.From)
 		}
-		next.To = min(goal.To, next.From+most)
+		next.To = min(goal.To, next.From+maxLayers)
 	case goal.From < holds.From:
-		if holds.Len() >= most {
+		if holds.Len() >= maxLayers {
 			next.To -= redundantAtEnd(serving, holds, holds.To-goal.To)
 		}
-		next.From = max(goal.From, next.To-most)
+		next.From = max(goal.From, next.To-maxLayers)
 	}
 	if holds.Covers(next) {
 		return holds
@@ -111,19 +111,19 @@
 }
 
 // redundantAtStart counts the consecutive redundant layers at the start of the
-// range, at most most.
-func redundantAtStart(serving []int, r layered.Range, most int) int {
+// range, up to limit.
+func redundantAtStart(serving []int, r layered.Range, limit int) int {
 	n := 0
-	for n < min(most, r.Len()) && isRedundantLayer(serving, r.From+n) {
+	for n < min(limit, r.Len()) && isRedundantLayer(serving, r.From+n) {
 		n++
 	}
 	return n
 }
 
 // redundantAtEnd is redundantAtStart for the end of the range.
-func redundantAtEnd(serving []int, r layered.Range, most int) int {
+func redundantAtEnd(serving []int, r layered.Range, limit int) int {
 	n := 0
-	for n < min(most, r.Len()) && isRedundantLayer(serving, r.To-1-n) {
+	for n < min(limit, r.Len()) && isRedundantLayer(serving, r.To-1-n) {
 		n++
 	}
 	return n
--- a/decide/placement/tiling.go
+++ b/decide/placement/tiling.go
@@ -51,10 +51,10 @@
 	allowGaps(best, missing)
 	for i, e := range ordered {
 		next := slices.Clone(best)
-		most := capacity(m, e, o)
+		maxLayers := capacity(m, e, o)
 		for from, prev := range best {
-			for to := from + 1; to <= min(from+max(most, e.heldAfterOrder().Len()), m.Layers); to++ {
-				cost := segmentCost(e, layered.Range{From: from, To: to}, most, drainCost)
+			for to := from + 1; to <= min(from+max(maxLayers, e.heldAfterOrder().Len()), m.Layers); to++ {
+				cost := segmentCost(e, layered.Range{From: from, To: to}, maxLayers, drainCost)
 				if cost == math.MaxInt {
 					continue
 				}
@@ -83,19 +83,19 @@
 // segmentCost returns the cost for the engine to run the range, as a number of
 // layers loaded; math.MaxInt if it cannot. An engine with a pending order can get
 // another one afterwards. Giving up layers adds drainCost.
-func segmentCost(e Engine, r layered.Range, most, drainCost int) int {
+func segmentCost(e Engine, r layered.Range, maxLayers, drainCost int) int {
 	held := e.heldAfterOrder()
 	if held.Covers(r) {
 		return 0
 	}
-	if r.Len() > most || e.Fixed && !e.hasPendingOrder() {
+	if r.Len() > maxLayers || e.Fixed && !e.hasPendingOrder() {
 		return math.MaxInt
 	}
 	cost := r.Len() - held.Intersect(r).Len()
 	if !e.hasPendingOrder() {
 		cost += orderCostLayers
 	}
-	if !keepHeld(held, r, most).Covers(held) {
+	if !keepHeld(held, r, maxLayers).Covers(held) {
 		cost += drainCost
 	}
 	return cost
@@ -139,14 +139,14 @@
 	return orders
 }
 
-// keepHeld extends the range towards what the engine holds, up to most layers.
-func keepHeld(holds, r layered.Range, most int) layered.Range {
+// keepHeld extends the range towards what the engine holds, up to maxLayers.
+func keepHeld(holds, r layered.Range, maxLayers int) layered.Range {
 	if holds.To < r.From || holds.From > r.To {
 		return r
 	}
-	left := min(max(r.From-holds.From, 0), most-r.Len())
+	left := min(max(r.From-holds.From, 0), maxLayers-r.Len())
 	r.From -= max(left, 0)
-	right := min(max(holds.To-r.To, 0), most-r.Len())
+	right := min(max(holds.To-r.To, 0), maxLayers-r.Len())
 	r.To += max(right, 0)
 	return r
 }
--- a/decide/placement/tiling_test.go
+++ b/decide/placement/tiling_test.go
@@ -22,8 +22,8 @@
 // fails the test if a round makes a group of engines serve fewer layers.
 func converge(t *testing.T, m *layered.Model, engines []Engine, o Options) (after []Engine, rounds int) {
 	t.Helper()
-	const most = 200
-	for rounds = range most {
+	const maxRounds = 200
+	for rounds = range maxRounds {
 		orders := Plan(m, engines, o)
 		if len(orders) == 0 {
 			return engines, rounds
@@ -31,8 +31,8 @@
 		checkServed(t, m, engines, orders)
 		engines = applyOrders(engines, orders)
 	}
-	t.Errorf("still orders after %d rounds", most)
-	return engines, most
+	t.Errorf("still orders after %d rounds", maxRounds)
+	return engines, maxRounds
 }
 
 // checkServed fails the test if a layer that a group of engines serves is no longer
