--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -38,7 +38,7 @@
 type Plan struct {
 	// Layers is the number of layers of the model.
 	Layers int `json:"layers"`
-	// ChecksFence tells that the service's engines refuse orders with an old
+	// ChecksFence is set if the service's engines refuse orders with an old
 	// fencing token. Default false.
 	ChecksFence bool         `json:"checks_fence,omitempty"`
 	Engines     []Assignment `json:"engines"`
@@ -150,7 +150,7 @@
 	report  engineapi.LoadReport
 	// reportedAt is when the last report arrived; zero if there is none.
 	reportedAt time.Time
-	// inFlight tells that an order was sent and its result is outstanding.
+	// inFlight is set while the result of a sent order is outstanding.
 	inFlight bool
 	// sentAt is when the current assignment was last ordered in this term; zero if
 	// it was not.
@@ -162,7 +162,7 @@
 	// notBefore is the earliest time to try an order again after it was refused or
 	// skipped.
 	notBefore time.Time
-	// applied tells that the engine process of orderEpoch accepted the order.
+	// applied is set once the engine process of orderEpoch has accepted the order.
 	applied bool
 }
 
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestAtOnceAndRate(t *testing.T) {
+func TestLoadsAreLimitedInRateAndConcurrency(t *testing.T) {
 	h := newHarness(t, Options{LoadsPerMinute: 3, MaxConcurrentLoads: 2}, 3)
 	got, _ := h.tick(1, heldLease(5))
 	h.want("the last holder's loads count", got)
@@ -105,7 +105,7 @@
 	h.want("the next minute", got, "e10", "e11")
 }
 
-func TestChainStays(t *testing.T) {
+func TestLoadsLeaveACompleteChain(t *testing.T) {
 	h := newHarness(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 2)
 	h.reportAll(60, "m")
 	got, sends := h.tick(60, heldLease(5))
@@ -119,7 +119,7 @@
 	h.want("the rest follows", got, "e01", "e11")
 }
 
-func TestNoLoadWithoutSpare(t *testing.T) {
+func TestLastCompleteChainIsNotBroken(t *testing.T) {
 	h := newHarness(t, Options{LoadsPerMinute: 100, MaxConcurrentLoads: 100}, 1)
 	h.reportAll(60, "m")
 	got, _ := h.tick(60, heldLease(5))
@@ -190,7 +190,7 @@
 	h.want("after the order timeout", got, "e00", "e10")
 }
 
-func TestPlans(t *testing.T) {
+func TestInvalidPlansAreRefused(t *testing.T) {
 	cases := map[string]string{
 		"no layers":     `{"engines":[]}`,
 		"unknown field": `{"layers":2,"x":1}`,
