--- a/decide/topology/flow.go
+++ b/decide/topology/flow.go
@@ -70,7 +70,7 @@
 	from, to int
 	// capacity and flow are in token steps per second.
 	capacity, flow float64
-	// limited tells that the link itself has a rate limit.
+	// limited is set if the link itself has a rate limit.
 	limited bool
 	// preference is between 0 and 1, larger for links with shorter step times.
 	preference float64
