--- a/decide/balancer/balancer.go
+++ b/decide/balancer/balancer.go
@@ -37,7 +37,8 @@
 	// 0 excludes it, 1 uses all of it, and a value between lets an upstream
 	// that has recovered take load gradually.
 	Weight(id ids.Upstream) float64
-	// LinkWeight returns the same fraction for the link between two engines.
+	// LinkWeight returns the fraction of the capacity of the link between two
+	// engines that may be used, as Weight does for an upstream.
 	LinkWeight(from, to ids.Upstream) float64
 }
 
--- a/decide/balancer/balancer_test.go
+++ b/decide/balancer/balancer_test.go
@@ -294,10 +294,10 @@
 	}
 }
 
-// TestFlowIsPlannedAnew ejects an engine that takes most of the flow: the
+// TestPlanFollowsTheWeights ejects an engine that takes most of the flow: the
 // target rates of the others rise, and with them the number of requests that
 // they take.
-func TestFlowIsPlannedAnew(t *testing.T) {
+func TestPlanFollowsTheWeights(t *testing.T) {
 	v, p := newFakeView(twoStages(100, 100, 300, 10)), newPicker(fleet.StrategyFlow, Options{TokenInterval: 2 * time.Second})
 	p.Pick(epoch, Request{}, v)
 	v.weights["c"] = 0
--- a/decide/balancer/queue_model_test.go
+++ b/decide/balancer/queue_model_test.go
@@ -25,7 +25,7 @@
 	modelDigestInterval = 200 * time.Millisecond
 	// Routers try to dispatch their queues at least this often.
 	modelDispatchInterval = 20 * time.Millisecond
-	// Requests have between half and one and a half times as many tokens.
+	// The number of tokens of a request lies between 0.5 and 1.5 times the mean.
 	modelMeanTokens     = 60
 	modelSlotsPerEngine = 24
 	// Routers drop requests that exceed this number of queued ones.
