--- a/decide/chain/load_report.go
+++ b/decide/chain/load_report.go
@@ -12,8 +12,8 @@
 	// requests is the number of requests that the engine runs or queues as
 	// their first stage, from all nodes.
 	requests float64
-	// ownRequests is the number of them that this node had sent by its own
-	// count when the report was received.
+	// ownRequests is the number of requests of this node that had the engine as
+	// their first stage when the report was received.
 	ownRequests float64
 	receivedAt  time.Time
 }
--- a/decide/chain/picker.go
+++ b/decide/chain/picker.go
@@ -10,7 +10,7 @@
 )
 
 // Picker chooses chains. It tracks the requests that this node runs on each
-// engine and between zones. Make it with New.
+// engine and between zones. Create it with New.
 type Picker struct {
 	conditions *condition.Table
 	engines    map[ids.Instance]*engineState
@@ -36,7 +36,7 @@
 type engineLoad struct {
 	// streams is the number of requests whose chain the engine is part of.
 	streams float64
-	// tokenLayers is their KV cache: tokens times the layers they run there.
+	// tokenLayers is the KV cache of these requests: tokens times layers.
 	tokenLayers float64
 	// firstStages is the number of requests whose first stage the engine is.
 	firstStages float64
