--- a/decide/load/estimator.go
+++ b/decide/load/estimator.go
@@ -9,7 +9,7 @@
 	"mimosaarch.example/core/ids"
 )
 
-// Estimator estimates the load of all upstreams. Make it with New. It is not
+// Estimator estimates the load of all upstreams. Create it with New. It is not
 // safe for concurrent use.
 type Estimator struct {
 	settings  Settings
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -82,7 +82,7 @@
 // FullError reports that an Estimator holds the maximum number of upstreams or
 // peers and cannot add another one.
 type FullError struct {
-	// Limit is that maximum.
+	// Limit is the maximum number of upstreams or peers.
 	Limit int
 }
 
