--- a/decide/routing/routing.go
+++ b/decide/routing/routing.go
@@ -97,9 +97,9 @@
 // them.
 type Limits struct {
 	MaxHeaderBytes, MaxBodyBytes int
-	// HeaderTimeout is the maximum time to receive the headers of a request,
-	// IdleTimeout that to receive its body, and that until the next request on an
-	// open connection.
+	// HeaderTimeout is the maximum time to receive the headers of a request.
+	// IdleTimeout is the maximum time to receive its body, and the maximum time
+	// until the next request on an open connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
