--- a/decide/replica/replica.go
+++ b/decide/replica/replica.go
@@ -37,7 +37,7 @@
 )
 
 // Picker picks upstreams of plain services. It tracks the requests and response
-// times of this node. Make it with New.
+// times of this node. Create it with New.
 type Picker struct {
 	conditions *condition.Table
 	upstreams  map[ids.Instance]*upstreamState
