--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -216,6 +216,8 @@
 	s.wantResult(s.claimAndFinish(s.vms[1], "k1"), router.ClaimWon)
 }
 
+// A read that finds no object does not prove that a released claim is gone: a lagging
+// replica may have answered. The release ends only once a write has proved it.
 func TestAbsenceIsProvedByAWrite(t *testing.T) {
 	s := newSim(t, 1, Settings{Shards: 1, CacheBytes: 1})
 	v := s.vms[0]
--- a/decide/claim/counts.go
+++ b/decide/claim/counts.go
@@ -23,9 +23,9 @@
 
 // Sub returns the increase of each counter since earlier.
 func (c Counts) Sub(earlier Counts) Counts {
-	was, now := earlier.all(), c.all()
-	for i, count := range now {
-		*count.n -= *was[i].n
+	before, after := earlier.all(), c.all()
+	for i, count := range after {
+		*count.n -= *before[i].n
 	}
 	return c
 }
--- a/decide/claim/reader.go
+++ b/decide/claim/reader.go
@@ -58,7 +58,7 @@
 	r.data = r.data[copy(into, r.data):]
 }
 
-// seconds decodes a duration.
+// seconds decodes a duration in seconds.
 func (r *reader) seconds() time.Duration {
 	return time.Duration(min(r.uvarint(), math.MaxInt32)) * time.Second
 }
--- a/decide/claim/value.go
+++ b/decide/claim/value.go
@@ -37,7 +37,7 @@
 	// extra holds encoded fields of later versions that this version does not
 	// know.
 	extra []byte
-	// age is a lower bound, as of since, of the time since the last operation.
+	// age is a lower bound of the time from the last operation to since.
 	age       time.Duration
 	since     time.Time
 	retention time.Duration
