--- a/decide/ledger/ledger_test.go
+++ b/decide/ledger/ledger_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestHeldTokenAtTheEndMarkerIsSkipped(t *testing.T) {
+func TestBufferedTokenAtTheEndMarkerIsSkipped(t *testing.T) {
 	l := New(testChain, testLayers, testAttempt, 0, 1)
 	if _, err := l.Accept(token(1)); err != nil {
 		t.Fatal(err)
