--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -171,10 +171,10 @@
 	}
 }
 
-// TestAtMostOnceOverWholeLife runs requests through all their attempts against
+// TestAtMostOnceOverAllAttempts runs requests through all their attempts against
 // upstreams that fail at random. A request that is not idempotent must not run
 // twice, and NotRun must not be the outcome of a request that ran.
-func TestAtMostOnceOverWholeLife(t *testing.T) {
+func TestAtMostOnceOverAllAttempts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		idempotent := rapid.Bool().Draw(rt, "idempotent")
 		runs, rejoining, mayHaveRun := 0, false, false
