--- a/decide/quarantine/quarantine_test.go
+++ b/decide/quarantine/quarantine_test.go
@@ -62,7 +62,7 @@
 
 func TestPopularRequestIsClearedBySuccess(t *testing.T) {
 	b := New(Options{})
-	for i := range 6 { // in flight at every death, served in between
+	for i := range 6 { // the popular request is in flight at every death and succeeds in between
 		b.RecordDeath(at(i*1000), ids.Upstream(fmt.Sprint(i)), "a", []Fingerprint{"popular", "x"})
 		b.RecordSuccess(at(i*1000+500), "popular")
 	}
@@ -73,7 +73,7 @@
 
 func TestRackFailureBlamesNobody(t *testing.T) {
 	b := New(Options{})
-	for i := range 10 { // each death takes one request retried from the one before
+	for i := range 10 { // one request of each death is retried and is in flight at the next
 		fps := []Fingerprint{Fingerprint(fmt.Sprint("r", i)), Fingerprint(fmt.Sprint("r", i+1)), Fingerprint(fmt.Sprint("own", i))}
 		if i%3 == 0 { // equal requests on four of ten upstreams
 			fps = append(fps, "r0")
@@ -169,7 +169,7 @@
 	engines   [simEngines][]run
 	downUntil [simEngines]int
 	epoch     [simEngines]int
-	hold      bool // waits out Suspected's hold before a retry
+	hold      bool // retries wait until the time that Suspected returns
 	serial    int
 
 	deaths, innocents int
