--- a/decide/router/graph.go
+++ b/decide/router/graph.go
@@ -37,15 +37,15 @@
 const reportTolerance = 0.2
 
 // withinTolerance reports whether a new value counts as equal to the one in use.
-func withinTolerance(used, now float64) bool {
-	return math.Abs(now-used) <= reportTolerance*math.Abs(used)
+func withinTolerance(used, reported float64) bool {
+	return math.Abs(reported-used) <= reportTolerance*math.Abs(used)
 }
 
 // linkWithinTolerance reports whether a link counts as equal to the one in use.
-func linkWithinTolerance(used, now topology.Link) bool {
-	return used.From == now.From && used.To == now.To &&
-		withinTolerance(used.Rate, now.Rate) &&
-		withinTolerance(float64(used.Latency), float64(now.Latency))
+func linkWithinTolerance(used, reported topology.Link) bool {
+	return used.From == reported.From && used.To == reported.To &&
+		withinTolerance(used.Rate, reported.Rate) &&
+		withinTolerance(float64(used.Latency), float64(reported.Latency))
 }
 
 // convertLinks converts the links in the load report of the engine from.
