--- a/decide/queue/errors.go
+++ b/decide/queue/errors.go
@@ -23,7 +23,7 @@
 	Waiting, Limit int
 }
 
-// Error implements the error interface.
+// Error implements error.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("%s full: %d of %d waiting", e.Scope, e.Waiting, e.Limit)
 }
@@ -31,7 +31,7 @@
 // DuplicateError is returned for a request that is already waiting.
 type DuplicateError struct{ ID ids.Request }
 
-// Error implements the error interface.
+// Error implements error.
 func (e *DuplicateError) Error() string {
 	return fmt.Sprintf("request %s waits already", e.ID)
 }
