--- a/decide/limit/share.go
+++ b/decide/limit/share.go
@@ -10,8 +10,8 @@
 // rest is divided by demand.
 const evenShare = 0.5
 
-// share returns this VM's share of an account's rate, above 0 and at most 1, given
-// the own demand that all peers have received.
+// share returns this VM's share of an account's rate, above 0 and at most 1. own is the
+// part of this VM's demand that all peers have received.
 func (l *Limiter) share(now time.Time, account ids.Account, own float64) float64 {
 	vms := float64(l.fleetSize())
 	return evenShare/vms + (1-evenShare)*l.demandShare(now, account, own)
