--- a/decide/configorder/errors.go
+++ b/decide/configorder/errors.go
@@ -10,7 +10,7 @@
 	Version, Active int64
 }
 
-// Error implements the error interface.
+// Error implements error.
 func (e *StaleVersionError) Error() string {
 	return fmt.Sprintf("object %s: version %d is older than version %d", e.Key, e.Version, e.Active)
 }
@@ -25,7 +25,7 @@
 	Cause error
 }
 
-// Error implements the error interface.
+// Error implements error.
 func (e *InvalidObjectError) Error() string {
 	if e.Cause == nil {
 		return fmt.Sprintf("object %q, version %d: not a versioned configuration object", e.Key, e.Version)
@@ -40,7 +40,7 @@
 // the key that its kind and name require.
 type KeyMismatchError struct{ Want string }
 
-// Error implements the error interface.
+// Error implements error.
 func (e *KeyMismatchError) Error() string { return "document must be stored under key " + e.Want }
 
 // FullError reports an object that would exceed a limit of the Settings.
@@ -51,7 +51,7 @@
 	Objects, Bytes int
 }
 
-// Error implements the error interface.
+// Error implements error.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("store full: cannot add object %s to %d objects of %d bytes", e.Key, e.Objects, e.Bytes)
 }
