--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -16,8 +16,8 @@
 	"mimosaarch.example/core/layered"
 )
 
-// Upstream is the entry of one process of a service, from its start to its end. A
-// process that restarts is another upstream.
+// Upstream is the registry entry of one instance of an upstream: one process of a
+// service, from its start to its end.
 type Upstream struct {
 	ID      ids.Instance
 	Service ids.Service
@@ -238,9 +238,9 @@
 	if old == nil || old.ID.StartedMs == 0 || !id.NewerThan(old.ID) {
 		return nil
 	}
-	now := *old
-	now.ID, now.Leaving, now.Busy, now.Layers = id, false, false, layered.Range{}
-	return d.put(nil, &now)
+	restarted := *old
+	restarted.ID, restarted.Leaving, restarted.Busy, restarted.Layers = id, false, false, layered.Range{}
+	return d.put(nil, &restarted)
 }
 
 // Expire removes the missing entries whose grace period has ended.
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// at returns the time that many milliseconds after start.
+// at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func upstream(id string, revision int64) Upstream {
--- a/decide/directory/restart_test.go
+++ b/decide/directory/restart_test.go
@@ -33,11 +33,11 @@
 	if diff := cmp.Diff([]string{"gone a", "seen a"}, changeTexts(changes)); diff != "" {
 		t.Error(diff)
 	}
-	now := d.View().ByService("s")[0]
-	if now.Leaving || !now.Layers.Empty() || now.ID == before.ID || changes[0].Upstream.ID != before.ID {
-		t.Errorf("%+v was added, %+v removed", now, changes[0].Upstream)
+	after := d.View().ByService("s")[0]
+	if after.Leaving || !after.Layers.Empty() || after.ID == before.ID || changes[0].Upstream.ID != before.ID {
+		t.Errorf("%+v was added, %+v removed", after, changes[0].Upstream)
 	}
-	if d.View().Get(before.ID) != nil || d.View().Get(now.ID) != now {
+	if d.View().Get(before.ID) != nil || d.View().Get(after.ID) != after {
 		t.Error("an instance is found under the ID of another")
 	}
 }
