--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -160,7 +160,7 @@
 func (r *Roster) sources(now time.Time) (peers []Member, watches bool) {
 	peers, own := r.firstAvailable(now, r.zoneMembers, sourcesPerTier, false)
 	if own || len(peers) < sourcesPerTier {
-		// A zone relay, or a node whose zone has too few known members.
+		// This node is a zone relay, or its zone has too few known members.
 		peers, own = r.firstAvailable(now, r.ranked, sourcesPerTier, r.storeUnresponsive)
 	}
 	return peers, own || len(peers) == 0
--- a/decide/roster/spread_test.go
+++ b/decide/roster/spread_test.go
@@ -91,22 +91,22 @@
 	}
 }
 
-// twoFaults simulates two faults at two nodes, the second one apart later than the
+// twoFaults simulates two faults at two nodes, the second one delay after the
 // first. It makes three changes and returns the nodes served by the store that got one
 // too late.
-func twoFaults(members []Member, at [2]int, f [2]fault, apart time.Duration, seed uint64) []string {
+func twoFaults(members []Member, at [2]int, f [2]fault, delay time.Duration, seed uint64) []string {
 	var late []string
 	sim := newSimulation(members, seed)
 	sim.run(time.Second + time.Duration(sim.rand.IntN(40))*step)
 	sim.setFault(sim.nodes[at[0]], f[0])
-	sim.run(apart)
+	sim.run(delay)
 	sim.setFault(sim.nodes[at[1]], f[1])
 	for change := range 3 {
 		sim.version++
 		sim.run(twoFaultsBound)
 		for _, name := range sim.outdated(fault.reachesStore) {
 			late = append(late, fmt.Sprintf("%s, change %d after %s of %s and %v later %s of %s", name, change,
-				f[0], members[at[0]].Name, apart, f[1], members[at[1]].Name))
+				f[0], members[at[0]].Name, delay, f[1], members[at[1]].Name))
 		}
 		sim.run(time.Duration(sim.rand.IntN(20)) * step)
 	}
