--- a/adapter/claims/peers_test.go
+++ b/adapter/claims/peers_test.go
@@ -157,7 +157,7 @@
 func TestCountsAreReported(t *testing.T) {
 	reported := make(map[string]int64)
 	change := func(_ int, s *Settings) {
-		s.OnCount = func(name string, n int64) { reported[name] += n }
+		s.Count = func(name string, n int64) { reported[name] += n }
 	}
 	runWith(t, 1, change, func(t *testing.T, f *fleet) {
 		f.claim(0, "k", "r")
--- a/adapter/claims/settings.go
+++ b/adapter/claims/settings.go
@@ -40,14 +40,14 @@
 	MaxForwards int
 	// Claim configures the shards, the batching and the retention.
 	Claim claim.Settings
-	// OnProblem is called for objects that cannot be decoded and for commands
+	// OnError is called for objects that cannot be decoded and for commands
 	// with missing fields. It may be nil. It is called from the goroutine of
 	// the Committer.
-	OnProblem func(err error)
-	// OnCount is called with the increment of a count, by its name in
+	OnError func(err error)
+	// Count adds n to the counter that has the name of a field of
 	// claim.Counts. It may be nil. It is called from the goroutine of the
 	// Committer.
-	OnCount func(name string, n int64)
+	Count func(name string, n int64)
 }
 
 // withDefaults returns s with defaults for unset fields.
@@ -58,11 +58,11 @@
 	s.RingCapacity = defaults.Positive(s.RingCapacity, defaultRingCapacity)
 	s.MaxPlatformCalls = defaults.Positive(s.MaxPlatformCalls, defaultMaxPlatformCalls)
 	s.MaxForwards = defaults.Positive(s.MaxForwards, defaultMaxForwards)
-	if s.OnCount == nil {
-		s.OnCount = func(string, int64) {}
+	if s.Count == nil {
+		s.Count = func(string, int64) {}
 	}
-	if s.OnProblem == nil {
-		s.OnProblem = func(error) {}
+	if s.OnError == nil {
+		s.OnError = func(error) {}
 	}
 	return s
 }
--- a/adapter/claims/worker.go
+++ b/adapter/claims/worker.go
@@ -84,7 +84,7 @@
 	added := counts.Sub(*before)
 	added.Each(func(name string, n uint64) {
 		if n > 0 {
-			w.settings.OnCount(name, int64(n))
+			w.settings.Count(name, int64(n))
 		}
 	})
 }
@@ -132,7 +132,7 @@
 		w.execute(commands)
 		return
 	}
-	w.settings.OnProblem(err)
+	w.settings.OnError(err)
 	switch next.op.Kind {
 	case claim.Claim:
 		w.sink.ClaimEnded(router.ClaimEnded{ID: next.op.Record.Request, Result: router.ClaimFailed})
@@ -212,7 +212,7 @@
 		case claim.Served:
 			w.finishServed(c)
 		case claim.InvalidValue:
-			w.settings.OnProblem(c.Err)
+			w.settings.OnError(c.Err)
 		}
 	}
 }
--- a/node/claims.go
+++ b/node/claims.go
@@ -26,9 +26,9 @@
 // newClaims creates the component that claims idempotency keys.
 func (n *Node) newClaims(store claims.Platform) claimCommitter {
 	return claims.New(store, n, claims.Settings{
-		Peers:     &claimPeers{node: n},
-		OnProblem: n.handleClaimError,
-		OnCount:   func(name string, count int64) { n.telemetry.Add("claims."+name, count) },
+		Peers:   &claimPeers{node: n},
+		OnError: n.handleClaimError,
+		Count:   func(name string, count int64) { n.telemetry.Add("claims."+name, count) },
 	})
 }
 
