--- a/adapter/placer/departures_test.go
+++ b/adapter/placer/departures_test.go
@@ -30,7 +30,7 @@
 func simulateDepartures(t *testing.T, s *simulation, engines, streams int) {
 	t.Helper()
 	o := Options{
-		Engines: s, Lease: s, ChecksFence: true, Restarted: func(ids.Instance) {},
+		Engines: s, Lease: s, ChecksFence: true, OnRestart: func(ids.Instance) {},
 		SilentFor: func(*directory.Upstream) time.Duration { return 0 },
 	}
 	runPlacerOver(t, simModel, &s.mu, s.dir, o, func(ctx context.Context) {
@@ -66,10 +66,10 @@
 	return done
 }
 
-// TestZonesAreWholeAgainSoonAfterLeavingsInARow checks that zones with memory for
+// TestZonesAreCompleteSoonAfterSuccessiveDepartures checks that zones with memory for
 // the model hold it again, on average over the simulations, within the time to
 // drain the longest stream and to load the largest engine. No stream may be lost.
-func TestZonesAreWholeAgainSoonAfterLeavingsInARow(t *testing.T) {
+func TestZonesAreCompleteSoonAfterSuccessiveDepartures(t *testing.T) {
 	const sites = 24
 	sum, interrupted, refused, requests := time.Duration(0), 0, 0, 0
 	for _, s := range simulateSites(t, sites, 6, 60) {
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -62,8 +62,8 @@
 // Lease is the lease for sending orders.
 type Lease interface {
 	Status() lease.Status
-	// LastTerm returns the status of this node's last term if its lease has expired
-	// and no later holder is known.
+	// LastTerm returns this node's term even if its lease has expired, as long as no
+	// other node is known to have taken the lease over. Otherwise Held is false.
 	LastTerm() lease.Status
 	StepDown()
 }
@@ -75,7 +75,7 @@
 	Engines Engines
 	Lease   Lease
 	Plan    placement.Options
-	// ChecksFence tells that engines refuse orders of an earlier term than the
+	// ChecksFence is true if engines refuse orders of an earlier term than the
 	// latest they have seen. Orders then continue while the store is unreachable
 	// and the lease cannot be renewed.
 	ChecksFence bool
@@ -86,20 +86,21 @@
 	// SilentFor returns how long an engine has left this node's requests
 	// unanswered; 0 if it answers or if that is unknown.
 	SilentFor func(*directory.Upstream) time.Duration
-	// Restarted is called when an engine reports a later start than the directory
-	// knows. Calls may be concurrent.
-	Restarted func(ids.Instance)
+	// OnRestart is called with the new instance of an engine that reports a later
+	// start than the directory knows. Calls may be concurrent.
+	OnRestart func(ids.Instance)
 }
 
 // Intervals and timeouts.
 const (
 	// planInterval is the time between two planning rounds.
 	planInterval = 100 * time.Millisecond
-	// initialSettleTime is how long no engine may have been added before the first
-	// plan for a fleet that holds no layers. Engines enter the directory over some
-	// seconds, and a plan that is made for only some of them is not changed later.
+	// initialSettleTime is the time that must pass after the last engine was added
+	// before engines that hold no layers yet are planned. Engines enter the directory
+	// over some seconds, and a plan made for only some of them is not changed later.
 	initialSettleTime = 1500 * time.Millisecond
-	// settleTime replaces initialSettleTime once engines hold layers.
+	// settleTime replaces initialSettleTime as soon as one engine of the service holds
+	// layers.
 	settleTime = 300 * time.Millisecond
 	// callTimeout limits a call to an engine.
 	callTimeout = 400 * time.Millisecond
@@ -236,7 +237,8 @@
 		maps.Equal(last.reassign, input.reassign) && maps.Equal(last.move, input.move)
 }
 
-// settled reports whether no engine has been added recently.
+// settled reports whether enough time has passed since the last engine was added, so
+// that the list of engines counts as complete.
 func (p *Placer) settled(now time.Time, service ids.Service, engines []*directory.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -328,7 +330,7 @@
 		return Unfit, err
 	}
 	if now := report.Life(u.ID); now != u.ID {
-		p.opts.Restarted(now)
+		p.opts.OnRestart(now)
 		return Unfit, &directory.RestartedError{Known: u.ID, Now: now}
 	}
 	if report.ExecutingOrder {
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -29,7 +29,7 @@
 	busy      map[ids.Instance]bool
 	result    Result
 	status    lease.Status
-	lapsed    lease.Status
+	lastTerm  lease.Status
 	stepDowns int
 	// probeFails makes Probe fail.
 	probeFails bool
@@ -47,15 +47,15 @@
 }
 
 // engine adds an engine or changes the layers it holds.
-func (f *fleet) engine(id string, from, to int) { f.engineLife(id, 0, from, to) }
+func (f *fleet) engine(id string, from, to int) { f.engineStartedAt(id, 0, from, to) }
 
-// engineLife is engine for a process with a known start time.
-func (f *fleet) engineLife(id string, born int64, from, to int) {
+// engineStartedAt adds or changes an engine whose process has a known start time.
+func (f *fleet) engineStartedAt(id string, startedMs int64, from, to int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev++
 	f.dir.Put(directory.Upstream{
-		ID: ids.Instance{Upstream: ids.Upstream(id), StartedMs: born}, Service: "s", Address: id, Zone: "z", Card: "card", Layers: layered.Range{From: from, To: to}, Revision: f.rev,
+		ID: ids.Instance{Upstream: ids.Upstream(id), StartedMs: startedMs}, Service: "s", Address: id, Zone: "z", Card: "card", Layers: layered.Range{From: from, To: to}, Revision: f.rev,
 	})
 }
 
@@ -67,10 +67,10 @@
 }
 
 // restarted records the start time that an engine reported.
-func (f *fleet) restarted(life ids.Instance) {
+func (f *fleet) restarted(instance ids.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dir.Restarted(life)
+	f.dir.Restarted(instance)
 }
 
 func (f *fleet) Probe(_ context.Context, u *directory.Upstream) (layered.Report, error) {
@@ -99,7 +99,7 @@
 func (f *fleet) LastTerm() lease.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lapsed
+	return f.lastTerm
 }
 
 func (f *fleet) StepDown() {
@@ -128,7 +128,7 @@
 // runs.
 func runPlacer(t *testing.T, f *fleet, fenced bool, scenario func()) {
 	t.Helper()
-	o := Options{Engines: f, Lease: f, ChecksFence: fenced, Restarted: f.restarted, SilentFor: f.silentFor}
+	o := Options{Engines: f, Lease: f, ChecksFence: fenced, OnRestart: f.restarted, SilentFor: f.silentFor}
 	runPlacerOver(t, testModel, &f.mu, f.dir, o, func(context.Context) { scenario() })
 }
 
@@ -194,11 +194,11 @@
 	}
 }
 
-func TestLapsedTermGoesOnOnlyWhereOrdersAreFenced(t *testing.T) {
+func TestExpiredTermContinuesOnlyIfOrdersAreFenced(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		f := newFleet()
 		f.status = lease.Status{}
-		f.lapsed = lease.Status{Held: true, Fence: 8}
+		f.lastTerm = lease.Status{Held: true, Fence: 8}
 		runPlacer(t, f, fenced, func() {
 			f.engine("a", 0, 0)
 			time.Sleep(5 * time.Second)
--- a/adapter/placer/restart_test.go
+++ b/adapter/placer/restart_test.go
@@ -14,13 +14,13 @@
 func TestPendingOrderEndsWithTheProcess(t *testing.T) {
 	f := newFleet()
 	runPlacer(t, f, true, func() {
-		f.engineLife("a", 100, 0, 0)
-		f.engineLife("b", 100, 6, 10)
+		f.engineStartedAt("a", 100, 0, 0)
+		f.engineStartedAt("b", 100, 6, 10)
 		time.Sleep(time.Second)
 		if diff := cmp.Diff([]string{"a@100 0-6 fence 9 after 4"}, f.takeOrders()); diff != "" {
 			t.Error(diff)
 		}
-		f.engineLife("a", 200, 0, 0)
+		f.engineStartedAt("a", 200, 0, 0)
 		time.Sleep(time.Second)
 		if diff := cmp.Diff([]string{"a@200 0-6 fence 9 after 4"}, f.takeOrders()); diff != "" {
 			t.Error(diff)
@@ -34,8 +34,8 @@
 	f := newFleet()
 	f.startTimes = map[ids.Upstream]int64{"a": 200}
 	runPlacer(t, f, true, func() {
-		f.engineLife("a", 100, 0, 0)
-		f.engineLife("b", 100, 6, 10)
+		f.engineStartedAt("a", 100, 0, 0)
+		f.engineStartedAt("b", 100, 6, 10)
 		time.Sleep(time.Second)
 		if diff := cmp.Diff([]string{"a@200 0-6 fence 9 after 4"}, f.takeOrders()); diff != "" {
 			t.Error(diff)
--- a/adapter/placer/simulation_test.go
+++ b/adapter/placer/simulation_test.go
@@ -227,16 +227,16 @@
 }
 
 // chainRequest returns the requirements of a stream.
-func (s *simulation) chainRequest(begun bool) chain.Request {
-	return chain.Request{Service: "s", Zone: "x", PromptTokens: simModel.MeanPromptTokens, OutputTokens: simModel.MeanOutputTokens, OutputStarted: begun, JitterSeed: s.rand.Uint64() | 1}
+func (s *simulation) chainRequest(started bool) chain.Request {
+	return chain.Request{Service: "s", Zone: "x", PromptTokens: simModel.MeanPromptTokens, OutputTokens: simModel.MeanOutputTokens, OutputStarted: started, JitterSeed: s.rand.Uint64() | 1}
 }
 
 // tryStart starts a stream on a chain and reports whether all its engines accepted
 // it.
-func (s *simulation) tryStart(r *stream, begun bool) bool {
+func (s *simulation) tryStart(r *stream, started bool) bool {
 	now := time.Now()
-	c, err := s.picker.Pick(now, simModel, s.dir.View(), s.chainRequest(begun))
-	if err != nil || !begun && s.picker.FullEngine(now, c) != nil {
+	c, err := s.picker.Pick(now, simModel, s.dir.View(), s.chainRequest(started))
+	if err != nil || !started && s.picker.FullEngine(now, c) != nil {
 		return false
 	}
 	for _, h := range c {
@@ -249,7 +249,7 @@
 	for _, h := range c {
 		s.engines[h.Engine.ID].streams[r] = h.Layers
 	}
-	s.picker.RequestStarted(now, c, s.chainRequest(begun))
+	s.picker.RequestStarted(now, c, s.chainRequest(started))
 	go s.finish(r, c)
 	return true
 }
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -180,7 +180,7 @@
 		Log:         log,
 		Count:       n.metrics.Add,
 		SilentFor:   n.server.SilentFor,
-		Restarted:   n.upstreams.recordRestart,
+		OnRestart:   n.upstreams.recordRestart,
 	})
 	n.registerGauges()
 	return n
