--- a/adapter/forward/crashes_test.go
+++ b/adapter/forward/crashes_test.go
@@ -324,10 +324,10 @@
 	w := &stallWatch{s: &stream{x: &exchange{server: r.Server}}}
 	// The entry of the first engine changes between the two chains.
 	w.recordBypassed(chain.Chain{engine("a", 1), engine("b", 1)}, chain.Chain{engine("a", 2), engine("c", 1)})
-	if diff := cmp.Diff([]ids.Instance{life("b")}, r.crashes.lostRuns[0].upstreams); diff != "" {
+	if diff := cmp.Diff([]ids.Instance{instance("b")}, r.crashes.lostRuns[0].upstreams); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// life returns the life of an upstream without a known start time.
-func life(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
+// instance returns the instance of an upstream without a known start time.
+func instance(name ids.Upstream) ids.Instance { return ids.Instance{Upstream: name} }
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -345,9 +345,9 @@
 // mayHaveRun reports whether the request ran, or may have run, on any upstream.
 func (x *exchange) mayHaveRun() bool { return len(x.ranOn) > 0 }
 
-// mayRunAgain reports whether the request may be sent again. That needs a repeatable
-// request, and either an attempt that the route has left or a stream, which can resume
-// on an upstream where it already ran.
+// mayRunAgain reports whether the request may be sent again. If it may have run already,
+// it must be repeatable. In addition it must either have run on fewer upstreams than the
+// route allows attempts, or be a stream, which can resume on an upstream where it ran.
 func (x *exchange) mayRunAgain() bool {
 	if !x.mayHaveRun() {
 		return true
--- a/adapter/forward/fake_test.go
+++ b/adapter/forward/fake_test.go
@@ -143,8 +143,8 @@
 type fakeEngines struct {
 	mu   sync.Mutex
 	dead map[ids.Instance]bool
-	// born are the start times that upstreams report.
-	born map[ids.Upstream]int64
+	// startTimes are the start times that upstreams report.
+	startTimes map[ids.Upstream]int64
 	// stalled are the stages that first stages report as stalled, by request.
 	stalled    map[ids.Instance]map[ids.Request]string
 	refused    map[ids.Instance]bool
@@ -163,7 +163,7 @@
 	if c.dead[u.ID] {
 		return layered.Report{}, &CallerGoneError{Cause: context.DeadlineExceeded}
 	}
-	return layered.Report{Born: c.born[u.ID.Upstream], Pace: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
+	return layered.Report{Born: c.startTimes[u.ID.Upstream], Pace: 1, KVTotal: 100, Stalled: c.stalled[u.ID]}, nil
 }
 
 // Reroute implements Engines.
@@ -281,10 +281,10 @@
 			defer r.mu.Unlock()
 			return r.dir.View()
 		},
-		OnRestart: func(life ids.Instance) {
+		OnRestart: func(instance ids.Instance) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.dir.Restarted(life)
+			r.dir.Restarted(instance)
 		},
 	})
 	r.SetNodes(1)
--- a/adapter/forward/late.go
+++ b/adapter/forward/late.go
@@ -12,8 +12,8 @@
 	lateDead lateCause = "dead_stage"
 	// lateBusy: all stages answered their probes and reported no slowdown.
 	lateBusy lateCause = "busy_stage"
-	// lateUnasked: the wait was too short for the stages to be probed.
-	lateUnasked lateCause = "unasked"
+	// lateUnprobed: the wait was too short for the stages to be probed.
+	lateUnprobed lateCause = "unasked"
 	// lateReroute: the request was rerouted around a stage.
 	lateReroute lateCause = "reroute"
 	// lateRetry: the request was sent again.
@@ -40,7 +40,7 @@
 	case w.reroutes > 0:
 		return lateReroute
 	case w.probeResult == "":
-		return lateUnasked
+		return lateUnprobed
 	}
 	return w.probeResult
 }
--- a/adapter/forward/options.go
+++ b/adapter/forward/options.go
@@ -104,7 +104,7 @@
 	// OnVerdict is called when this node has found a request that crashes upstreams, to
 	// inform the other nodes. It must not block and must be safe for concurrent use.
 	OnVerdict func(quarantine.Verdict)
-	// OnRestart is called with the new life of an upstream whose report shows a later
+	// OnRestart is called with the new instance of an upstream whose report shows a later
 	// start than the directory knows. It must be safe for concurrent use.
 	OnRestart func(ids.Instance)
 	// Seed seeds the random choices among equally good upstreams, and the jitter.
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -89,13 +89,13 @@
 const newRequestBudgetFraction = 0.6
 
 // allowRetry takes one retry from the budget of a service and reports whether there was
-// one. begun is true if part of the response was written to the caller.
-func (p *picker) allowRetry(service ids.Service, reason outcome.Reason, begun bool) bool {
+// one. started is true if part of the response was written to the caller.
+func (p *picker) allowRetry(service ids.Service, reason outcome.Reason, started bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.opts.Now()
 	b := p.budget(service)
-	if !begun && !b.AvailableWithin(now, newRequestBudgetFraction) {
+	if !started && !b.AvailableWithin(now, newRequestBudgetFraction) {
 		return false
 	}
 	return b.Allow(now, reason)
--- a/adapter/forward/restart_test.go
+++ b/adapter/forward/restart_test.go
@@ -24,7 +24,7 @@
 	twin := fakeEngine(t, "c", 5, 10, wholeStream(2))
 	twin.Zone = "far"
 	r := newTestServer(t, first, second, twin)
-	r.engines.born = map[ids.Upstream]int64{"b": 200}
+	r.engines.startTimes = map[ids.Upstream]int64{"b": 200}
 	r.engines.onReroute = func() { close(released) }
 	c := r.dial(t)
 	c.send("POST", "/stream/x", "r1", "p")
--- a/adapter/forward/server.go
+++ b/adapter/forward/server.go
@@ -47,7 +47,7 @@
 	return s
 }
 
-// seedStream is the second word of the random generator's seed.
+// seedStream is the second half of the random source's seed.
 const seedStream = 0x666f7277617264
 
 // Serve accepts connections until l is closed, then returns nil.
--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -122,7 +122,7 @@
 // wait is the upconn.WaitFunc of a stream. When the stall timeout has passed, it probes
 // the engines of the chain. If one of them is dead or slow, it tries to reroute the
 // request. If that fails and the request may be sent again, it ends the attempt with an
-// *upconn.SilentError.
+// *upconn.ReadTimeoutError.
 func (w *stallWatch) wait(waited time.Duration) (time.Duration, error) {
 	timeout := w.stallTimeout()
 	x := w.s.x
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -37,7 +37,7 @@
 		}
 		(*r).mu.Unlock()
 		(*r).engines.mu.Lock()
-		(*r).engines.dead[life("a")] = true
+		(*r).engines.dead[instance("a")] = true
 		(*r).engines.mu.Unlock()
 		return eventsFrom(conn, req, 1, 2, false)
 	})
@@ -205,7 +205,7 @@
 	twin := fakeEngine(t, "c", 5, 10, wholeStream(2))
 	twin.Zone = "far"
 	r := newTestServer(t, first, second, twin)
-	r.engines.dead[life("b")] = true
+	r.engines.dead[instance("b")] = true
 	r.engines.onReroute = func() {
 		if !released.Swap(true) {
 			close(resume)
@@ -238,7 +238,7 @@
 	other := fakeEngine(t, "b", 0, 10, wholeStream(4))
 	other.Zone = "far"
 	r := newTestServer(t, dead, other)
-	r.engines.dead[life("a")] = true
+	r.engines.dead[instance("a")] = true
 	resp, complete := r.ask(t, "POST", "/stream/x", "r1", "p")
 	if !complete {
 		t.Error("the response is incomplete")
@@ -253,7 +253,7 @@
 		return eventsFrom(conn, req, 1, 2, true)
 	})
 	r := newTestServer(t, slow)
-	r.engines.dead[life("a")] = true
+	r.engines.dead[instance("a")] = true
 	c := r.dial(t)
 	c.send("POST", "/stream/x", "r1", "p")
 	eventually(t, "the engine is probed", func() bool { return r.metrics.get("upstream.probes") > 1 })
@@ -326,7 +326,7 @@
 	b.Zone, c.Zone = "far", "far"
 	r := newTestServer(t, a, b, c)
 	// Probes use separate connections, which the engine refuses.
-	r.engines.refused[life("a")] = true
+	r.engines.refused[instance("a")] = true
 	if _, complete := r.ask(t, "POST", "/stream/x", "r1", "p"); complete {
 		t.Error("the response is complete, although each engine broke off")
 	}
@@ -384,23 +384,23 @@
 	p := newPicker(o, newCrashTracker(o))
 	prober := newProber(o, p)
 	d := directory.New()
-	for _, id := range []ids.Instance{life("slow"), life("usual")} {
+	for _, id := range []ids.Instance{instance("slow"), instance("usual")} {
 		d.Put(directory.Upstream{ID: id, Service: "model", Address: string(id.Upstream), Revision: 1})
 	}
 	view := d.View()
-	p.setSlowdown(view.Get(life("slow")), 12)
-	p.setSlowdown(view.Get(life("usual")), 1)
+	p.setSlowdown(view.Get(instance("slow")), 12)
+	p.setSlowdown(view.Get(instance("usual")), 1)
 	prober.refresh(t.Context(), view)
 	if len(prober.latest) != 0 {
 		t.Fatal("probed again at once")
 	}
 	now = now.Add(2 * time.Second)
 	prober.refresh(t.Context(), view)
-	if len(prober.latest) != 1 || prober.latest[life("slow")] == nil {
+	if len(prober.latest) != 1 || prober.latest[instance("slow")] == nil {
 		t.Fatalf("probed %d engines, want only the slow one", len(prober.latest))
 	}
-	<-prober.latest[life("slow")].done
-	if slowdown := p.conditions.Slowdown(now, life("slow")); slowdown != 1 {
+	<-prober.latest[instance("slow")].done
+	if slowdown := p.conditions.Slowdown(now, instance("slow")); slowdown != 1 {
 		t.Errorf("a recovered engine has slowdown %v, want 1", slowdown)
 	}
 }
@@ -417,7 +417,7 @@
 	twin := fakeEngine(t, "c", 5, 10, wholeStream(2))
 	twin.Zone = "far"
 	r := newTestServer(t, first, second, twin)
-	r.engines.stalled = map[ids.Instance]map[ids.Request]string{life("a"): {"r1": second.Address}}
+	r.engines.stalled = map[ids.Instance]map[ids.Request]string{instance("a"): {"r1": second.Address}}
 	r.engines.onReroute = func() { close(released) }
 	c := r.dial(t)
 	c.send("POST", "/stream/x", "r1", "p")
@@ -441,7 +441,7 @@
 		return eventsFrom(conn, req, nextEventID(req), 4, true)
 	})
 	r := newTestServer(t, dead)
-	r.engines.dead[life("a")] = true
+	r.engines.dead[instance("a")] = true
 	// Callers give up after 2 s without an event.
 	time.AfterFunc(1800*time.Millisecond, func() {
 		r.mu.Lock()
@@ -486,8 +486,8 @@
 	table := r.table.Load()
 	m, view := table.Service("model").Model, r.dir.View()
 	p.setSlowdown(&slow.Upstream, 50)
-	now := chain.Chain{{Engine: view.Get(life("a")), Layers: slow.Layers}}
-	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Instance]bool{life("a"): true}}
+	now := chain.Chain{{Engine: view.Get(instance("a")), Layers: slow.Layers}}
+	req := chain.Request{Service: "model", Zone: "z", PromptTokens: 10, OutputTokens: 10, Avoid: map[ids.Instance]bool{instance("a"): true}}
 	if p.worthSwitching(m, view, req, now, false) {
 		t.Error("a slow stream takes one of the last retries")
 	}
