--- a/adapter/orders/calls.go
+++ b/adapter/orders/calls.go
@@ -45,7 +45,8 @@
 	case errors.As(err, &missing):
 		return lease.Answer{Kind: lease.Absent}
 	case errors.As(err, &conflict) && conflict.Current.Version == platform.UnknownVersion:
-		// The write was refused, but only a read can tell by which version.
+		// The write was refused because of a newer version, but the response lacks that
+		// version. With the answer Lost, the lease is read again.
 		return lease.Answer{Kind: lease.Lost}
 	case errors.As(err, &conflict):
 		return objectAnswer(conflict.Current)
--- a/adapter/orders/orders_test.go
+++ b/adapter/orders/orders_test.go
@@ -91,17 +91,17 @@
 		plan, _ := json.Marshal(order.Plan{Layers: 2, Engines: []order.Assignment{{Engine: "e", Model: "m", Version: "2"}}})
 		_, _ = f.Put(t.Context(), order.Key("s"), plan, 0)
 		for _, name := range []string{"a", "b"} {
-			d := New(Options{
+			c := New(Options{
 				Lease:    lease.Options{Holder: name, Duration: 15 * time.Second},
 				Platform: f.fakePlatform,
 				Address:  func(ids.Upstream) string { return "x" },
 				Send:     f.send,
 			})
 			ctx, stop := context.WithCancel(t.Context())
-			f.controllers = append(f.controllers, d)
+			f.controllers = append(f.controllers, c)
 			f.stops = append(f.stops, stop)
-			go d.Run(ctx)
-			go f.report(ctx, d)
+			go c.Run(ctx)
+			go f.report(ctx, c)
 		}
 		test(t, f)
 		for _, stop := range f.stops {
@@ -113,9 +113,9 @@
 
 // report sends a controller each second a report of an engine that holds the old
 // model.
-func (f *fleet) report(ctx context.Context, d *Controller) {
+func (f *fleet) report(ctx context.Context, c *Controller) {
 	for ctx.Err() == nil {
-		_ = d.Reported(engineapi.LoadReport{Engine: "e", Epoch: "x", Model: "old"})
+		_ = c.Reported(engineapi.LoadReport{Engine: "e", Epoch: "x", Model: "old"})
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
@@ -147,8 +147,8 @@
 func (f *fleet) holder(t *testing.T) int {
 	t.Helper()
 	holder := -1
-	for i, d := range f.controllers {
-		if d.Status().Held {
+	for i, c := range f.controllers {
+		if c.Status().Held {
 			if holder >= 0 {
 				t.Fatal("two holders")
 			}
@@ -238,7 +238,7 @@
 
 func TestNothingIsSentWithoutTheLease(t *testing.T) {
 	sent := false
-	d := New(Options{
+	c := New(Options{
 		Lease:   lease.Options{Holder: "a"},
 		Address: func(ids.Upstream) string { return "x" },
 		Send:    func(context.Context, string, order.Send) order.Result { sent = true; return order.Applied },
@@ -250,22 +250,22 @@
 		held.Answered(began, lease.Answer{Kind: lease.Absent})
 		write := held.Tick(began).(lease.Write)
 		held.Answered(began, lease.Answer{Kind: lease.Found, Version: 3, Record: write.Record})
-		d.lease = manualLease{held}
+		c.lease = manualLease{held}
 	}
 	s := order.Send{Order: engineapi.Order{Fence: 3}, Timeout: time.Second, MinLeaseRemaining: lease.DefaultDuration / 3}
 	earlier := s
 	earlier.Order.Fence = 2
 	for name, try := range map[string]func() order.Result{
-		"lapsed":             func() order.Result { hold(-time.Second); return d.sendIfHeld(t.Context(), s) },
-		"little left":        func() order.Result { hold(s.MinLeaseRemaining - time.Millisecond); return d.sendIfHeld(t.Context(), s) },
-		"of an earlier term": func() order.Result { hold(lease.DefaultDuration); return d.sendIfHeld(t.Context(), earlier) },
+		"lapsed":             func() order.Result { hold(-time.Second); return c.sendIfHeld(t.Context(), s) },
+		"little left":        func() order.Result { hold(s.MinLeaseRemaining - time.Millisecond); return c.sendIfHeld(t.Context(), s) },
+		"of an earlier term": func() order.Result { hold(lease.DefaultDuration); return c.sendIfHeld(t.Context(), earlier) },
 	} {
 		if got := try(); got != order.Skipped || sent {
 			t.Errorf("%s: got %v", name, got)
 		}
 	}
 	hold(lease.DefaultDuration)
-	if got := d.sendIfHeld(t.Context(), s); got != order.Applied || !sent {
+	if got := c.sendIfHeld(t.Context(), s); got != order.Applied || !sent {
 		t.Errorf("held: got %v", got)
 	}
 }
