--- a/adapter/peer/codec.go
+++ b/adapter/peer/codec.go
@@ -56,7 +56,7 @@
 }
 
 // ReadObject implements jsonrpc2.ObjectCodec. It rejects a message above
-// peerapi.MaxMessage, compressed or plain, with an *OversizeError before it
+// peerapi.MaxMessageBytes, compressed or plain, with an *OversizeError before it
 // buffers the message whole.
 func (c *codec) ReadObject(stream *bufio.Reader, v any) error {
 	err := c.readObject(stream, v)
--- a/adapter/peer/convert.go
+++ b/adapter/peer/convert.go
@@ -68,7 +68,7 @@
 }
 
 // encodeDecisions converts recorded decisions to their form on the wire, with
-// their ages at now. It cuts each Detail to peerapi.MaxText bytes.
+// their ages at now. It cuts each Detail to peerapi.MaxDetailBytes bytes.
 func encodeDecisions(steps []router.Decision, now time.Time) []peerapi.Decision {
 	return mapSlice(steps, func(d router.Decision) peerapi.Decision {
 		return peerapi.Decision{
--- a/adapter/peer/dispatch.go
+++ b/adapter/peer/dispatch.go
@@ -157,7 +157,7 @@
 	return out
 }
 
-// alivePeers returns up to peerapi.MaxKnown live peers, for a peer that has no
+// alivePeers returns up to peerapi.MaxKnownPeers live peers, for a peer that has no
 // list of VMs.
 func (s *Service) alivePeers() []peerapi.KnownPeer {
 	var out []peerapi.KnownPeer
