--- a/adapter/leader/leader.go
+++ b/adapter/leader/leader.go
@@ -1,5 +1,6 @@
-// Package leader holds a lease for a duty that one node of the fleet performs at
-// a time, by calls to a store. Package decide/lease makes the decisions.
+// Package leader elects the one node of the fleet that performs a task: the holder
+// of a lease in a store. Package decide/lease decides when to read or write the
+// lease; this package makes the calls.
 package leader
 
 import (
@@ -30,7 +31,7 @@
 	// it must not block.
 	Candidate func() bool
 	// KeepHeld makes a holder that is no longer a candidate keep the lease
-	// instead of releasing it. A handover interrupts the duty for a second or
+	// instead of releasing it. A handover interrupts the task for a second or
 	// two.
 	KeepHeld bool
 	// Log receives a line when the lease is gained or lost.
--- a/adapter/leader/leader_test.go
+++ b/adapter/leader/leader_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestLeaseLapsesWithTheStore(t *testing.T) {
+func TestLeaseExpiresDuringStoreOutage(t *testing.T) {
 	withElector(t, func(e *Elector, o *object, _ *atomic.Bool) {
 		advance(duration)
 		o.down.Store(true)
