--- a/adapter/upstream/model_test.go
+++ b/adapter/upstream/model_test.go
@@ -213,7 +213,7 @@
 	return f, took
 }
 
-func TestOnlyTakenTokensAreProgress(t *testing.T) {
+func TestOnlyAcceptedTokensAreProgress(t *testing.T) {
 	event := func(edit func(*engineapi.Token), index int) string {
 		tk := tok(index)
 		edit(&tk)
