--- a/node/config.go
+++ b/node/config.go
@@ -44,6 +44,6 @@
 
 // ownsTask reports whether this node does a task for its zone. It is true for a
 // node without peers.
-func (n *Node) ownsTask(duty ids.Upstream) bool {
-	return n.peers == nil || n.peers.Polls(duty, ids.Zone(n.settings.Zone))
+func (n *Node) ownsTask(task ids.Upstream) bool {
+	return n.peers == nil || n.peers.Polls(task, ids.Zone(n.settings.Zone))
 }
--- a/node/entry/membership.go
+++ b/node/entry/membership.go
@@ -60,12 +60,12 @@
 
 // newMembership returns a membership that has not joined yet.
 func newMembership(s Settings, members Members, n *Node, log zerolog.Logger) *membership {
-	return &membership{settings: s, members: members, node: n, log: log, rand: rand.New(rand.NewPCG(s.Seed, randStream))}
+	return &membership{settings: s, members: members, node: n, log: log, rand: rand.New(rand.NewPCG(s.Seed, seedStream))}
 }
 
-// randStream selects a random sequence that differs from other users of the
-// same seed.
-const randStream = 0x7065657273
+// seedStream is the second half of the random source's seed. It makes the random
+// sequence differ from those of other users of the same Seed.
+const seedStream = 0x7065657273
 
 // run reads the list of nodes once and then calls tick until ctx ends.
 func (m *membership) run(ctx context.Context) {
