--- a/core/engineapi/engineapi.go
+++ b/core/engineapi/engineapi.go
@@ -68,7 +68,8 @@
 	DeadlineMs int64     `json:"deadline_ms,omitempty"`
 }
 
-// Step says which layers an engine ran for a token: First to Last, inclusive.
+// Step says which layers an engine ran for a token: First to Last, inclusive, counted
+// from 0.
 type Step struct {
 	Engine string `json:"engine"`
 	First  int    `json:"first"`
