--- a/mimosactl/losses/losses.go
+++ b/mimosactl/losses/losses.go
@@ -51,8 +51,9 @@
 // Summary summarizes the losses in node logs. A request counts once for each
 // attempt of the caller.
 type Summary struct {
-	// Attempts counts all attempts that matched a route. Lost counts those
-	// without an answer in time.
+	// Attempts counts all attempts that ended. Lost counts those without an
+	// answer in time, except for attempts that the caller gave up and for
+	// invalid requests.
 	Attempts, Lost int
 	Causes         map[Cause]int
 	// Zones counts losses by the node's availability zone. Services counts them
