--- a/mimosactl/bench/failure_test.go
+++ b/mimosactl/bench/failure_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("recovery time %v is less than its window", recovery.Time)
 	}
 	if r.Failure == nil || r.Failure.Name == "" || len(r.Failure.LongestStalls) == 0 {
-		t.Errorf("failed is %+v", r.Failure)
+		t.Errorf("failure is %+v", r.Failure)
 	}
 	return r
 }
--- a/mimosactl/bench/stalls.go
+++ b/mimosactl/bench/stalls.go
@@ -48,7 +48,8 @@
 	r.failedAt = at
 }
 
-// record adds a completed request if it was in flight at the time of the failure.
+// record adds a request that has ended, if it was in flight at the time of the
+// failure and its gap is among the longest.
 func (r *stallRecorder) record(s *load.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
