--- a/mimosactl/app/bench.go
+++ b/mimosactl/app/bench.go
@@ -71,8 +71,8 @@
 		Log:           log,
 		OnProgress:    c.env.printProgress,
 	})
-	if setting, ok := errors.AsType[*bench.OptionError](err); ok {
-		return &UsageError{Message: setting.Error()}
+	if optionErr, ok := errors.AsType[*bench.OptionError](err); ok {
+		return &UsageError{Message: optionErr.Error()}
 	}
 	if err != nil {
 		return err
