--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -36,7 +36,8 @@
 }
 
 // handleChat serves POST ChatPath: it starts an attempt and streams its events, or
-// refuses it, or crashes the engine if the prompt calls for it.
+// refuses it, or crashes the engine if the prompt contains the text of
+// Control.CrashOn.
 func (e *Engine) handleChat(ctx *fasthttp.RequestCtx) {
 	var req engineapi.ChatRequest
 	if !httpd.ReadJSON(ctx, &req) {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -232,14 +232,14 @@
 		t.Errorf("harmless request ended with %+v", got.err)
 	}
 	if _, err := call(t, e, fasthttp.MethodPost, engineapi.ChatPath, newChatRequest("poison", 2, chain), "", ""); err == nil {
-		t.Error("crash gave an answer")
+		t.Error("a crashing engine answered the request")
 	}
 	<-crashed
 	own := startEngine(t, Config{ID: "e", Rate: 1e5})
 	chain[0].Address = own.Addr()
 	control(t, own, Control{CrashOn: &text})
 	if _, err := call(t, own, fasthttp.MethodPost, engineapi.ChatPath, newChatRequest("poison", 2, chain), "", ""); err == nil {
-		t.Error("crash gave an answer")
+		t.Error("a crashing engine answered the request")
 	}
 	if _, err := call(t, own, fasthttp.MethodGet, engineapi.LoadPath, nil, "", ""); err == nil {
 		t.Error("a crashed engine answers")
--- a/standin/engine/parts_test.go
+++ b/standin/engine/parts_test.go
@@ -187,7 +187,7 @@
 				t.Error(diff)
 			}
 			if worst != tt.layers {
-				t.Errorf("%d layers cited, want %d", worst, tt.layers)
+				t.Errorf("%d layers listed, want %d", worst, tt.layers)
 			}
 			if want := len(events); (readable != want) != (tt.kind == Nonsense) {
 				t.Errorf("%d of %d events readable", readable, want)
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -34,8 +34,8 @@
 }
 
 // newReader adds a reader of the events whose token index is above after. It reads
-// until the end of the stream or until done is closed, and it stops the linger timer
-// of the run. The caller must close the reader.
+// until the end of the stream or until done is closed. A run that is about to be
+// cancelled because it has no readers continues. The caller must close the reader.
 func (r *run) newReader(after int, done <-chan struct{}) *streamReader {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/engine/registry.go
+++ b/standin/engine/registry.go
@@ -29,7 +29,7 @@
 	closed     bool
 	slotsInUse int
 	runs       map[string]*run   // newest run of each request, including kept ended ones
-	live       map[*run]struct{} // runs that were not released
+	live       map[*run]struct{} // runs that still occupy a slot
 	// ended lists the released runs, oldest first.
 	ended      []endedRun
 	tombstones *boundedSet
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -156,11 +156,11 @@
 	r.cancel()
 }
 
-// signal wakes the readers. The caller holds the lock.
+// wakeReaders signals all readers. The caller holds the lock.
 func (r *run) wakeReaders() {
-	for f := range r.readers {
+	for sr := range r.readers {
 		select {
-		case f.changed <- struct{}{}:
+		case sr.changed <- struct{}{}:
 		default:
 		}
 	}
