--- a/standin/plain/fault.go
+++ b/standin/plain/fault.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Control injects faults. Absent fields leave their fault unchanged. A count applies
-// to that many of the next calls, each of which uses up one count: that of the first
-// field in the order below which is not yet zero.
+// Control injects faults. Absent fields leave their fault unchanged. Refuse, DropBefore,
+// DropAfter, Hang and HangAfter are numbers of calls. A call gets at most one of these
+// faults: the first in the order of the fields whose number is not used up.
 type Control struct {
 	// Refuse answers a call with status 503 and NotStartedHeader, without executing it.
 	Refuse *int `json:"refuse,omitempty"`
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -92,7 +92,7 @@
 				t.Errorf("status %d, want %d", status, tt.status)
 			}
 			if tt.name == "refuse" && string(resp.Header.Peek(NotStartedHeader)) != "true" {
-				t.Error("a refusal lacks the header that nothing was started")
+				t.Error("a refusal lacks NotStartedHeader")
 			}
 			if got := executions(t, p, "slot"); got != tt.executions {
 				t.Errorf("%d executions, want %d", got, tt.executions)
