--- a/standin/platform/fault.go
+++ b/standin/platform/fault.go
@@ -31,7 +31,8 @@
 type Control struct {
 	Mode    Mode  `json:"mode"`
 	DelayMs int64 `json:"delay_ms,omitempty"`
-	// Count, if above zero, is the number of calls after which ModeUp returns.
+	// Count, if above zero, is the number of calls that the mode applies to. After
+	// them the stand-in returns to ModeUp.
 	Count int `json:"count,omitempty"`
 	// Method, if set, limits the mode to calls of one HTTP method.
 	Method string `json:"method,omitempty"`
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -186,7 +186,7 @@
 		t.Errorf("slow call: %d", status)
 	}
 	if err := control.Post(p.Addr(), Control{Mode: "odd"}); err == nil {
-		t.Error("unknown mode taken")
+		t.Error("unknown mode accepted")
 	}
 }
 
--- a/standin/platform/store_test.go
+++ b/standin/platform/store_test.go
@@ -136,7 +136,7 @@
 		l.set(VMsControl{VMs: []platformapi.VM{{ID: "newer"}}})
 		time.Sleep(1100 * time.Millisecond)
 		if got := l.get(); got.Revision != 2 || got.VMs[0].ID != "newer" {
-			t.Errorf("list %+v, want the later replacement to stand", got)
+			t.Errorf("list %+v, want that of the later replacement", got)
 		}
 	})
 }
