--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -253,6 +253,6 @@
 	set(t, r, Control{Mode: ModeSlow, DelayMs: 1, BytesPerSecond: 1 << 20})
 	dial(t, r)
 	if err := control.Post(r.ControlAddr(), Control{Mode: "odd"}); err == nil {
-		t.Error("unknown mode taken")
+		t.Error("unknown mode accepted")
 	}
 }
