--- a/loadgen/load/load.go
+++ b/loadgen/load/load.go
@@ -40,9 +40,9 @@
 	Timeout time.Duration
 	// Deadline is told to nodes; 0 tells none.
 	Deadline time.Duration
-	// Returns is how often a caller who is refused with advice when to come
+	// MaxRetries is how often a caller who is refused with advice when to come
 	// back does so. Default 0: never.
-	Returns int
+	MaxRetries int
 	// Checker checks answers; nil checks nothing.
 	Checker Checker
 	// Observer is told of each request. Required.
@@ -62,7 +62,7 @@
 	switch {
 	case len(s.Nodes) == 0:
 		return s, &SettingError{Setting: "nodes", Expected: "at least one address"}
-	case s.Schedule.For <= 0:
+	case s.Schedule.Duration <= 0:
 		return s, &SettingError{Setting: "for", Expected: "a time above 0"}
 	case s.Callers <= 0 && s.Schedule.Rate <= 0:
 		return s, &SettingError{Setting: "rate", Expected: "a rate above 0, or callers"}
@@ -159,10 +159,10 @@
 	s := r.settings
 	pool := pond.NewPool(s.Callers)
 	defer pool.StopAndWait()
-	end := start.Add(s.Schedule.For)
+	end := start.Add(s.Schedule.Duration)
 	for i := range s.Callers {
 		mix := s.Mix
-		mix.Run = fmt.Sprintf("%s-c%d", s.Mix.Run, i)
+		mix.RunID = fmt.Sprintf("%s-c%d", s.Mix.RunID, i)
 		items := newSource(mix, s.Seed+uint64(i))
 		pool.Submit(func() {
 			for ctx.Err() == nil && time.Now().Before(end) {
--- a/loadgen/load/load_test.go
+++ b/loadgen/load/load_test.go
@@ -56,8 +56,8 @@
 	done    chan struct{}
 }
 
-// Done implements Observer.
-func (r *recorder) Done(s *Sample) {
+// Observe implements Observer.
+func (r *recorder) Observe(s *Sample) {
 	r.mu.Lock()
 	r.samples = append(r.samples, *s)
 	r.mu.Unlock()
@@ -85,13 +85,13 @@
 	t.Helper()
 	seen := &recorder{}
 	run, err := New(Settings{
-		Nodes:    []string{startNode(t, handle)},
-		Mix:      Mix{Model: "drafts", MaxTokens: Sizes{Min: 2, Max: 2}},
-		Schedule: Schedule{Rate: 1, For: time.Second},
-		Timeout:  5 * time.Second,
-		Returns:  returns,
-		Checker:  fixedText("a b "),
-		Observer: seen,
+		Nodes:      []string{startNode(t, handle)},
+		Mix:        Mix{Model: "drafts", MaxTokens: Sizes{Min: 2, Max: 2}},
+		Schedule:   Schedule{Rate: 1, Duration: time.Second},
+		Timeout:    5 * time.Second,
+		MaxRetries: returns,
+		Checker:    fixedText("a b "),
+		Observer:   seen,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -140,10 +140,10 @@
 		}
 		streams(true, "a ", "b ")(ctx)
 	}
-	if s := oneRequest(t, 5, twice); !s.Complete() || s.Returns != 2 || len(s.Tokens) != 2 {
+	if s := oneRequest(t, 5, twice); !s.Complete() || s.Retries != 2 || len(s.Tokens) != 2 {
 		t.Errorf("sample is %+v, want complete after 2 returns", s)
 	}
-	if s := oneRequest(t, 1, refuses); s.Outcome != outcome.NotRun || s.Returns != 1 {
+	if s := oneRequest(t, 1, refuses); s.Outcome != outcome.NotRun || s.Retries != 1 {
 		t.Errorf("sample is %+v, want not run after 1 return", s)
 	}
 }
@@ -158,7 +158,7 @@
 	run, err := New(Settings{
 		Nodes:       []string{startNode(t, hangs)},
 		Mix:         Mix{Model: "drafts"},
-		Schedule:    Schedule{Rate: 1000, For: 100 * time.Millisecond},
+		Schedule:    Schedule{Rate: 1000, Duration: 100 * time.Millisecond},
 		Seed:        1,
 		MaxInFlight: 3,
 		Observer:    seen,
@@ -213,7 +213,7 @@
 	run, err := New(Settings{
 		Nodes:    []string{startNode(t, counts)},
 		Mix:      Mix{Model: "drafts"},
-		Schedule: Schedule{For: time.Hour},
+		Schedule: Schedule{Duration: time.Hour},
 		Callers:  callers,
 		Observer: seen,
 	})
@@ -234,10 +234,10 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	good := Settings{Nodes: []string{"127.0.0.1:1"}, Schedule: Schedule{Rate: 1, For: 1}, Observer: &recorder{}}
+	good := Settings{Nodes: []string{"127.0.0.1:1"}, Schedule: Schedule{Rate: 1, Duration: 1}, Observer: &recorder{}}
 	for name, change := range map[string]func(*Settings){
 		"nodes":    func(s *Settings) { s.Nodes = nil },
-		"for":      func(s *Settings) { s.Schedule.For = 0 },
+		"for":      func(s *Settings) { s.Schedule.Duration = 0 },
 		"rate":     func(s *Settings) { s.Schedule.Rate = 0 },
 		"observer": func(s *Settings) { s.Observer = nil },
 	} {
--- a/loadgen/load/mix.go
+++ b/loadgen/load/mix.go
@@ -56,8 +56,8 @@
 	PromptWords, MaxTokens Sizes
 	// Accounts share the requests by weight; none means one without a key.
 	Accounts []Account
-	// Run makes idempotency keys and bookings unique among runs.
-	Run string
+	// RunID makes idempotency keys and bookings unique among runs.
+	RunID string
 }
 
 // Paths of the plain service.
@@ -137,7 +137,7 @@
 		Service: s.mix.Plain,
 		Method:  "POST",
 		Path:    bookingsPath,
-		Body:    fmt.Appendf(nil, `{"run":%q,"booking":%d}`, s.mix.Run, number),
+		Body:    fmt.Appendf(nil, `{"run":%q,"booking":%d}`, s.mix.RunID, number),
 		Key:     s.key(number),
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // key makes an idempotency key.
-func (s *source) key(number int) string { return s.mix.Run + "-" + strconv.Itoa(number) }
+func (s *source) key(number int) string { return s.mix.RunID + "-" + strconv.Itoa(number) }
 
 // words are those that prompts are made of.
 var words = [...]string{"slot", "teacher", "class", "evening", "parent", "booking", "thursday", "room", "ticket", "quarry"}
@@ -165,7 +165,7 @@
 func (s *source) prompt(number int) string {
 	n := s.mix.PromptWords.draw(s.random)
 	var b strings.Builder
-	b.WriteString(s.mix.Run + "-" + strconv.Itoa(number))
+	b.WriteString(s.mix.RunID + "-" + strconv.Itoa(number))
 	for range n - 1 {
 		b.WriteString(" " + words[s.random.IntN(len(words))])
 	}
--- a/loadgen/load/one.go
+++ b/loadgen/load/one.go
@@ -24,20 +24,20 @@
 	s := &Sample{Due: due, Sent: time.Now(), Account: it.account, Plain: it.plain != nil}
 	for {
 		retryAfter := r.try(ctx, it, s)
-		if retryAfter <= 0 || s.Returns >= r.settings.Returns || !sleep(ctx, retryAfter) {
+		if retryAfter <= 0 || s.Retries >= r.settings.MaxRetries || !sleep(ctx, retryAfter) {
 			break
 		}
-		s.Returns++
+		s.Retries++
 	}
 	s.End = time.Now()
 	r.counts.done(s)
-	r.settings.Observer.Done(s)
+	r.settings.Observer.Observe(s)
 }
 
 // notSent tells of a request that the tool had no caller for.
 func (r *Run) notSent(due time.Time) {
 	r.counts.notSent.Add(1)
-	r.settings.Observer.Done(&Sample{Due: due, NotSent: true})
+	r.settings.Observer.Observe(&Sample{Due: due, NotSent: true})
 }
 
 // sleep waits; false when ctx ended first.
--- a/loadgen/load/progress.go
+++ b/loadgen/load/progress.go
@@ -31,8 +31,8 @@
 
 // Progress is how far a run has come.
 type Progress struct {
-	// After is the time since its start; 0 before it.
-	After time.Duration
+	// Elapsed is the time since its start; 0 before it.
+	Elapsed time.Duration
 	// Sent requests are InFlight, or ended one way: Complete, Refused (not
 	// run), Failed (another outcome) or Wrong. NotSent ones found no caller
 	// free.
@@ -55,7 +55,7 @@
 	p.Sent = r.counts.sent.Load()
 	p.InFlight = p.Sent - p.Complete - p.Refused - p.Failed - p.Wrong
 	if began := r.began.Load(); began != nil {
-		p.After = time.Since(*began)
+		p.Elapsed = time.Since(*began)
 	}
 	return p
 }
@@ -63,9 +63,9 @@
 // progressEvery is the pace at which Watch tells of progress.
 const progressEvery = time.Second
 
-// Watch does a run and tells its progress each second, and at its end, from
+// RunWithProgress does a run and tells its progress each second, and at its end, from
 // the goroutine that called it. A nil tell is not told.
-func Watch(ctx context.Context, r *Run, tell func(Progress)) {
+func RunWithProgress(ctx context.Context, r *Run, tell func(Progress)) {
 	if tell == nil {
 		tell = func(Progress) {}
 	}
--- a/loadgen/load/sample.go
+++ b/loadgen/load/sample.go
@@ -29,8 +29,8 @@
 	// Wrong tells that the answer, or the part of it that came, is not the
 	// one to the request.
 	Wrong bool
-	// Returns counts how often the caller was refused and came back.
-	Returns int
+	// Retries counts how often the caller was refused and came back.
+	Retries int
 	// NotSent tells that the tool itself had no caller free; nothing else
 	// but Due is set then.
 	NotSent bool
@@ -40,7 +40,7 @@
 func (s *Sample) Complete() bool { return s.Outcome == outcome.Complete && !s.Wrong && !s.NotSent }
 
 // Observer is told what became of each request. Many goroutines call it.
-type Observer interface{ Done(s *Sample) }
+type Observer interface{ Observe(s *Sample) }
 
 // Checker tells whether answers are the ones to their requests. Many
 // goroutines call it.
--- a/loadgen/load/schedule.go
+++ b/loadgen/load/schedule.go
@@ -29,19 +29,19 @@
 	// Rate is the requests a second, at the peak of the shape.
 	Rate  float64
 	Shape Shape
-	// For is the length of the run.
-	For time.Duration
+	// Duration is the length of the run.
+	Duration time.Duration
 }
 
-// At gives the rate after a time, in requests a second; 0 outside the run.
-func (s Schedule) At(after time.Duration) float64 {
-	if after < 0 || after >= s.For {
+// RateAt gives the rate after a time, in requests a second; 0 outside the run.
+func (s Schedule) RateAt(after time.Duration) float64 {
+	if after < 0 || after >= s.Duration {
 		return 0
 	}
 	if s.Shape != Evening {
 		return s.Rate
 	}
-	return s.Rate * evening(float64(after)/float64(s.For))
+	return s.Rate * evening(float64(after)/float64(s.Duration))
 }
 
 // evening gives the part of the peak rate at a part of the run.
@@ -73,12 +73,12 @@
 	for {
 		gap := a.random.ExpFloat64() / a.schedule.Rate
 		a.last += time.Duration(gap * float64(time.Second))
-		if a.last >= a.schedule.For {
+		if a.last >= a.schedule.Duration {
 			return 0, false
 		}
 		// Thinning: a candidate at the peak rate is kept with the part that
 		// the shape has there.
-		if a.random.Float64()*a.schedule.Rate < a.schedule.At(a.last) {
+		if a.random.Float64()*a.schedule.Rate < a.schedule.RateAt(a.last) {
 			return a.last, true
 		}
 	}
--- a/loadgen/load/schedule_test.go
+++ b/loadgen/load/schedule_test.go
@@ -44,16 +44,16 @@
 
 func TestArrivalsFollowTheShape(t *testing.T) {
 	run := 100 * time.Second
-	constant := drawn(Schedule{Rate: 50, Shape: Constant, For: run}, 1)
+	constant := drawn(Schedule{Rate: 50, Shape: Constant, Duration: run}, 1)
 	near(t, "constant", len(constant), 5000)
-	evening := drawn(Schedule{Rate: 50, Shape: Evening, For: run}, 1)
+	evening := drawn(Schedule{Rate: 50, Shape: Evening, Duration: run}, 1)
 	near(t, "ramp up", between(evening, run, 0, 0.3), 50*30*0.55)
 	near(t, "peak", between(evening, run, 0.3, 0.7), 50*40)
 	near(t, "ramp down", between(evening, run, 0.7, 1), 50*30*0.55)
 }
 
 func TestSameSeedSameArrivals(t *testing.T) {
-	s := Schedule{Rate: 20, Shape: Evening, For: 10 * time.Second}
+	s := Schedule{Rate: 20, Shape: Evening, Duration: 10 * time.Second}
 	if d := cmp.Diff(drawn(s, 7), drawn(s, 7)); d != "" {
 		t.Error(d)
 	}
@@ -68,7 +68,7 @@
 	PromptWords: Sizes{Min: 10, Max: 200, Mean: 40},
 	MaxTokens:   Sizes{Min: 4, Max: 12},
 	Accounts:    []Account{{Key: "a", Weight: 8}, {Key: "b", Weight: 2}},
-	Run:         "run",
+	RunID:       "run",
 }
 
 func TestMixDrawsItsShares(t *testing.T) {
--- a/loadgen/report/recorder.go
+++ b/loadgen/report/recorder.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Done implements load.Observer.
-func (r *Recorder) Done(s *load.Sample) {
+// Observe implements load.Observer.
+func (r *Recorder) Observe(s *load.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.NotSent {
@@ -88,7 +88,7 @@
 // count counts a request and its outcome.
 func (r *Recorder) count(s *load.Sample) {
 	r.sent++
-	r.returns += s.Returns
+	r.returns += s.Retries
 	if s.Wrong {
 		r.wrong++
 	}
--- a/loadgen/report/recovery_test.go
+++ b/loadgen/report/recovery_test.go
@@ -24,7 +24,7 @@
 	r := New(Options{Start: start, From: time.Second, Until: 4 * time.Second})
 	r.Failed(at(2000), 20)
 	for _, s := range samples {
-		r.Done(s)
+		r.Observe(s)
 	}
 	return r.Report().Recovery
 }
--- a/loadgen/report/report_test.go
+++ b/loadgen/report/report_test.go
@@ -37,7 +37,7 @@
 func recorded(samples ...*load.Sample) Report {
 	r := New(Options{Start: start, From: time.Second, Until: 3 * time.Second, Bucket: time.Second, Bound: 4})
 	for _, s := range samples {
-		r.Done(s)
+		r.Observe(s)
 	}
 	return r.Report()
 }
@@ -85,7 +85,7 @@
 func TestCounts(t *testing.T) {
 	small := sample(1000, 1100)
 	small.Account = 1
-	refused := &load.Sample{Due: at(0), Sent: at(0), Outcome: outcome.NotRun, Reason: outcome.QueueFull, Returns: 2}
+	refused := &load.Sample{Due: at(0), Sent: at(0), Outcome: outcome.NotRun, Reason: outcome.QueueFull, Retries: 2}
 	r := recorded(sample(1000, 1100, 1200), small, refused, &load.Sample{Due: at(0), NotSent: true})
 	if r.Sent != 3 || r.NotSent != 1 || r.Returns != 2 {
 		t.Errorf("%d sent, %d not sent, %d returns", r.Sent, r.NotSent, r.Returns)
--- a/mimosactl/app/load.go
+++ b/mimosactl/app/load.go
@@ -57,7 +57,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	load.Watch(ctx, run, c.env.progress)
+	load.RunWithProgress(ctx, run, c.env.progress)
 	result := recorder.Report()
 	if err := c.env.print(result, func(w io.Writer) { result.Text(w) }); err != nil {
 		return err
@@ -77,17 +77,17 @@
 	s := load.Settings{
 		Nodes:       c.Nodes,
 		Mix:         c.mix(),
-		Schedule:    load.Schedule{Rate: c.Rate, Shape: load.Shape(c.Shape), For: c.For},
+		Schedule:    load.Schedule{Rate: c.Rate, Shape: load.Shape(c.Shape), Duration: c.For},
 		Callers:     c.Callers,
 		Seed:        c.Seed,
 		MaxInFlight: c.InFlight,
 		Timeout:     c.Timeout,
 		Deadline:    c.Deadline,
-		Returns:     c.Returns,
+		MaxRetries:  c.Returns,
 	}
 	s.Mix.Model = ids.Service(c.Model)
 	s.Mix.Plain = ids.Service(c.Plain)
-	s.Mix.Run = documents.NewChange()
+	s.Mix.RunID = documents.NewChange()
 	s.Mix.Accounts = accounts
 	if !c.NoCheck {
 		s.Checker = answers.Checker{}
--- a/mimosactl/app/mix.go
+++ b/mimosactl/app/mix.go
@@ -48,5 +48,5 @@
 // progress prints how far a load has come, on stderr.
 func (e *env) progress(p load.Progress) {
 	fmt.Fprintf(e.stderr, "%5.1fs  sent %d, in flight %d, complete %d, refused %d, failed %d, wrong %d, not sent %d, tokens %d\n",
-		p.After.Seconds(), p.Sent, p.InFlight, p.Complete, p.Refused, p.Failed, p.Wrong, p.NotSent, p.Tokens)
+		p.Elapsed.Seconds(), p.Sent, p.InFlight, p.Complete, p.Refused, p.Failed, p.Wrong, p.NotSent, p.Tokens)
 }
--- a/mimosactl/bench/bench.go
+++ b/mimosactl/bench/bench.go
@@ -145,21 +145,21 @@
 	}
 	defer failing.close()
 	run, err := load.New(load.Settings{
-		Nodes:    failing.addresses(),
-		Mix:      mix,
-		Schedule: load.Schedule{Rate: result.Rate, Shape: o.Shape, For: o.For},
-		Seed:     o.Seed,
-		Deadline: o.Deadline,
-		Returns:  o.Returns,
-		Checker:  answers.Checker{},
-		Observer: failing,
+		Nodes:      failing.addresses(),
+		Mix:        mix,
+		Schedule:   load.Schedule{Rate: result.Rate, Shape: o.Shape, Duration: o.For},
+		Seed:       o.Seed,
+		Deadline:   o.Deadline,
+		MaxRetries: o.Returns,
+		Checker:    answers.Checker{},
+		Observer:   failing,
 	})
 	if err != nil {
 		return Result{}, err
 	}
 	began, used := time.Now(), cpuTime()
 	failing.schedule(ctx, start)
-	load.Watch(ctx, run, o.OnProgress)
+	load.RunWithProgress(ctx, run, o.OnProgress)
 	result.Cores = (cpuTime() - used).Seconds() / time.Since(began).Seconds()
 	result.Failed = failing.end()
 	result.Report = recorder.Report()
@@ -171,7 +171,7 @@
 	mix := f.options.Mix
 	mix.Model = ids.Service(standins.ModelService)
 	mix.Plain = ids.Service(standins.PlainService)
-	mix.Run = documents.NewChange()
+	mix.RunID = documents.NewChange()
 	mix.Accounts = nil
 	for _, a := range accounts {
 		mix.Accounts = append(mix.Accounts, load.Account{Key: a.key, Weight: a.weight})
--- a/mimosactl/bench/failing.go
+++ b/mimosactl/bench/failing.go
@@ -131,10 +131,10 @@
 	return []string{x.front.listener.Addr().String()}
 }
 
-// Done implements load.Observer.
-func (x *failing) Done(s *load.Sample) {
+// Observe implements load.Observer.
+func (x *failing) Observe(s *load.Sample) {
 	x.see(s)
-	x.recorder.Done(s)
+	x.recorder.Observe(s)
 }
 
 // schedule lets the failure happen at its time after start, unless ctx ends
