--- a/loadgen/report/plot.go
+++ b/loadgen/report/plot.go
@@ -73,12 +73,12 @@
 	delivered := plotLine{name: "delivered", color: deliveredColor}
 	good := plotLine{name: "in complete answers", color: goodColor}
 	for _, p := range r.Series {
-		delivered.points = append(delivered.points, plotter.XY{X: p.After, Y: p.Delivered})
-		good.points = append(good.points, plotter.XY{X: p.After, Y: p.Good})
+		delivered.points = append(delivered.points, plotter.XY{X: p.StartSeconds, Y: p.Delivered})
+		good.points = append(good.points, plotter.XY{X: p.StartSeconds, Y: p.Goodput})
 	}
 	out := []plotLine{delivered, good}
 	if r.Bound > 0 {
-		last := r.Series[len(r.Series)-1].After
+		last := r.Series[len(r.Series)-1].StartSeconds
 		out = append(out, plotLine{
 			name:   "bound",
 			color:  boundColor,
--- a/loadgen/report/recorder.go
+++ b/loadgen/report/recorder.go
@@ -21,9 +21,9 @@
 type Options struct {
 	// Start is the run's start.
 	Start time.Time
-	// From and Until are the steady window, counted from Start. Throughput
+	// WindowStart and WindowEnd are the steady window, counted from Start. Throughput
 	// counts tokens that came in it; latencies those of requests due in it.
-	From, Until time.Duration
+	WindowStart, WindowEnd time.Duration
 	// Bucket is the width of a point of the series. Default 500ms.
 	Bucket time.Duration
 	// Bound is the tokens a second that the hardware allows; 0: not known.
@@ -80,7 +80,7 @@
 	}
 	r.count(s)
 	r.countTokens(s)
-	if after := s.Due.Sub(r.options.Start); after >= r.options.From && after < r.options.Until {
+	if after := s.Due.Sub(r.options.Start); after >= r.options.WindowStart && after < r.options.WindowEnd {
 		r.latencies(s)
 	}
 }
@@ -118,7 +118,7 @@
 		after := at.Sub(r.options.Start)
 		r.delivered.add(after, r.options.Bucket)
 		r.fine.add(after, recoveryStep)
-		steady := after >= r.options.From && after < r.options.Until
+		steady := after >= r.options.WindowStart && after < r.options.WindowEnd
 		if steady {
 			r.inWindow.delivered++
 			r.accounts[s.Account].Tokens++
--- a/loadgen/report/recovery.go
+++ b/loadgen/report/recovery.go
@@ -20,30 +20,30 @@
 // a window of 500 ms that is moved on by 100 ms; the windows after the failure
 // begin at or after it, so that none has work from before it.
 type Recovery struct {
-	// At is the failure, in seconds from the run's start.
-	At float64 `json:"at_s"`
-	// Target is the tokens a second that delivered work is to come back to;
+	// FailureSeconds is the failure, in seconds from the run's start.
+	FailureSeconds float64 `json:"at_s"`
+	// TargetRate is the tokens a second that delivered work is to come back to;
 	// it counts as back at 95% of it.
-	Target float64 `json:"target_tokens_per_s"`
+	TargetRate float64 `json:"target_tokens_per_s"`
 	// Recovered tells whether a window reached that before the run's end.
 	// Time is from the failure to the end of the first one that did, in
 	// seconds, so at least the window's length.
-	Recovered bool    `json:"recovered"`
-	Time      float64 `json:"recovery_s"`
-	// LastBelow is from the failure to the end of the last window below it;
+	Recovered       bool    `json:"recovered"`
+	RecoverySeconds float64 `json:"recovery_s"`
+	// LastBelowSeconds is from the failure to the end of the last window below it;
 	// 0 when there is none.
-	LastBelow float64 `json:"last_below_s"`
-	// Before and After are the means of the steady window's parts before and
+	LastBelowSeconds float64 `json:"last_below_s"`
+	// RateBefore and RateAfter are the means of the steady window's parts before and
 	// after the failure, Lowest the lowest window after it, in tokens a
 	// second.
-	Before float64 `json:"before_tokens_per_s"`
-	After  float64 `json:"after_tokens_per_s"`
-	Lowest float64 `json:"lowest_tokens_per_s"`
-	// BelowBefore and BelowAfter are the parts of windows below 95% of the
+	RateBefore float64 `json:"before_tokens_per_s"`
+	RateAfter  float64 `json:"after_tokens_per_s"`
+	LowestRate float64 `json:"lowest_tokens_per_s"`
+	// BelowShareBefore and BelowShareAfter are the parts of windows below 95% of the
 	// target: the first tells how much of the second is the load's own
 	// change.
-	BelowBefore float64 `json:"below_before_share"`
-	BelowAfter  float64 `json:"below_after_share"`
+	BelowShareBefore float64 `json:"below_before_share"`
+	BelowShareAfter  float64 `json:"below_after_share"`
 	// CutOff counts requests that ended after the failure with an unknown
 	// outcome, NotComplete all that ended then otherwise than complete.
 	CutOff      int `json:"cut_off"`
@@ -56,9 +56,9 @@
 	target float64
 }
 
-// Failed tells that something was made to fail, and the tokens a second that
+// RecordFailure tells that something was made to fail, and the tokens a second that
 // delivered work is to come back to. Only the last failure counts.
-func (r *Recorder) Failed(at time.Time, target float64) {
+func (r *Recorder) RecordFailure(at time.Time, target float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failure = &failure{at: at, target: target}
@@ -84,52 +84,52 @@
 	}
 	after := r.failure.at.Sub(r.options.Start)
 	out := &Recovery{
-		At:          after.Seconds(),
-		Target:      r.failure.target,
-		CutOff:      r.cutOff,
-		NotComplete: r.notComplete,
+		FailureSeconds: after.Seconds(),
+		TargetRate:     r.failure.target,
+		CutOff:         r.cutOff,
+		NotComplete:    r.notComplete,
 	}
 	failed := int((after + recoveryStep - 1) / recoveryStep)
-	until := int(r.options.Until / recoveryStep)
-	out.before(r.fine, int(r.options.From/recoveryStep), int(after/recoveryStep))
+	until := int(r.options.WindowEnd / recoveryStep)
+	out.before(r.fine, int(r.options.WindowStart/recoveryStep), int(after/recoveryStep))
 	out.after(r.fine, failed, until)
 	return out
 }
 
 // before takes in the time before the failure, given in steps.
 func (o *Recovery) before(fine series, from, until int) {
-	o.Before = fine.rate(from, until)
+	o.RateBefore = fine.rate(from, until)
 	below, windows := 0, 0
 	for at := from; at+recoverySteps <= until; at++ {
 		windows++
-		if fine.rate(at, at+recoverySteps) < recoveredShare*o.Target {
+		if fine.rate(at, at+recoverySteps) < recoveredShare*o.TargetRate {
 			below++
 		}
 	}
-	o.BelowBefore = part(below, windows)
+	o.BelowShareBefore = part(below, windows)
 }
 
 // after takes in the time after the failure, given in steps.
 func (o *Recovery) after(fine series, from, until int) {
-	o.After = fine.rate(from, until)
+	o.RateAfter = fine.rate(from, until)
 	below, windows := 0, 0
 	for at := from; at+recoverySteps <= until; at++ {
 		rate := fine.rate(at, at+recoverySteps)
-		ended := float64(at+recoverySteps)*recoveryStep.Seconds() - o.At
-		if windows == 0 || rate < o.Lowest {
-			o.Lowest = rate
+		ended := float64(at+recoverySteps)*recoveryStep.Seconds() - o.FailureSeconds
+		if windows == 0 || rate < o.LowestRate {
+			o.LowestRate = rate
 		}
 		windows++
-		if rate < recoveredShare*o.Target {
+		if rate < recoveredShare*o.TargetRate {
 			below++
-			o.LastBelow = ended
+			o.LastBelowSeconds = ended
 			continue
 		}
 		if !o.Recovered {
-			o.Recovered, o.Time = true, ended
+			o.Recovered, o.RecoverySeconds = true, ended
 		}
 	}
-	o.BelowAfter = part(below, windows)
+	o.BelowShareAfter = part(below, windows)
 }
 
 // rate gives the tokens a second from one step to another.
--- a/loadgen/report/recovery_test.go
+++ b/loadgen/report/recovery_test.go
@@ -21,8 +21,8 @@
 // failing gives the report of samples with a failure after 2 s of 4 and a
 // target of 20 tokens a second.
 func failing(samples ...*load.Sample) *Recovery {
-	r := New(Options{Start: start, From: time.Second, Until: 4 * time.Second})
-	r.Failed(at(2000), 20)
+	r := New(Options{Start: start, WindowStart: time.Second, WindowEnd: 4 * time.Second})
+	r.RecordFailure(at(2000), 20)
 	for _, s := range samples {
 		r.Observe(s)
 	}
@@ -35,10 +35,10 @@
 	refused := &load.Sample{Due: at(2100), End: at(2100), Outcome: outcome.NotRun, Reason: outcome.QueueFull}
 	early := &load.Sample{Due: at(100), End: at(1900), Outcome: outcome.Unknown, Reason: load.CutOff}
 	r := failing(cut, refused, early, steady(2600, 4000))
-	if !r.Recovered || !near(r.Time, 1.1) || !near(r.LastBelow, 1.0) {
+	if !r.Recovered || !near(r.RecoverySeconds, 1.1) || !near(r.LastBelowSeconds, 1.0) {
 		t.Errorf("recovery is %+v, want 1.1 s, the end of the first whole window after 2.6 s", r)
 	}
-	if !near(r.Before, 20) || !near(r.After, 14) || r.Lowest != 0 || r.BelowBefore != 0 || !near(r.BelowAfter, 6.0/16) {
+	if !near(r.RateBefore, 20) || !near(r.RateAfter, 14) || r.LowestRate != 0 || r.BelowShareBefore != 0 || !near(r.BelowShareAfter, 6.0/16) {
 		t.Errorf("rates are %+v", r)
 	}
 	if r.CutOff != 1 || r.NotComplete != 2 {
@@ -47,7 +47,7 @@
 }
 
 func TestNoRecovery(t *testing.T) {
-	if r := failing(steady(0, 2000)); r.Recovered || r.Time != 0 || !near(r.LastBelow, 2) {
+	if r := failing(steady(0, 2000)); r.Recovered || r.RecoverySeconds != 0 || !near(r.LastBelowSeconds, 2) {
 		t.Errorf("recovery is %+v without a token after the failure", r)
 	}
 	if r := recorded(steady(0, 2000)).Recovery; r != nil {
--- a/loadgen/report/report_test.go
+++ b/loadgen/report/report_test.go
@@ -35,7 +35,7 @@
 // recorded gives the report of samples with a window from 1 s to 3 s and a
 // bound of 4 tokens a second.
 func recorded(samples ...*load.Sample) Report {
-	r := New(Options{Start: start, From: time.Second, Until: 3 * time.Second, Bucket: time.Second, Bound: 4})
+	r := New(Options{Start: start, WindowStart: time.Second, WindowEnd: 3 * time.Second, Bucket: time.Second, Bound: 4})
 	for _, s := range samples {
 		r.Observe(s)
 	}
@@ -48,9 +48,9 @@
 	wrong := sample(1000, 1500, 1600, 1700)
 	wrong.Wrong = true
 	r := recorded(sample(500, 900, 1000, 1100, 2999, 3000), cut, wrong)
-	if r.Delivered != 2 || r.Good != 1.5 || r.Share != 0.5 || r.GoodShare != 0.375 {
+	if r.Delivered != 2 || r.Goodput != 1.5 || r.Share != 0.5 || r.GoodputShare != 0.375 {
 		t.Errorf("delivered %v, good %v, shares %v and %v; want 4 and 3 tokens in 2 s of 4 a second",
-			r.Delivered, r.Good, r.Share, r.GoodShare)
+			r.Delivered, r.Goodput, r.Share, r.GoodputShare)
 	}
 	want := []Point{{0, 1, 1}, {1, 2, 2}, {2, 2, 1}, {3, 1, 1}}
 	if d := cmp.Diff(want, r.Series); d != "" {
@@ -67,11 +67,11 @@
 	if d := cmp.Diff(first, r.FirstToken, roughly); d != "" {
 		t.Errorf("first token: %s", d)
 	}
-	if r.Interval.Count != 2 || !cmp.Equal(r.Interval.Max, 60.0, roughly) {
-		t.Errorf("intervals are %+v, want 40 and 60 ms", r.Interval)
+	if r.TokenInterval.Count != 2 || !cmp.Equal(r.TokenInterval.Max, 60.0, roughly) {
+		t.Errorf("intervals are %+v, want 40 and 60 ms", r.TokenInterval)
 	}
-	if r.Whole.Count != 1 || !cmp.Equal(r.Whole.Max, 200.0, roughly) {
-		t.Errorf("whole answers are %+v, want one of 200 ms", r.Whole)
+	if r.ModelAnswer.Count != 1 || !cmp.Equal(r.ModelAnswer.Max, 200.0, roughly) {
+		t.Errorf("whole answers are %+v, want one of 200 ms", r.ModelAnswer)
 	}
 	if !cmp.Equal(r.SendDelay.Max, 50.0, roughly) {
 		t.Errorf("send delay is %+v, want at most 50 ms", r.SendDelay)
@@ -87,8 +87,8 @@
 	small.Account = 1
 	refused := &load.Sample{Due: at(0), Sent: at(0), Outcome: outcome.NotRun, Reason: outcome.QueueFull, Retries: 2}
 	r := recorded(sample(1000, 1100, 1200), small, refused, &load.Sample{Due: at(0), NotSent: true})
-	if r.Sent != 3 || r.NotSent != 1 || r.Returns != 2 {
-		t.Errorf("%d sent, %d not sent, %d returns", r.Sent, r.NotSent, r.Returns)
+	if r.Sent != 3 || r.NotSent != 1 || r.Retries != 2 {
+		t.Errorf("%d sent, %d not sent, %d returns", r.Sent, r.NotSent, r.Retries)
 	}
 	if d := cmp.Diff(map[outcome.Outcome]int{outcome.Complete: 2, outcome.NotRun: 1}, r.Outcomes); d != "" {
 		t.Error(d)
--- a/loadgen/report/text.go
+++ b/loadgen/report/text.go
@@ -14,14 +14,14 @@
 
 // Text prints the report for people; the series is left out.
 func (r Report) Text(w io.Writer) {
-	fmt.Fprintf(w, "requests      %d sent, %d not sent, %d returns\n", r.Sent, r.NotSent, r.Returns)
+	fmt.Fprintf(w, "requests      %d sent, %d not sent, %d returns\n", r.Sent, r.NotSent, r.Retries)
 	fmt.Fprintf(w, "outcomes      %s, wrong answers %d\n", counts(r.Outcomes), r.Wrong)
 	if len(r.Reasons) > 0 {
 		fmt.Fprintf(w, "reasons       %s\n", counts(r.Reasons))
 	}
-	fmt.Fprintf(w, "delivered     %.1f tokens/s over %.1f s, %.1f of them in complete answers\n", r.Delivered, r.Window, r.Good)
+	fmt.Fprintf(w, "delivered     %.1f tokens/s over %.1f s, %.1f of them in complete answers\n", r.Delivered, r.WindowSeconds, r.Goodput)
 	if r.Bound > 0 {
-		fmt.Fprintf(w, "of the bound  %.3f of %.1f tokens/s, %.3f in complete answers\n", r.Share, r.Bound, r.GoodShare)
+		fmt.Fprintf(w, "of the bound  %.3f of %.1f tokens/s, %.3f in complete answers\n", r.Share, r.Bound, r.GoodputShare)
 	}
 	if r.Recovery != nil {
 		r.Recovery.text(w)
@@ -34,14 +34,14 @@
 
 // text prints the recovery.
 func (o *Recovery) text(w io.Writer) {
-	back := fmt.Sprintf("back after %.2f s", o.Time)
+	back := fmt.Sprintf("back after %.2f s", o.RecoverySeconds)
 	if !o.Recovered {
 		back = "not back before the end"
 	}
 	fmt.Fprintf(w, "recovery      %s at 95%% of %.1f tokens/s, failure at %.2f s, last window below ended %.2f s after it\n",
-		back, o.Target, o.At, o.LastBelow)
+		back, o.TargetRate, o.FailureSeconds, o.LastBelowSeconds)
 	fmt.Fprintf(w, "around it     %.1f tokens/s before, %.1f after, lowest %.1f; windows below: %.2f of those before, %.2f after\n",
-		o.Before, o.After, o.Lowest, o.BelowBefore, o.BelowAfter)
+		o.RateBefore, o.RateAfter, o.LowestRate, o.BelowShareBefore, o.BelowShareAfter)
 	fmt.Fprintf(w, "after it      %d requests cut off, %d not complete\n", o.CutOff, o.NotComplete)
 }
 
@@ -54,9 +54,9 @@
 		Latency
 	}{
 		{"first token", r.FirstToken},
-		{"token interval", r.Interval},
-		{"whole answer", r.Whole},
-		{"plain call", r.Plain},
+		{"token interval", r.TokenInterval},
+		{"whole answer", r.ModelAnswer},
+		{"plain call", r.PlainCall},
 		{"send delay", r.SendDelay},
 	} {
 		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n",
--- a/mimosactl/app/load.go
+++ b/mimosactl/app/load.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	recorder := report.New(report.Options{Start: time.Now(), From: c.Warmup, Until: c.For, Bound: c.Bound})
+	recorder := report.New(report.Options{Start: time.Now(), WindowStart: c.Warmup, WindowEnd: c.For, Bound: c.Bound})
 	settings.Observer = recorder
 	run, err := load.New(settings)
 	if err != nil {
--- a/mimosactl/bench/bench.go
+++ b/mimosactl/bench/bench.go
@@ -134,10 +134,10 @@
 	}
 	start := time.Now()
 	recorder := report.New(report.Options{
-		Start: start,
-		From:  o.Warmup,
-		Until: o.For,
-		Bound: bound * means.Tokens / means.Steps,
+		Start:       start,
+		WindowStart: o.Warmup,
+		WindowEnd:   o.For,
+		Bound:       bound * means.Tokens / means.Steps,
 	})
 	failing, err := f.newFailing(recorder, o.Load*bound, means.Tokens/means.Steps)
 	if err != nil {
--- a/mimosactl/bench/failing.go
+++ b/mimosactl/bench/failing.go
@@ -161,7 +161,7 @@
 func (x *failing) fail() {
 	now := time.Now()
 	x.failed(now)
-	x.recorder.Failed(now, x.target)
+	x.recorder.RecordFailure(now, x.target)
 	switch x.result.Kind {
 	case FailEngine:
 		// Kill fails only for an engine that the set doesn't have.
--- a/mimosactl/bench/failing_test.go
+++ b/mimosactl/bench/failing_test.go
@@ -39,11 +39,11 @@
 		t.Errorf("%d wrong answers, %d not sent of %d", r.Report.Wrong, r.Report.NotSent, r.Report.Sent)
 	}
 	recovery := r.Report.Recovery
-	if recovery == nil || recovery.At < 0.5 || recovery.Target <= 0 {
+	if recovery == nil || recovery.FailureSeconds < 0.5 || recovery.TargetRate <= 0 {
 		t.Fatalf("recovery is %+v", recovery)
 	}
-	if recovery.Recovered && recovery.Time < 0.5 {
-		t.Errorf("recovery time %v is less than its window", recovery.Time)
+	if recovery.Recovered && recovery.RecoverySeconds < 0.5 {
+		t.Errorf("recovery time %v is less than its window", recovery.RecoverySeconds)
 	}
 	if r.Failed == nil || r.Failed.Name == "" || len(r.Failed.HeldUp) == 0 {
 		t.Errorf("failed is %+v", r.Failed)
