--- a/loadgen/client/client.go
+++ b/loadgen/client/client.go
@@ -161,8 +161,8 @@
 	return req
 }
 
-// Plain is one call of a plain service.
-type Plain struct {
+// PlainCall is one call of a plain service.
+type PlainCall struct {
 	Service      ids.Service
 	Method, Path string
 	Body         []byte
@@ -172,7 +172,7 @@
 
 // Plain calls a plain service. A refusal is a Result, not an error; the error
 // is a *TransportError. Ending ctx closes the connection.
-func (c *Client) Plain(ctx context.Context, call Plain) (Result, error) {
+func (c *Client) Plain(ctx context.Context, call PlainCall) (Result, error) {
 	path := servicesPath + string(call.Service) + call.Path
 	req := c.request(call.Method, path, call.Body, call.Key, call.Deadline)
 	defer fasthttp.ReleaseRequest(req)
--- a/loadgen/client/client_test.go
+++ b/loadgen/client/client_test.go
@@ -109,7 +109,7 @@
 
 func TestPlainWithoutOutcomeIsUnknown(t *testing.T) {
 	c, _ := start(t, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("who knows") })
-	result, err := c.Plain(context.Background(), Plain{Service: "s", Method: "GET", Path: "/"})
+	result, err := c.Plain(context.Background(), PlainCall{Service: "s", Method: "GET", Path: "/"})
 	if err != nil || result.Outcome != outcome.Unknown || string(result.Body) != "who knows" {
 		t.Errorf("result %+v, error %v; want unknown", result, err)
 	}
--- a/loadgen/load/load_test.go
+++ b/loadgen/load/load_test.go
@@ -78,7 +78,7 @@
 }
 
 // Plain implements Checker.
-func (f fixedText) Plain(client.Plain, int, []byte) bool { return true }
+func (f fixedText) Plain(client.PlainCall, int, []byte) bool { return true }
 
 // oneRequest sends one model request to a node and gives its sample.
 func oneRequest(t *testing.T, returns int, handle fasthttp.RequestHandler) Sample {
--- a/loadgen/load/mix.go
+++ b/loadgen/load/mix.go
@@ -71,7 +71,7 @@
 	number  int
 	account int
 	chat    *client.Chat
-	plain   *client.Plain
+	plain   *client.PlainCall
 }
 
 // source draws requests.
@@ -129,11 +129,11 @@
 }
 
 // plain makes a call of the plain service.
-func (s *source) plain(number int) *client.Plain {
+func (s *source) plain(number int) *client.PlainCall {
 	if s.random.Float64() >= s.mix.WriteShare {
-		return &client.Plain{Service: s.mix.Plain, Method: "GET", Path: slotsPath}
+		return &client.PlainCall{Service: s.mix.Plain, Method: "GET", Path: slotsPath}
 	}
-	return &client.Plain{
+	return &client.PlainCall{
 		Service: s.mix.Plain,
 		Method:  "POST",
 		Path:    bookingsPath,
--- a/loadgen/load/one.go
+++ b/loadgen/load/one.go
@@ -100,7 +100,7 @@
 }
 
 // plain calls the plain service.
-func (r *Run) plain(ctx context.Context, caller *client.Client, call client.Plain, s *Sample) (client.Result, error) {
+func (r *Run) plain(ctx context.Context, caller *client.Client, call client.PlainCall, s *Sample) (client.Result, error) {
 	call.Deadline = r.settings.Deadline
 	result, err := caller.Plain(ctx, call)
 	if c := r.settings.Checker; c != nil && result.Outcome == outcome.Complete {
--- a/loadgen/load/sample.go
+++ b/loadgen/load/sample.go
@@ -50,5 +50,5 @@
 	// first part of it.
 	Chat(messages []engineapi.Message, maxTokens int, text string, whole bool) bool
 	// Plain checks a complete answer of a plain call.
-	Plain(call client.Plain, status int, body []byte) bool
+	Plain(call client.PlainCall, status int, body []byte) bool
 }
--- a/mimosactl/answers/answers.go
+++ b/mimosactl/answers/answers.go
@@ -29,7 +29,7 @@
 
 // Plain implements load.Checker: a booking has a receipt and was executed
 // once; a reading has an answer.
-func (Checker) Plain(call client.Plain, status int, body []byte) bool {
+func (Checker) Plain(call client.PlainCall, status int, body []byte) bool {
 	if call.Method != fasthttp.MethodPost {
 		return status == fasthttp.StatusOK
 	}
--- a/mimosactl/app/send.go
+++ b/mimosactl/app/send.go
@@ -100,7 +100,7 @@
 // call sends the request and prints the answer as it comes.
 func (c *sendCommand) call(caller *client.Client) (client.Result, error) {
 	if c.Path != "" {
-		return caller.Plain(context.Background(), client.Plain{
+		return caller.Plain(context.Background(), client.PlainCall{
 			Service:  ids.Service(c.Service),
 			Method:   c.Method,
 			Path:     c.Path,
--- a/mimosactl/demo/demo.go
+++ b/mimosactl/demo/demo.go
@@ -174,7 +174,7 @@
 
 // booking sends a call that may run at most once.
 func (d *demo) booking(ctx context.Context) error {
-	result, err := d.client.Plain(ctx, client.Plain{
+	result, err := d.client.Plain(ctx, client.PlainCall{
 		Service: standins.PlainService,
 		Method:  "POST",
 		Path:    "/bookings",
--- a/scenario/lang/request.go
+++ b/scenario/lang/request.go
@@ -117,7 +117,7 @@
 // describe. Options: body, key, account, deadline_ms.
 func plainSender(ts *testscript.TestScript, address string, args []string) func(context.Context) (client.Result, error) {
 	o := options(ts, args[2:], map[string]string{"body": "", "key": "", "account": defaultAccount, "deadline_ms": "0"})
-	plain := client.Plain{
+	plain := client.PlainCall{
 		Service:  plainService,
 		Method:   args[0],
 		Path:     args[1],
