--- a/loadgen/client/answer.go
+++ b/loadgen/client/answer.go
@@ -14,8 +14,8 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// chat reads a streamed answer, or a refusal, and ends the exchange.
-func (x *exchange) chat(onToken func(int, string)) (Result, error) {
+// readChat reads a streamed answer or an error body, and ends the exchange.
+func (x *exchange) readChat(onToken func(int, string)) (Result, error) {
 	result := Result{
 		Status:  x.resp.StatusCode(),
 		Outcome: outcome.Unknown,
@@ -27,7 +27,7 @@
 		if err != nil {
 			return result, &TransportError{Cause: err}
 		}
-		result.refused(body)
+		result.setError(body)
 		return result, nil
 	}
 	err := result.readStream(x.resp.BodyStream(), onToken)
@@ -35,8 +35,11 @@
 	return result, err
 }
 
-// plain reads a plain service's answer, or a refusal, and ends the exchange.
-func (x *exchange) plain() (Result, error) {
+// readPlain reads a plain service's answer or an error body, and ends the
+// exchange.
+// An answer that names no outcome, in its header or its body, has the outcome
+// unknown.
+func (x *exchange) readPlain() (Result, error) {
 	result := Result{
 		Status:  x.resp.StatusCode(),
 		Outcome: outcome.Outcome(x.resp.Header.Peek(outcomeHeader)),
@@ -53,12 +56,12 @@
 		result.Outcome = outcome.Unknown
 	}
 	if result.Outcome != outcome.Complete {
-		result.refused(body)
+		result.setError(body)
 	}
 	return result, nil
 }
 
-// errorBody is the body of a refusal or failure.
+// errorBody is the JSON body of a refused or failed request.
 type errorBody struct {
 	Error *struct {
 		Outcome      outcome.Outcome `json:"outcome"`
@@ -69,9 +72,9 @@
 	} `json:"error"`
 }
 
-// refused takes in the body of a refusal or failure; one that does not parse
-// leaves the outcome unknown.
-func (r *Result) refused(body []byte) {
+// setError copies the fields of an error body to the result. A body that can't
+// be parsed leaves the result unchanged.
+func (r *Result) setError(body []byte) {
 	var e errorBody
 	if err := json.Unmarshal(body, &e); err != nil || e.Error == nil {
 		return
@@ -85,7 +88,7 @@
 	r.RetryAfter = time.Duration(e.Error.RetryAfterMs) * time.Millisecond
 }
 
-// chunkBody is one event of a streamed answer.
+// chunkBody is the JSON data of one server-sent event of a streamed answer.
 type chunkBody struct {
 	errorBody
 	Choices []struct {
@@ -99,11 +102,12 @@
 	} `json:"mimosa"`
 }
 
-// CutOffError tells that a stream ended without its end marker.
+// CutOffError reports that a stream ended without its end marker.
 type CutOffError struct {
-	// Tokens came before.
+	// Tokens is the number of tokens received before the end.
 	Tokens int
-	// Cause is the failure of the connection; nil when the body just ended.
+	// Cause is the read error of the connection; nil when the body ended
+	// without one.
 	Cause error
 }
 
@@ -116,13 +120,14 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause, which may be nil.
 func (e *CutOffError) Unwrap() error { return e.Cause }
 
-// readStream reads events until the end marker or a failure.
+// readStream reads server-sent events until the end marker, an error event or
+// the end of the body. The last is a *TransportError with a *CutOffError.
 func (r *Result) readStream(body io.Reader, onToken func(int, string)) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	var text bytes.Buffer
 	defer func() { r.Text = text.String() }()
 	for lines.Scan() {
@@ -134,21 +139,23 @@
 			r.Outcome = outcome.Complete
 			return nil
 		}
-		if r.event(data, &text, onToken) {
+		if r.handleEvent(data, &text, onToken) {
 			return nil
 		}
 	}
 	return &TransportError{Cause: &CutOffError{Tokens: r.Tokens, Cause: lines.Err()}}
 }
 
-// event takes in one event; it reports whether it was a failure, the last.
-func (r *Result) event(data []byte, text *bytes.Buffer, onToken func(int, string)) bool {
+// handleEvent adds one event's tokens to the result. It reports whether the
+// event was an error, after which no more events follow. An event that can't
+// be parsed is ignored.
+func (r *Result) handleEvent(data []byte, text *bytes.Buffer, onToken func(int, string)) bool {
 	var chunk chunkBody
 	if err := json.Unmarshal(data, &chunk); err != nil {
 		return false
 	}
 	if chunk.Error != nil {
-		r.refused(data)
+		r.setError(data)
 		return true
 	}
 	for _, choice := range chunk.Choices {
--- a/loadgen/client/client.go
+++ b/loadgen/client/client.go
@@ -1,6 +1,5 @@
 // Package client sends requests to a node as a caller does: chat completions
-// with streamed answers, and calls of plain services. It repeats nothing by
-// itself.
+// with streamed answers, and calls of plain services. It never retries.
 package client
 
 import (
@@ -16,7 +15,8 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// Paths and headers of the callers' protocol.
+// Paths, headers, event syntax and limits of the protocol between callers and
+// nodes. maxLineBytes bounds one line of an event stream.
 const (
 	chatPath       = "/v1/chat/completions"
 	servicesPath   = "/v1/services/"
@@ -27,29 +27,31 @@
 	dataField      = "data: "
 	doneData       = "[DONE]"
 	maxConnections = 8192
-	maxLine        = 1 << 20
+	maxLineBytes   = 1 << 20
 )
 
-// Options say where requests go and for whom.
+// Options configure a Client.
 type Options struct {
 	// Address is a node's IP address and port for callers.
 	Address string
-	// Key is the client account's bearer key; empty sends none.
+	// Key is the client account's bearer key; if empty, requests have no
+	// Authorization header.
 	Key string
-	// Timeout bounds one request. Default 60s.
+	// Timeout bounds opening a connection, and again the time from then to the
+	// end of the answer. Default 60s.
 	Timeout time.Duration
 }
 
-// defaultTimeout bounds a request whose options name no timeout.
+// defaultTimeout is the default of Options.Timeout.
 const defaultTimeout = time.Minute
 
-// Client sends requests to one node. Any goroutine may call any method.
+// Client sends requests to one node. Its methods are safe for concurrent use.
 type Client struct {
 	options Options
 	host    *fasthttp.HostClient
 }
 
-// New makes a Client; it opens no connection yet.
+// New returns a Client. It opens no connection.
 func New(o Options) *Client {
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -63,7 +65,7 @@
 	}
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Requests in flight go on.
 func (c *Client) Close() { c.host.CloseIdleConnections() }
 
 // Chat is one model request.
@@ -72,45 +74,50 @@
 	Messages  []engineapi.Message
 	MaxTokens int
 	Priority  int
-	// Key is the idempotency key; empty sends none.
+	// Key is the idempotency key; if empty, the request has none.
 	Key string
-	// Deadline is the time remaining that the node is told; 0 tells none.
+	// Deadline is the remaining time that is sent to the node, in whole
+	// milliseconds; 0 sends none. The client itself doesn't enforce it.
 	Deadline time.Duration
-	// OnToken is told each token as it comes; nil means not told. It is
-	// called from the goroutine of Chat.
+	// OnToken is called with each token as it arrives, in the goroutine of
+	// Client.Chat. It may be nil.
 	OnToken func(index int, text string)
 }
 
-// Result is what became of a request.
+// Result is the result of a request, as far as the caller knows it.
 type Result struct {
-	// Status is the HTTP status; 0 when no answer came.
-	Status  int
+	// Status is the HTTP status; 0 if no answer came.
+	Status int
+	// Outcome, Reason and Message are those that the node reported. Without a
+	// readable answer the client sets Outcome to what it knows itself.
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
 	Message string
+	// Request is the node's ID of the request; may be empty.
 	Request ids.Request
-	// Tokens counts those received; Text is all of them.
+	// Tokens is the number of tokens received, and Text their concatenation.
 	Tokens int
 	Text   string
 	// Body is a plain service's answer.
 	Body []byte
-	// RetryAfter is when to come back; 0 means no advice.
+	// RetryAfter is how long the node asks the caller to wait before a retry;
+	// 0 if it gave no time.
 	RetryAfter time.Duration
 }
 
-// TransportError tells that no whole answer came back. What is known of the
-// request is the outcome of the Result beside it.
+// TransportError reports that no complete answer was received. Whether the
+// request may have run is in the Outcome of the Result returned with it.
 type TransportError struct{ Cause error }
 
 // Error implements error.
-func (e *TransportError) Error() string { return "no whole answer: " + e.Cause.Error() }
+func (e *TransportError) Error() string { return "no complete answer: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *TransportError) Unwrap() error { return e.Cause }
 
-// Chat sends a model request and reads its whole answer. A refusal is a
-// Result, not an error; the error is a *TransportError. Ending ctx closes the
-// connection.
+// Chat sends a model request and reads its answer to the end. A refusal is a
+// Result, not an error; the error is a *TransportError. Cancelling ctx closes
+// the connection.
 func (c *Client) Chat(ctx context.Context, chat Chat) (Result, error) {
 	body, err := json.Marshal(chatBody{
 		Model:     chat.Model,
@@ -122,16 +129,16 @@
 	if err != nil {
 		return Result{}, &TransportError{Cause: err}
 	}
-	req := c.request(fasthttp.MethodPost, chatPath, body, chat.Key, chat.Deadline)
+	req := c.newRequest(fasthttp.MethodPost, chatPath, body, chat.Key, chat.Deadline)
 	defer fasthttp.ReleaseRequest(req)
 	x, result, err := c.begin(ctx, req)
 	if err != nil {
 		return result, err
 	}
-	return x.chat(chat.OnToken)
+	return x.readChat(chat.OnToken)
 }
 
-// chatBody is the body of a model request.
+// chatBody is the JSON body of a model request.
 type chatBody struct {
 	Model     ids.Service         `json:"model"`
 	Messages  []engineapi.Message `json:"messages"`
@@ -140,8 +147,9 @@
 	Stream    bool                `json:"stream"`
 }
 
-// request makes a request with the account's key.
-func (c *Client) request(method, path string, body []byte, key string, deadline time.Duration) *fasthttp.Request {
+// newRequest builds an HTTP request with the account's bearer key. The caller must
+// release it.
+func (c *Client) newRequest(method, path string, body []byte, key string, deadline time.Duration) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + c.options.Address + path)
@@ -163,22 +171,24 @@
 
 // PlainCall is one call of a plain service.
 type PlainCall struct {
-	Service      ids.Service
+	Service ids.Service
+	// Path is the path below the service, with its leading slash.
 	Method, Path string
 	Body         []byte
-	Key          string
-	Deadline     time.Duration
+	// Key and Deadline are as in Chat.
+	Key      string
+	Deadline time.Duration
 }
 
 // Plain calls a plain service. A refusal is a Result, not an error; the error
-// is a *TransportError. Ending ctx closes the connection.
+// is a *TransportError. Cancelling ctx closes the connection.
 func (c *Client) Plain(ctx context.Context, call PlainCall) (Result, error) {
 	path := servicesPath + string(call.Service) + call.Path
-	req := c.request(call.Method, path, call.Body, call.Key, call.Deadline)
+	req := c.newRequest(call.Method, path, call.Body, call.Key, call.Deadline)
 	defer fasthttp.ReleaseRequest(req)
 	x, result, err := c.begin(ctx, req)
 	if err != nil {
 		return result, err
 	}
-	return x.plain()
+	return x.readPlain()
 }
--- a/loadgen/client/client_test.go
+++ b/loadgen/client/client_test.go
@@ -14,8 +14,8 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// start serves a handler as a node, counts its connections and gives a client
-// of it.
+// start serves a handler in place of a node. It returns a client of it and the
+// count of connections opened.
 func start(t *testing.T, handle fasthttp.RequestHandler) (*Client, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,10 +40,11 @@
 	return c, &opened
 }
 
-// token is an event with one token.
+// token is a server-sent event with one token.
 const token = `data: {"choices":[{"delta":{"content":"a "}}]}` + "\n\n"
 
-// stream answers with a token, waits for go on, and ends with tail.
+// stream returns a handler that sends one token, waits for goOn, and ends the
+// body with tail.
 func stream(goOn <-chan struct{}, tail string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// closed gives a closed channel.
+// closed returns a closed channel.
 func closed() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
--- a/loadgen/client/exchange.go
+++ b/loadgen/client/exchange.go
@@ -13,24 +13,27 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// past is a deadline that ends all reading and writing at once.
-var past = time.Unix(1, 0)
+// pastDeadline lies in the past, so that reads and writes on a connection with
+// this deadline fail at once.
+var pastDeadline = time.Unix(1, 0)
 
-// exchange is one request and its answer on a connection of its own until it
-// ends. One goroutine uses it.
+// exchange is one request and its answer. It has a connection to itself until
+// end returns the connection to the pool. It is not safe for concurrent use.
 type exchange struct {
 	host   *fasthttp.HostClient
 	pooled interface{ Conn() net.Conn }
 	reader *bufio.Reader
 	resp   *fasthttp.Response
-	// stop ends the watch on the context; it tells whether that came first.
-	stop func() bool
-	// release gives the connection back, or closes it.
-	release func(whole bool)
+	// stopWatch stops watching the context. It reports whether the context was
+	// still uncancelled.
+	stopWatch func() bool
+	// release returns the connection to the pool if reusable, else closes it.
+	release func(reusable bool)
 }
 
-// begin sends a request and reads the head of its answer. The Result beside
-// an error, a *TransportError, has what is known of the request.
+// begin sends a request and reads the head of its answer. The error is a
+// *TransportError. With an error, the Result's outcome is not-run if no
+// connection could be opened, else unknown.
 func (c *Client) begin(ctx context.Context, req *fasthttp.Request) (*exchange, Result, error) {
 	pooled, err := c.host.AcquireConn(c.options.Timeout, false)
 	if err != nil {
@@ -38,17 +41,17 @@
 		return nil, result, &TransportError{Cause: err}
 	}
 	conn := pooled.Conn()
-	// A connection that can't take a deadline fails in writing.
+	// A connection that can't take a deadline fails on the first write.
 	_ = conn.SetDeadline(time.Now().Add(c.options.Timeout))
 	x := &exchange{
-		host:   c.host,
-		pooled: pooled,
-		reader: c.host.AcquireReader(conn),
-		resp:   fasthttp.AcquireResponse(),
-		stop:   context.AfterFunc(ctx, func() { _ = conn.SetDeadline(past) }),
+		host:      c.host,
+		pooled:    pooled,
+		reader:    c.host.AcquireReader(conn),
+		resp:      fasthttp.AcquireResponse(),
+		stopWatch: context.AfterFunc(ctx, func() { _ = conn.SetDeadline(pastDeadline) }),
 	}
-	x.release = func(whole bool) {
-		if !whole {
+	x.release = func(reusable bool) {
+		if !reusable {
 			c.host.CloseConn(pooled)
 			return
 		}
@@ -62,7 +65,8 @@
 	return x, Result{}, nil
 }
 
-// roundTrip writes the request and reads the head of its answer.
+// roundTrip writes the request and reads the head of its answer. The body is
+// read later as a stream.
 func (x *exchange) roundTrip(req *fasthttp.Request) error {
 	w := x.host.AcquireWriter(x.pooled.Conn())
 	defer x.host.ReleaseWriter(w)
@@ -77,24 +81,27 @@
 	return x.resp.ReadLimitBody(x.reader, 0)
 }
 
-// end ends the exchange; whole tells that the answer's body was read to its
-// end, so that the connection may be used again.
-func (x *exchange) end(whole bool) {
-	undisturbed := x.stop()
-	whole = whole && undisturbed && !x.resp.ConnectionClose() && x.reader.Buffered() == 0
-	if !whole {
-		// Closed first, so that closing the body does not wait for the rest.
+// end releases the exchange's buffers and its connection. The connection is
+// reused only if the caller read the body to its end and passes reusable, the
+// context was not cancelled, the node keeps the connection open and no bytes
+// are left to read.
+func (x *exchange) end(reusable bool) {
+	uncancelled := x.stopWatch()
+	reusable = reusable && uncancelled && !x.resp.ConnectionClose() && x.reader.Buffered() == 0
+	if !reusable {
+		// The connection is closed before the body, because closing the body
+		// would otherwise wait for the rest of it.
 		x.release(false)
 	}
 	_ = x.resp.CloseBodyStream()
 	fasthttp.ReleaseResponse(x.resp)
 	x.host.ReleaseReader(x.reader)
-	if whole {
+	if reusable {
 		x.release(true)
 	}
 }
 
-// body reads the whole body.
+// body reads the whole body of the answer.
 func (x *exchange) body() ([]byte, error) {
 	if x.resp.BodyStream() == nil {
 		return bytes.Clone(x.resp.Body()), nil
@@ -102,8 +109,8 @@
 	return io.ReadAll(x.resp.BodyStream())
 }
 
-// drain reads what is left of a streamed body; it reports whether that was
-// read to its end.
+// drain reads and discards the rest of a streamed body. It reports whether it
+// reached the end without an error.
 func (x *exchange) drain() bool {
 	_, err := io.Copy(io.Discard, x.resp.BodyStream())
 	return err == nil
