--- a/adapter/relay/relay.go
+++ b/adapter/relay/relay.go
@@ -124,8 +124,9 @@
 	Disconnected bool `json:"lost,omitempty"`
 }
 
-// RecordAge sets the age and hops of the update to the highest of its parts. age is the
-// time since the store last answered for one part, and hops its distance from the store.
+// RecordAge raises the age and hops of the update to those of one of its parts, so that
+// they are the highest of all parts. age is the time since the store last answered for
+// the part, and hops the number of nodes on its way from the store.
 func (u *Update) RecordAge(age time.Duration, hops int) {
 	u.AgeMs = max(u.AgeMs, age.Milliseconds())
 	u.Hops = max(u.Hops, hops)
@@ -149,7 +150,7 @@
 			return err
 		}
 		if err := conn.SetDeadline(time.Now().Add(MaxWait + callTimeout)); err != nil {
-			_ = conn.Close() // it carried nothing
+			_ = conn.Close() // nothing was sent on it
 			continue
 		}
 		stream := jsonrpc2.NewBufferedStream(conn, jsonrpc2.VarintObjectCodec{})
@@ -233,7 +234,7 @@
 	if err != nil {
 		return err
 	}
-	timed := &readTimeoutConn{Conn: conn, timeout: timeout - callTimeout + roster.PeerReadTimeout}
+	timed := &readTimeoutConn{Conn: conn, readTimeout: timeout - callTimeout + roster.PeerReadTimeout}
 	stream := jsonrpc2.NewBufferedStream(timed, jsonrpc2.VarintObjectCodec{})
 	rpc := jsonrpc2.NewConn(callCtx, stream, jsonrpc2.HandlerWithError(handler(emptySource{})), jsonrpc2.SetLogger(discardLogger))
 	defer rpc.Close()
@@ -244,17 +245,17 @@
 // soon, while a peer that is still sending a large answer does not.
 type readTimeoutConn struct {
 	net.Conn
-	// timeout is the maximum wait of the next read.
-	timeout time.Duration
+	// readTimeout is the maximum wait of the next read.
+	readTimeout time.Duration
 }
 
 // Read implements net.Conn.
 func (c *readTimeoutConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.timeout = roster.PeerReadTimeout
+	c.readTimeout = roster.PeerReadTimeout
 	return n, err
 }
 
