--- a/loadgen/load/load.go
+++ b/loadgen/load/load.go
@@ -1,5 +1,6 @@
-// Package load sends requests to nodes by a schedule, or with a fixed count of
-// callers, checks every answer, and tells an observer what became of each.
+// Package load generates load: it sends requests to nodes at scheduled times
+// (open loop) or from a fixed number of callers (closed loop), checks the
+// answers, and passes a Sample of each request to an Observer.
 package load
 
 import (
@@ -19,37 +20,41 @@
 	DefaultTimeout     = time.Minute
 )
 
-// Settings of a run. Zero fields take the defaults.
+// Settings configure a run. Zero fields take the defaults.
 type Settings struct {
-	// Nodes are the addresses requests go to in rotation. Required.
+	// Nodes are the addresses that requests are sent to, round robin.
+	// Required.
 	Nodes []string
 	Mix   Mix
-	// Schedule says when requests are sent. With Callers its rate and shape
-	// are not used.
+	// Schedule sets when requests are sent. With Callers only its duration is
+	// used.
 	Schedule Schedule
-	// Callers, above 0, is the count of callers who each send a request when
-	// the last one has ended (closed loop).
+	// Callers, if above 0, selects the closed loop: this many callers each
+	// send their next request as soon as the last one has ended.
 	Callers int
-	// Seed of all that is drawn.
+	// Seed is the seed of all random numbers of the run.
 	Seed uint64
-	// MaxInFlight is the most requests in flight. Default 4096. One that
-	// comes due beyond it is not sent, and observed as such.
+	// MaxInFlight bounds the requests in flight in the open loop. A request
+	// that is due beyond it is not sent; the Observer gets a Sample with
+	// NotSent. Default 4096.
 	MaxInFlight int
-	// Timeout bounds each try of a request, also after the schedule's end.
-	// Default 60s.
+	// Timeout bounds each attempt of a request, also beyond the end of the
+	// schedule. Default 60s.
 	Timeout time.Duration
-	// Deadline is told to nodes; 0 tells none.
+	// Deadline is the remaining time that requests name to the node; 0 names
+	// none.
 	Deadline time.Duration
-	// MaxRetries is how often a caller who is refused with advice when to come
-	// back does so. Default 0: never.
+	// MaxRetries is how often a request that was not run is retried after the
+	// time that the node named. A refusal without such a time is not retried.
+	// Default 0.
 	MaxRetries int
-	// Checker checks answers; nil checks nothing.
+	// Checker checks answers. If nil, no answer counts as wrong.
 	Checker Checker
-	// Observer is told of each request. Required.
+	// Observer receives a Sample of each request. Required.
 	Observer Observer
 }
 
-// SettingError tells that a setting can't be used.
+// SettingError reports a setting with an invalid value.
 type SettingError struct{ Setting, Expected string }
 
 // Error implements error.
@@ -57,17 +62,18 @@
 	return fmt.Sprintf("load: %s: expected %s", e.Setting, e.Expected)
 }
 
-// check checks the settings and fills in defaults.
-func (s Settings) check() (Settings, error) {
+// validate checks the settings and fills in defaults. The error is a
+// *SettingError.
+func (s Settings) validate() (Settings, error) {
 	switch {
 	case len(s.Nodes) == 0:
 		return s, &SettingError{Setting: "nodes", Expected: "at least one address"}
 	case s.Schedule.Duration <= 0:
-		return s, &SettingError{Setting: "for", Expected: "a time above 0"}
+		return s, &SettingError{Setting: "for", Expected: "a duration above 0"}
 	case s.Callers <= 0 && s.Schedule.Rate <= 0:
 		return s, &SettingError{Setting: "rate", Expected: "a rate above 0, or callers"}
 	case s.Observer == nil:
-		return s, &SettingError{Setting: "observer", Expected: "one"}
+		return s, &SettingError{Setting: "observer", Expected: "an observer"}
 	}
 	if s.MaxInFlight <= 0 {
 		s.MaxInFlight = DefaultMaxInFlight
@@ -78,19 +84,22 @@
 	return s, nil
 }
 
-// Run is one run of load. Make it with New.
+// Run is one run of the load generator. Create it with New.
 type Run struct {
 	settings Settings
-	// clients are by node, then by account.
+	// clients are indexed by node, then by account.
 	clients [][]*client.Client
-	turn    atomic.Uint64
-	began   atomic.Pointer[time.Time]
+	// nextNode counts attempts; modulo the number of nodes it is the index of
+	// the next node.
+	nextNode atomic.Uint64
+	// started is nil until Do is called.
+	started atomic.Pointer[time.Time]
 	counts  counts
 }
 
-// New makes a run. The error is a *SettingError.
+// New returns a run that has not started. The error is a *SettingError.
 func New(s Settings) (*Run, error) {
-	s, err := s.check()
+	s, err := s.validate()
 	if err != nil {
 		return nil, err
 	}
@@ -108,12 +117,12 @@
 	return r, nil
 }
 
-// Do runs to the end and returns when every request has ended. When ctx ends
-// it starts no more requests, and cuts the streams that have begun. It may be
-// called once.
+// Do sends requests until the end of the schedule and returns when every request
+// has ended. When ctx is cancelled it starts no more requests and closes the
+// connections of those in flight. It must be called only once.
 func (r *Run) Do(ctx context.Context) {
 	start := time.Now()
-	r.began.Store(&start)
+	r.started.Store(&start)
 	if r.settings.Callers > 0 {
 		r.closedLoop(ctx, start)
 	} else {
@@ -126,35 +135,36 @@
 	}
 }
 
-// openLoop sends requests when the schedule wants, whatever became of earlier
-// ones.
+// openLoop sends requests at their scheduled times, whether or not earlier ones
+// have ended.
 func (r *Run) openLoop(ctx context.Context, start time.Time) {
 	s := r.settings
 	pool := pond.NewPool(s.MaxInFlight, pond.WithQueueSize(0), pond.WithNonBlocking(true))
 	defer pool.StopAndWait()
 	items := newSource(s.Mix, s.Seed)
-	due := &arrivals{schedule: s.Schedule, random: newRandom(s.Seed, arrivalStream)}
+	schedule := &arrivals{schedule: s.Schedule, random: newRandom(s.Seed, arrivalStream)}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		after, ok := due.next()
+		offset, ok := schedule.next()
 		if !ok {
 			return
 		}
-		at, it := start.Add(after), items.next()
-		timer.Reset(time.Until(at))
+		due, it := start.Add(offset), items.next()
+		timer.Reset(time.Until(due))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		if err := pool.Go(func() { r.one(ctx, it, at) }); err != nil {
-			r.notSent(at)
+		if err := pool.Go(func() { r.send(ctx, it, due) }); err != nil {
+			r.observeNotSent(due)
 		}
 	}
 }
 
-// closedLoop lets each caller send one request after the other.
+// closedLoop runs the callers, each of which sends one request after the other.
+// A request that is in flight at the end of the schedule runs to its end.
 func (r *Run) closedLoop(ctx context.Context, start time.Time) {
 	s := r.settings
 	pool := pond.NewPool(s.Callers)
@@ -166,7 +176,7 @@
 		items := newSource(mix, s.Seed+uint64(i))
 		pool.Submit(func() {
 			for ctx.Err() == nil && time.Now().Before(end) {
-				r.one(ctx, items.next(), time.Now())
+				r.send(ctx, items.next(), time.Now())
 			}
 		})
 	}
--- a/loadgen/load/load_test.go
+++ b/loadgen/load/load_test.go
@@ -17,7 +17,7 @@
 	"mimosaarch.example/loadgen/client"
 )
 
-// startNode serves a handler as a node and gives its address.
+// startNode serves a handler in place of a node and returns its address.
 func startNode(t *testing.T, handle fasthttp.RequestHandler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,31 +29,33 @@
 	return listener.Addr().String()
 }
 
-// streams answers with tokens, and with the end marker if whole.
-func streams(whole bool, tokens ...string) fasthttp.RequestHandler {
+// streamTokens returns a handler that streams tokens, and the end marker if
+// complete.
+func streamTokens(complete bool, tokens ...string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 			for _, token := range tokens {
 				_, _ = w.WriteString(`data: {"choices":[{"delta":{"content":"` + token + `"}}]}` + "\n\n")
 			}
-			if whole {
+			if complete {
 				_, _ = w.WriteString("data: [DONE]\n\n")
 			}
 		})
 	}
 }
 
-// refuses answers that a request was not run.
-func refuses(ctx *fasthttp.RequestCtx) {
+// refuse answers that the request was not run and may be retried after 1 ms.
+func refuse(ctx *fasthttp.RequestCtx) {
 	ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
 	ctx.SetBodyString(`{"error":{"outcome":"not_run","reason":"queue_full","retry_after_ms":1}}`)
 }
 
-// recorder keeps samples.
+// recorder keeps the samples that it observes.
 type recorder struct {
 	mu      sync.Mutex
 	samples []Sample
-	done    chan struct{}
+	// observed receives a value for each sample; nil sends none.
+	observed chan struct{}
 }
 
 // Observe implements Observer.
@@ -61,17 +63,17 @@
 	r.mu.Lock()
 	r.samples = append(r.samples, *s)
 	r.mu.Unlock()
-	if r.done != nil {
-		r.done <- struct{}{}
+	if r.observed != nil {
+		r.observed <- struct{}{}
 	}
 }
 
-// fixedText is a Checker that expects one text.
+// fixedText is a Checker that expects the same text of every model request.
 type fixedText string
 
 // Chat implements Checker.
-func (f fixedText) Chat(_ []engineapi.Message, _ int, text string, whole bool) bool {
-	if whole {
+func (f fixedText) Chat(_ []engineapi.Message, _ int, text string, complete bool) bool {
+	if complete {
 		return text == string(f)
 	}
 	return strings.HasPrefix(string(f), text)
@@ -80,8 +82,9 @@
 // Plain implements Checker.
 func (f fixedText) Plain(client.PlainCall, int, []byte) bool { return true }
 
-// oneRequest sends one model request to a node and gives its sample.
-func oneRequest(t *testing.T, returns int, handle fasthttp.RequestHandler) Sample {
+// sendOne sends one model request, with retries, to a node that answers with
+// handle. It returns the request's sample.
+func sendOne(t *testing.T, maxRetries int, handle fasthttp.RequestHandler) Sample {
 	t.Helper()
 	seen := &recorder{}
 	run, err := New(Settings{
@@ -89,14 +92,14 @@
 		Mix:        Mix{Model: "drafts", MaxTokens: Sizes{Min: 2, Max: 2}},
 		Schedule:   Schedule{Rate: 1, Duration: time.Second},
 		Timeout:    5 * time.Second,
-		MaxRetries: returns,
+		MaxRetries: maxRetries,
 		Checker:    fixedText("a b "),
 		Observer:   seen,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	run.one(context.Background(), newSource(run.settings.Mix, 1).next(), time.Now())
+	run.send(context.Background(), newSource(run.settings.Mix, 1).next(), time.Now())
 	if len(seen.samples) != 1 {
 		t.Fatalf("%d samples of one request", len(seen.samples))
 	}
@@ -111,15 +114,15 @@
 		wrong    bool
 		complete bool
 	}{
-		"whole":              {streams(true, "a ", "b "), outcome.Complete, "", false, true},
-		"wrong text":         {streams(true, "a ", "x "), outcome.Complete, "", true, false},
-		"cut, said complete": {streams(true, "a "), outcome.Complete, "", true, false},
-		"cut":                {streams(false, "a "), outcome.Unknown, CutOff, false, false},
-		"cut and wrong":      {streams(false, "x "), outcome.Unknown, CutOff, true, false},
-		"refused":            {refuses, outcome.NotRun, outcome.QueueFull, false, false},
+		"whole":              {streamTokens(true, "a ", "b "), outcome.Complete, "", false, true},
+		"wrong text":         {streamTokens(true, "a ", "x "), outcome.Complete, "", true, false},
+		"cut, said complete": {streamTokens(true, "a "), outcome.Complete, "", true, false},
+		"cut":                {streamTokens(false, "a "), outcome.Unknown, CutOff, false, false},
+		"cut and wrong":      {streamTokens(false, "x "), outcome.Unknown, CutOff, true, false},
+		"refused":            {refuse, outcome.NotRun, outcome.QueueFull, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := oneRequest(t, 0, c.handle)
+			s := sendOne(t, 0, c.handle)
 			if s.Outcome != c.outcome || s.Reason != c.reason || s.Wrong != c.wrong || s.Complete() != c.complete {
 				t.Errorf("outcome %q, reason %q, wrong %v, complete %v; want %+v", s.Outcome, s.Reason, s.Wrong, s.Complete(), c)
 			}
@@ -130,33 +133,33 @@
 func TestRefusedCallerComesBack(t *testing.T) {
 	var calls int
 	var mu sync.Mutex
-	twice := func(ctx *fasthttp.RequestCtx) {
+	refuseTwice := func(ctx *fasthttp.RequestCtx) {
 		mu.Lock()
 		defer mu.Unlock()
 		calls++
 		if calls <= 2 {
-			refuses(ctx)
+			refuse(ctx)
 			return
 		}
-		streams(true, "a ", "b ")(ctx)
+		streamTokens(true, "a ", "b ")(ctx)
 	}
-	if s := oneRequest(t, 5, twice); !s.Complete() || s.Retries != 2 || len(s.Tokens) != 2 {
+	if s := sendOne(t, 5, refuseTwice); !s.Complete() || s.Retries != 2 || len(s.Tokens) != 2 {
 		t.Errorf("sample is %+v, want complete after 2 returns", s)
 	}
-	if s := oneRequest(t, 1, refuses); s.Outcome != outcome.NotRun || s.Retries != 1 {
+	if s := sendOne(t, 1, refuse); s.Outcome != outcome.NotRun || s.Retries != 1 {
 		t.Errorf("sample is %+v, want not run after 1 return", s)
 	}
 }
 
 func TestOpenLoopGoesOnWhenNodesHang(t *testing.T) {
 	release := make(chan struct{})
-	hangs := func(ctx *fasthttp.RequestCtx) {
+	hang := func(ctx *fasthttp.RequestCtx) {
 		<-release
-		streams(true, "a ", "b ")(ctx)
+		streamTokens(true, "a ", "b ")(ctx)
 	}
-	seen := &recorder{done: make(chan struct{}, 1000)}
+	seen := &recorder{observed: make(chan struct{}, 1000)}
 	run, err := New(Settings{
-		Nodes:       []string{startNode(t, hangs)},
+		Nodes:       []string{startNode(t, hang)},
 		Mix:         Mix{Model: "drafts"},
 		Schedule:    Schedule{Rate: 1000, Duration: 100 * time.Millisecond},
 		Seed:        1,
@@ -166,14 +169,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	due := len(drawn(run.settings.Schedule, 1))
+	due := len(allArrivals(run.settings.Schedule, 1))
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		run.Do(context.Background())
 	}()
 	for range due - 3 {
-		<-seen.done
+		<-seen.observed
 	}
 	if p := run.Progress(); p.NotSent != int64(due-3) || p.InFlight != 3 {
 		t.Errorf("progress is %+v, want 3 in flight and %d not sent", p, due-3)
@@ -191,7 +194,7 @@
 	inFlight, most, calls := 0, 0, 0
 	full := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	counts := func(c *fasthttp.RequestCtx) {
+	countAndRefuse := func(c *fasthttp.RequestCtx) {
 		mu.Lock()
 		inFlight++
 		calls++
@@ -204,14 +207,14 @@
 		}
 		mu.Unlock()
 		<-full
-		refuses(c)
+		refuse(c)
 		mu.Lock()
 		inFlight--
 		mu.Unlock()
 	}
 	seen := &recorder{}
 	run, err := New(Settings{
-		Nodes:    []string{startNode(t, counts)},
+		Nodes:    []string{startNode(t, countAndRefuse)},
 		Mix:      Mix{Model: "drafts"},
 		Schedule: Schedule{Duration: time.Hour},
 		Callers:  callers,
@@ -226,7 +229,8 @@
 	if most != callers {
 		t.Errorf("%d requests at once, want %d", most, callers)
 	}
-	// The calls that the end of ctx cut may not have reached the node.
+	// Requests that the cancellation of ctx cut off may not have reached the
+	// node.
 	sent := len(seen.samples)
 	if p := run.Progress(); p.InFlight != 0 || p.Sent != int64(sent) || sent < calls || sent >= calls+callers {
 		t.Errorf("%d samples of %d calls, progress %+v", sent, calls, p)
--- a/loadgen/load/mix.go
+++ b/loadgen/load/mix.go
@@ -12,15 +12,15 @@
 	"mimosaarch.example/loadgen/client"
 )
 
-// Sizes is a distribution of whole numbers from Min to Max. With a Mean it is
-// exponential above Min and cut at Max, with a long tail; without one it is
-// uniform.
+// Sizes is a distribution of whole numbers from Min to Max. With a Mean above
+// Min it is Min plus an exponential distribution, and larger numbers count as
+// Max; otherwise it is uniform.
 type Sizes struct {
 	Min, Max int
 	Mean     float64
 }
 
-// draw draws a number.
+// draw returns a random number of the distribution.
 func (s Sizes) draw(random *rand.Rand) int {
 	if s.Max <= s.Min {
 		return s.Min
@@ -34,29 +34,34 @@
 
 // Account is one client account that sends requests.
 type Account struct {
-	// Key is its bearer key; empty sends none.
+	// Key is its bearer key; if empty, its requests have none.
 	Key string
-	// Weight is its share of the requests.
+	// Weight is its share of the requests, relative to the weights of the
+	// other accounts. Weights below 1 count as 1.
 	Weight int
 }
 
-// Mix says what is sent. The same Mix and seed give the same requests.
+// Mix describes the requests of a run. The same Mix and seed generate the same
+// requests.
 type Mix struct {
 	// Model and Plain are the services called.
 	Model, Plain ids.Service
-	// PlainShare is the part of requests that call the plain service, 0 to 1.
+	// PlainShare is the share of requests that call the plain service, 0 to 1.
 	PlainShare float64
-	// WriteShare is the part of plain calls that book (POST), 0 to 1; the
-	// others read the timetable.
+	// WriteShare is the share of plain calls that are writes (POST of a
+	// booking), 0 to 1; the others read the free slots.
 	WriteShare float64
-	// KeyedShare is the part of model requests with an idempotency key, 0 to
+	// KeyedShare is the share of model requests with an idempotency key, 0 to
 	// 1. Bookings always have one.
 	KeyedShare float64
-	// PromptWords and MaxTokens size model requests.
+	// PromptWords and MaxTokens are the sizes of model requests: the words of
+	// the prompt and the most tokens of the answer.
 	PromptWords, MaxTokens Sizes
-	// Accounts share the requests by weight; none means one without a key.
+	// Accounts send the requests, each by its weight; if empty, one account
+	// without a bearer key sends all.
 	Accounts []Account
-	// RunID makes idempotency keys and bookings unique among runs.
+	// RunID distinguishes the idempotency keys, bookings and prompts of this
+	// run from those of other runs.
 	RunID string
 }
 
@@ -66,45 +71,49 @@
 	bookingsPath = "/bookings"
 )
 
-// item is one request to send. One of chat and plain is set.
+// item is one request to send. Either chat or plain is set.
 type item struct {
-	number  int
+	// number counts the requests of the source, from 0.
+	number int
+	// account is an index into Mix.Accounts.
 	account int
 	chat    *client.Chat
 	plain   *client.PlainCall
 }
 
-// source draws requests.
+// source generates the requests of a mix.
 type source struct {
 	mix    Mix
 	random *rand.Rand
 	count  int
-	// total is the accounts' weights together.
-	total int
+	// totalWeight is the sum of the accounts' weights.
+	totalWeight int
 }
 
-// newSource makes a source of requests.
+// newSource returns a source of a mix's requests, which depend only on the mix
+// and the seed.
 func newSource(mix Mix, seed uint64) *source {
 	if len(mix.Accounts) == 0 {
 		mix.Accounts = []Account{{Weight: 1}}
 	}
 	s := &source{mix: mix, random: newRandom(seed, itemStream)}
 	for _, a := range mix.Accounts {
-		s.total += max(a.Weight, 1)
+		s.totalWeight += max(a.Weight, 1)
 	}
 	return s
 }
 
-// Streams of random numbers drawn from one seed.
+// Streams of random numbers from the same seed. Arrival times have their own,
+// so that they don't depend on the mix.
 const (
 	itemStream = iota
 	arrivalStream
 )
 
-// newRandom makes the source of one stream of random numbers.
+// newRandom returns the generator of one stream of random numbers.
 func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// next draws a request.
+// next generates the next request.
 func (s *source) next() item {
 	it := item{number: s.count, account: s.account()}
 	s.count++
@@ -116,19 +125,20 @@
 	return it
 }
 
-// account draws an account by weight.
+// account picks an account at random by weight and returns its index.
 func (s *source) account() int {
-	at := s.random.IntN(s.total)
+	rest := s.random.IntN(s.totalWeight)
 	for i, a := range s.mix.Accounts {
-		at -= max(a.Weight, 1)
-		if at < 0 {
+		rest -= max(a.Weight, 1)
+		if rest < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-// plain makes a call of the plain service.
+// plain generates a call of the plain service: a read, or a booking with an
+// idempotency key.
 func (s *source) plain(number int) *client.PlainCall {
 	if s.random.Float64() >= s.mix.WriteShare {
 		return &client.PlainCall{Service: s.mix.Plain, Method: "GET", Path: slotsPath}
@@ -142,7 +152,7 @@
 	}
 }
 
-// chat makes a model request.
+// chat generates a model request, with or without an idempotency key.
 func (s *source) chat(number int) *client.Chat {
 	c := &client.Chat{
 		Model:     s.mix.Model,
@@ -155,13 +165,14 @@
 	return c
 }
 
-// key makes an idempotency key.
+// key returns the idempotency key of a request, unique among all runs.
 func (s *source) key(number int) string { return s.mix.RunID + "-" + strconv.Itoa(number) }
 
-// words are those that prompts are made of.
+// words is the vocabulary of prompts.
 var words = [...]string{"slot", "teacher", "class", "evening", "parent", "booking", "thursday", "room", "ticket", "quarry"}
 
-// prompt makes a prompt that no other request of the run has.
+// prompt generates a prompt. Its first word is unique among all requests and
+// runs.
 func (s *source) prompt(number int) string {
 	n := s.mix.PromptWords.draw(s.random)
 	var b strings.Builder
@@ -172,24 +183,25 @@
 	return b.String()
 }
 
-// sampled is the requests drawn to work out a mix's means.
-const sampled = 20000
+// meansSampleSize is the number of requests generated to estimate a mix's means.
+const meansSampleSize = 20000
 
 // Means are the mean sizes of a mix's requests.
 type Means struct {
-	// ModelShare is the part of requests that are model requests.
+	// ModelShare is the share of requests that are model requests.
 	ModelShare float64
-	// Steps and Tokens are a model request's token steps, its prompt
-	// included, and its tokens.
+	// Steps is the mean number of token steps of a model request, those for
+	// its prompt included. Tokens is the mean of its MaxTokens.
 	Steps, Tokens float64
 }
 
-// Means works out the mean sizes from a sample. A step of the prompt takes
-// promptChunk words.
+// Means estimates the mean sizes from a sample of generated requests. Each step
+// for the prompt processes promptChunk words. Without model requests all means
+// are 0.
 func (m Mix) Means(seed uint64, promptChunk int) Means {
 	s := newSource(m, seed)
 	chats, steps, tokens := 0, 0, 0
-	for range sampled {
+	for range meansSampleSize {
 		it := s.next()
 		if it.chat == nil {
 			continue
@@ -202,13 +214,14 @@
 		return Means{}
 	}
 	return Means{
-		ModelShare: float64(chats) / sampled,
+		ModelShare: float64(chats) / meansSampleSize,
 		Steps:      float64(steps) / float64(chats),
 		Tokens:     float64(tokens) / float64(chats),
 	}
 }
 
-// promptSteps counts the steps that a prompt takes.
+// promptSteps returns the number of steps that process a prompt, chunk words in
+// each; at least 1.
 func promptSteps(c *client.Chat, chunk int) int {
 	n := 0
 	for _, m := range c.Messages {
--- a/loadgen/load/progress.go
+++ b/loadgen/load/progress.go
@@ -8,15 +8,15 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// counts are kept while a run goes on. Any goroutine may add to them.
+// counts are the counters behind Progress, safe for concurrent use.
 type counts struct {
 	sent, notSent             atomic.Int64
 	complete, refused, failed atomic.Int64
 	wrong, tokens             atomic.Int64
 }
 
-// done counts a request that ended.
-func (c *counts) done(s *Sample) {
+// addEnded counts a request that has ended.
+func (c *counts) addEnded(s *Sample) {
 	switch {
 	case s.Wrong:
 		c.wrong.Add(1)
@@ -29,20 +29,21 @@
 	}
 }
 
-// Progress is how far a run has come.
+// Progress holds the counts of a run up to now.
 type Progress struct {
-	// Elapsed is the time since its start; 0 before it.
+	// Elapsed is the time since the run's start; 0 before it.
 	Elapsed time.Duration
-	// Sent requests are InFlight, or ended one way: Complete, Refused (not
-	// run), Failed (another outcome) or Wrong. NotSent ones found no caller
-	// free.
+	// Sent is the sum of InFlight, Complete, Refused, Failed and Wrong. Refused
+	// requests were not run, and Failed ones have another outcome than
+	// complete. Wrong ones had a wrong answer, whatever their outcome. NotSent
+	// counts requests that were due while MaxInFlight requests were in flight.
 	Sent, NotSent, InFlight          int64
 	Complete, Refused, Failed, Wrong int64
-	// Tokens received.
+	// Tokens is the number of tokens received.
 	Tokens int64
 }
 
-// Progress tells how far the run has come. Any goroutine may call it.
+// Progress returns the counts up to now. It is safe for concurrent use.
 func (r *Run) Progress() Progress {
 	p := Progress{
 		Complete: r.counts.complete.Load(),
@@ -54,34 +55,34 @@
 	}
 	p.Sent = r.counts.sent.Load()
 	p.InFlight = p.Sent - p.Complete - p.Refused - p.Failed - p.Wrong
-	if began := r.began.Load(); began != nil {
-		p.Elapsed = time.Since(*began)
+	if started := r.started.Load(); started != nil {
+		p.Elapsed = time.Since(*started)
 	}
 	return p
 }
 
-// progressEvery is the pace at which Watch tells of progress.
-const progressEvery = time.Second
+// progressInterval is the time between two reports of RunWithProgress.
+const progressInterval = time.Second
 
-// RunWithProgress does a run and tells its progress each second, and at its end, from
-// the goroutine that called it. A nil tell is not told.
-func RunWithProgress(ctx context.Context, r *Run, tell func(Progress)) {
-	if tell == nil {
-		tell = func(Progress) {}
+// RunWithProgress calls r.Do and passes the progress to report each second and
+// once at the end, in the calling goroutine. A nil report is not called.
+func RunWithProgress(ctx context.Context, r *Run, report func(Progress)) {
+	if report == nil {
+		report = func(Progress) {}
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		r.Do(ctx)
 	}()
-	ticker := time.NewTicker(progressEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			tell(r.Progress())
+			report(r.Progress())
 		case <-ended:
-			tell(r.Progress())
+			report(r.Progress())
 			return
 		}
 	}
--- a/loadgen/load/sample.go
+++ b/loadgen/load/sample.go
@@ -9,46 +9,49 @@
 	"mimosaarch.example/loadgen/client"
 )
 
-// Sample is what became of one request. Times are of the tool's own clock.
+// Sample is the record of one request. Times are of the load generator's clock.
 type Sample struct {
-	// Node is the address it was sent to.
+	// Node is the address that the last attempt was sent to.
 	Node string
-	// Account is the account's place in the Mix.
+	// Account is the index of the account in Mix.Accounts.
 	Account int
-	// Plain tells a plain call from a model request.
+	// Plain is true for a call of a plain service and false for a model
+	// request.
 	Plain bool
-	// Due is when the schedule wanted it sent; latencies count from here, so
-	// that a tool that falls behind shows. Sent is when its sending began.
+	// Due is the scheduled time of the request. Latencies count from it, so
+	// that they include the delay of a load generator that falls behind. Sent
+	// is when the first attempt began, End when the last one ended.
 	Due, Sent, End time.Time
-	// Tokens are the times at which tokens came.
+	// Tokens are the arrival times of the last attempt's tokens.
 	Tokens  []time.Time
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
-	// Request is the node's name for it; may be empty.
+	// Request is the node's ID of the request; may be empty.
 	Request ids.Request
-	// Wrong tells that the answer, or the part of it that came, is not the
-	// one to the request.
+	// Wrong is true if the answer, or the received part of it, is not the
+	// expected one.
 	Wrong bool
-	// Retries counts how often the caller was refused and came back.
+	// Retries is the number of attempts after the first. Each follows a
+	// refusal.
 	Retries int
-	// NotSent tells that the tool itself had no caller free; nothing else
-	// but Due is set then.
+	// NotSent is true if the request was due while MaxInFlight requests were
+	// in flight. Only Due is set with it.
 	NotSent bool
 }
 
-// Complete reports whether the whole, right answer came.
+// Complete reports whether a complete answer came that is not wrong.
 func (s *Sample) Complete() bool { return s.Outcome == outcome.Complete && !s.Wrong && !s.NotSent }
 
-// Observer is told what became of each request. Many goroutines call it.
+// Observer receives the sample of each request when it has ended. It must be
+// safe for concurrent use.
 type Observer interface{ Observe(s *Sample) }
 
-// Checker tells whether answers are the ones to their requests. Many
-// goroutines call it.
+// Checker checks answers against their requests. It must be safe for concurrent
+// use.
 type Checker interface {
-	// Chat checks the text that came for a model request; whole tells
-	// whether the answer was said to be complete, else text is to be a
-	// first part of it.
-	Chat(messages []engineapi.Message, maxTokens int, text string, whole bool) bool
-	// Plain checks a complete answer of a plain call.
+	// Chat reports whether text is the right answer to a model request. Unless
+	// complete, text must be a prefix of the right answer.
+	Chat(messages []engineapi.Message, maxTokens int, text string, complete bool) bool
+	// Plain reports whether a complete answer of a plain call is right.
 	Plain(call client.PlainCall, status int, body []byte) bool
 }
--- a/loadgen/load/schedule.go
+++ b/loadgen/load/schedule.go
@@ -5,67 +5,72 @@
 	"time"
 )
 
-// Shape is how the rate of requests changes over a run.
+// Shape is the course of the request rate over a run.
 type Shape string
 
-// Shapes.
+// Shapes. Any value but Evening means a constant rate.
 const (
 	// Constant keeps the rate.
 	Constant Shape = "constant"
-	// Evening is a burst: a ramp from a tenth of the rate up to it, a peak,
-	// and a ramp down, as when the bookings of an evening open.
+	// Evening is a burst: the rate rises linearly from a tenth of its peak,
+	// stays at the peak, and falls back to a tenth. It models the hour in which
+	// the bookings for an evening open.
 	Evening Shape = "evening"
 )
 
-// The evening, in parts of a run and of the rate.
+// The peak of the Evening shape, as fractions of the run's duration, and its
+// lowest rate, as a fraction of the peak rate.
 const (
-	eveningPeakFrom  = 0.3
-	eveningPeakUntil = 0.7
-	eveningLeast     = 0.1
+	eveningPeakStart = 0.3
+	eveningPeakEnd   = 0.7
+	eveningMinRate   = 0.1
 )
 
-// Schedule says when requests are sent.
+// Schedule sets when requests are sent.
 type Schedule struct {
-	// Rate is the requests a second, at the peak of the shape.
+	// Rate is the rate at the peak of the shape, in requests per second.
 	Rate  float64
 	Shape Shape
 	// Duration is the length of the run.
 	Duration time.Duration
 }
 
-// RateAt gives the rate after a time, in requests a second; 0 outside the run.
-func (s Schedule) RateAt(after time.Duration) float64 {
-	if after < 0 || after >= s.Duration {
+// RateAt returns the rate at a time since the start, in requests per second; 0
+// outside the run.
+func (s Schedule) RateAt(elapsed time.Duration) float64 {
+	if elapsed < 0 || elapsed >= s.Duration {
 		return 0
 	}
 	if s.Shape != Evening {
 		return s.Rate
 	}
-	return s.Rate * evening(float64(after)/float64(s.Duration))
+	return s.Rate * eveningRate(float64(elapsed)/float64(s.Duration))
 }
 
-// evening gives the part of the peak rate at a part of the run.
-func evening(at float64) float64 {
+// eveningRate returns the rate of the Evening shape, as a fraction of the peak
+// rate, at a fraction of the run's duration.
+func eveningRate(at float64) float64 {
 	switch {
-	case at < eveningPeakFrom:
-		return eveningLeast + (1-eveningLeast)*at/eveningPeakFrom
-	case at <= eveningPeakUntil:
+	case at < eveningPeakStart:
+		return eveningMinRate + (1-eveningMinRate)*at/eveningPeakStart
+	case at <= eveningPeakEnd:
 		return 1
 	default:
-		return eveningLeast + (1-eveningLeast)*(1-at)/(1-eveningPeakUntil)
+		return eveningMinRate + (1-eveningMinRate)*(1-at)/(1-eveningPeakEnd)
 	}
 }
 
-// arrivals draws the times of a schedule's requests: independent arrivals (a
-// Poisson process) whose rate follows the shape.
+// arrivals generates the times of a schedule's requests, as a Poisson process
+// whose rate follows the shape.
 type arrivals struct {
 	schedule Schedule
 	random   *rand.Rand
-	last     time.Duration
+	// last is the time of the last candidate, counted from the start.
+	last time.Duration
 }
 
-// next gives when the next request is due after the start; false at the end
-// of the run.
+// next returns the due time of the next request, counted from the start; false
+// at the end of the run.
 func (a *arrivals) next() (time.Duration, bool) {
 	if a.schedule.Rate <= 0 {
 		return 0, false
@@ -76,8 +81,8 @@
 		if a.last >= a.schedule.Duration {
 			return 0, false
 		}
-		// Thinning: a candidate at the peak rate is kept with the part that
-		// the shape has there.
+		// Thinning: candidates arrive at the peak rate, and each is kept with
+		// the probability of the current rate divided by the peak rate.
 		if a.random.Float64()*a.schedule.Rate < a.schedule.RateAt(a.last) {
 			return a.last, true
 		}
--- a/loadgen/load/schedule_test.go
+++ b/loadgen/load/schedule_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// drawn gives all arrivals of a schedule.
-func drawn(s Schedule, seed uint64) []time.Duration {
+// allArrivals returns all arrival times of a schedule.
+func allArrivals(s Schedule, seed uint64) []time.Duration {
 	a := &arrivals{schedule: s, random: newRandom(seed, arrivalStream)}
 	var out []time.Duration
 	for {
@@ -22,20 +22,20 @@
 	}
 }
 
-// between counts the arrivals from one part of a run to another.
-func between(arrivals []time.Duration, run time.Duration, from, to float64) int {
+// countBetween counts the arrivals between two fractions of a run.
+func countBetween(arrivals []time.Duration, run time.Duration, from, to float64) int {
 	n := 0
 	for _, at := range arrivals {
-		if part := float64(at) / float64(run); part >= from && part < to {
+		if fraction := float64(at) / float64(run); fraction >= from && fraction < to {
 			n++
 		}
 	}
 	return n
 }
 
-// near fails the test when a count is further from the expected one than
-// chance would bring it.
-func near(t *testing.T, what string, got int, want float64) {
+// checkNear fails the test if a count is more than 4 standard deviations (of a
+// Poisson distribution) from the expected one.
+func checkNear(t *testing.T, what string, got int, want float64) {
 	t.Helper()
 	if math.Abs(float64(got)-want) > 4*math.Sqrt(want) {
 		t.Errorf("%s: %d arrivals, want about %.0f", what, got, want)
@@ -44,25 +44,25 @@
 
 func TestArrivalsFollowTheShape(t *testing.T) {
 	run := 100 * time.Second
-	constant := drawn(Schedule{Rate: 50, Shape: Constant, Duration: run}, 1)
-	near(t, "constant", len(constant), 5000)
-	evening := drawn(Schedule{Rate: 50, Shape: Evening, Duration: run}, 1)
-	near(t, "ramp up", between(evening, run, 0, 0.3), 50*30*0.55)
-	near(t, "peak", between(evening, run, 0.3, 0.7), 50*40)
-	near(t, "ramp down", between(evening, run, 0.7, 1), 50*30*0.55)
+	constant := allArrivals(Schedule{Rate: 50, Shape: Constant, Duration: run}, 1)
+	checkNear(t, "constant", len(constant), 5000)
+	evening := allArrivals(Schedule{Rate: 50, Shape: Evening, Duration: run}, 1)
+	checkNear(t, "ramp up", countBetween(evening, run, 0, 0.3), 50*30*0.55)
+	checkNear(t, "peak", countBetween(evening, run, 0.3, 0.7), 50*40)
+	checkNear(t, "ramp down", countBetween(evening, run, 0.7, 1), 50*30*0.55)
 }
 
 func TestSameSeedSameArrivals(t *testing.T) {
 	s := Schedule{Rate: 20, Shape: Evening, Duration: 10 * time.Second}
-	if d := cmp.Diff(drawn(s, 7), drawn(s, 7)); d != "" {
+	if d := cmp.Diff(allArrivals(s, 7), allArrivals(s, 7)); d != "" {
 		t.Error(d)
 	}
-	if cmp.Equal(drawn(s, 7), drawn(s, 8)) {
+	if cmp.Equal(allArrivals(s, 7), allArrivals(s, 8)) {
 		t.Error("different seeds drew the same arrivals")
 	}
 }
 
-// testMix is a mix of all kinds of requests.
+// testMix is a mix with every kind of request.
 var testMix = Mix{
 	Model: "drafts", Plain: "booking-api", PlainShare: 0.3, WriteShare: 0.5, KeyedShare: 0.4,
 	PromptWords: Sizes{Min: 10, Max: 200, Mean: 40},
@@ -104,11 +104,11 @@
 		}
 		keys[key] = true
 	}
-	near(t, "large account", large, 0.8*n)
-	near(t, "plain", plain, 0.3*n)
-	near(t, "bookings", booked, 0.15*n)
-	near(t, "keyed", keyed, 0.7*0.4*n)
-	near(t, "tokens", tokens, 0.7*8*n)
+	checkNear(t, "large account", large, 0.8*n)
+	checkNear(t, "plain", plain, 0.3*n)
+	checkNear(t, "bookings", booked, 0.15*n)
+	checkNear(t, "keyed", keyed, 0.7*0.4*n)
+	checkNear(t, "tokens", tokens, 0.7*8*n)
 }
 
 func TestMeans(t *testing.T) {
