--- a/loadgen/report/histogram.go
+++ b/loadgen/report/histogram.go
@@ -6,15 +6,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of histograms, in microseconds and significant digits.
+// Range and precision of histograms.
 const (
-	leastMicros = 1
-	mostMicros  = int64(time.Hour / time.Microsecond)
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-// Latency sums up a histogram. Times are in milliseconds; all are 0 when Count
-// is.
+// Latency summarises a histogram of durations, in milliseconds. All fields are
+// 0 if Count is 0.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -24,22 +24,23 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// histogram keeps times. It is not safe for concurrent use.
+// histogram is an HDR histogram of durations. It is not safe for concurrent
+// use.
 type histogram struct{ hdr *hdrhistogram.Histogram }
 
-// newHistogram makes an empty histogram.
+// newHistogram returns an empty histogram.
 func newHistogram() *histogram {
-	return &histogram{hdr: hdrhistogram.New(leastMicros, mostMicros, digits)}
+	return &histogram{hdr: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
-// add takes in a time; one out of range counts as the nearest in it.
+// add records a duration. Durations out of range count as the nearest bound.
 func (h *histogram) add(d time.Duration) {
-	micros := min(max(d.Microseconds(), leastMicros), mostMicros)
-	// RecordValue fails only out of range.
+	micros := min(max(d.Microseconds(), minMicros), maxMicros)
+	// RecordValue fails only for values out of range.
 	_ = h.hdr.RecordValue(micros)
 }
 
-// latency sums the histogram up.
+// latency summarises the histogram.
 func (h *histogram) latency() Latency {
 	if h.hdr.TotalCount() == 0 {
 		return Latency{}
@@ -47,9 +48,9 @@
 	return Latency{
 		Count: h.hdr.TotalCount(),
 		Mean:  h.hdr.Mean() / microsPerMilli,
-		P50:   h.quantile(50),
-		P95:   h.quantile(95),
-		P99:   h.quantile(99),
+		P50:   h.percentile(50),
+		P95:   h.percentile(95),
+		P99:   h.percentile(99),
 		Max:   float64(h.hdr.Max()) / microsPerMilli,
 	}
 }
@@ -57,7 +58,7 @@
 // microsPerMilli converts microseconds to milliseconds.
 const microsPerMilli = 1000
 
-// quantile gives a percentile, in milliseconds.
-func (h *histogram) quantile(percent float64) float64 {
+// percentile returns the duration at a percentile, in milliseconds.
+func (h *histogram) percentile(percent float64) float64 {
 	return float64(h.hdr.ValueAtPercentile(percent)) / microsPerMilli
 }
--- a/loadgen/report/plot.go
+++ b/loadgen/report/plot.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Size of a plot's image.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
@@ -18,11 +18,11 @@
 // Colours of a plot's lines.
 var (
 	deliveredColor = color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff}
-	goodColor      = color.RGBA{R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff}
+	goodputColor   = color.RGBA{R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff}
 	boundColor     = color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 0xff}
 )
 
-// PlotError tells that a plot could not be made or written.
+// PlotError reports that a plot could not be drawn or written to Path.
 type PlotError struct {
 	Path  string
 	Cause error
@@ -31,11 +31,11 @@
 // Error implements error.
 func (e *PlotError) Error() string { return fmt.Sprintf("plot %s: %v", e.Path, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *PlotError) Unwrap() error { return e.Cause }
 
-// Plot writes the delivered tokens a second over time to a file, whose
-// extension chooses the format: .png, .svg or .pdf. The error is a *PlotError.
+// Plot draws the throughput over the run and writes it to a file. The extension
+// of path selects the format: .png, .svg or .pdf. The error is a *PlotError.
 func (r Report) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = "Delivered tokens a second"
@@ -65,18 +65,19 @@
 	points plotter.XYs
 }
 
-// lines gives the lines to draw; none without a series.
+// lines returns the lines to draw: throughput, goodput, and the bound if known.
+// Without a series there are none.
 func (r Report) lines() []plotLine {
 	if len(r.Series) == 0 {
 		return nil
 	}
 	delivered := plotLine{name: "delivered", color: deliveredColor}
-	good := plotLine{name: "in complete answers", color: goodColor}
+	goodput := plotLine{name: "in complete answers", color: goodputColor}
 	for _, p := range r.Series {
 		delivered.points = append(delivered.points, plotter.XY{X: p.StartSeconds, Y: p.Delivered})
-		good.points = append(good.points, plotter.XY{X: p.StartSeconds, Y: p.Goodput})
+		goodput.points = append(goodput.points, plotter.XY{X: p.StartSeconds, Y: p.Goodput})
 	}
-	out := []plotLine{delivered, good}
+	out := []plotLine{delivered, goodput}
 	if r.Bound > 0 {
 		last := r.Series[len(r.Series)-1].StartSeconds
 		out = append(out, plotLine{
--- a/loadgen/report/recorder.go
+++ b/loadgen/report/recorder.go
@@ -1,6 +1,7 @@
-// Package report gathers what became of requests and tells it: throughput
-// against a bound, latencies as HDR histograms, outcomes, shares of accounts,
-// as text, JSON and a plot.
+// Package report turns the samples of a load test into a report: throughput and
+// its share of the hardware's bound, latency percentiles, outcomes, counts for
+// each account, and the recovery from an injected failure. A report can be
+// written as text, JSON and a plot.
 package report
 
 import (
@@ -11,62 +12,70 @@
 	"mimosaarch.example/loadgen/load"
 )
 
-// DefaultBucket is the width of a point of the series.
+// DefaultBucket is the default of Options.Bucket.
 const DefaultBucket = 500 * time.Millisecond
 
-// maxBuckets bounds the series; later tokens count in the last point.
+// maxBuckets bounds the length of a series. Later tokens count in the last
+// bucket.
 const maxBuckets = 1 << 16
 
-// Options of a Recorder.
+// Options configure a Recorder.
 type Options struct {
 	// Start is the run's start.
 	Start time.Time
-	// WindowStart and WindowEnd are the steady window, counted from Start. Throughput
-	// counts tokens that came in it; latencies those of requests due in it.
+	// WindowStart and WindowEnd bound the steady window, counted from Start.
+	// Throughput counts the tokens that arrive in it, and latencies count the
+	// requests that are due in it.
 	WindowStart, WindowEnd time.Duration
-	// Bucket is the width of a point of the series. Default 500ms.
+	// Bucket is the length of time that each point of the series covers.
+	// Default 500ms.
 	Bucket time.Duration
-	// Bound is the tokens a second that the hardware allows; 0: not known.
+	// Bound is the highest throughput that the hardware allows, in tokens per
+	// second; 0 if unknown.
 	Bound float64
 }
 
-// Recorder gathers samples. Any goroutine may call any method.
+// Recorder collects the samples of a run. Its methods are safe for concurrent
+// use.
 type Recorder struct {
 	options Options
 
-	mu        sync.Mutex
-	sent      int
-	notSent   int
-	returns   int
-	wrong     int
-	outcomes  map[outcome.Outcome]int
-	reasons   map[outcome.Reason]int
-	accounts  []Account
+	// mu guards all fields below.
+	mu       sync.Mutex
+	sent     int
+	notSent  int
+	retries  int
+	wrong    int
+	outcomes map[outcome.Outcome]int
+	reasons  map[outcome.Reason]int
+	accounts []Account
+	// delivered and goodput count tokens in buckets of options.Bucket.
 	delivered series
-	good      series
-	inWindow  struct{ delivered, good int }
-	// fine is the delivered tokens by the steps of recovery.
-	fine                series
+	goodput   series
+	// inWindow counts the tokens of the steady window.
+	inWindow struct{ delivered, goodput int }
+	// recoverySeries counts delivered tokens in buckets of recoveryStep.
+	recoverySeries      series
 	failure             *failure
 	cutOff, notComplete int
 
-	first, interval, whole, plain, delay *histogram
+	firstToken, tokenInterval, modelAnswer, plainCall, sendDelay *histogram
 }
 
-// New makes a Recorder.
+// New returns a Recorder without samples.
 func New(o Options) *Recorder {
 	if o.Bucket <= 0 {
 		o.Bucket = DefaultBucket
 	}
 	return &Recorder{
-		options:  o,
-		outcomes: make(map[outcome.Outcome]int),
-		reasons:  make(map[outcome.Reason]int),
-		first:    newHistogram(),
-		interval: newHistogram(),
-		whole:    newHistogram(),
-		plain:    newHistogram(),
-		delay:    newHistogram(),
+		options:       o,
+		outcomes:      make(map[outcome.Outcome]int),
+		reasons:       make(map[outcome.Reason]int),
+		firstToken:    newHistogram(),
+		tokenInterval: newHistogram(),
+		modelAnswer:   newHistogram(),
+		plainCall:     newHistogram(),
+		sendDelay:     newHistogram(),
 	}
 }
 
@@ -80,20 +89,21 @@
 	}
 	r.count(s)
 	r.countTokens(s)
-	if after := s.Due.Sub(r.options.Start); after >= r.options.WindowStart && after < r.options.WindowEnd {
-		r.latencies(s)
+	if due := s.Due.Sub(r.options.Start); due >= r.options.WindowStart && due < r.options.WindowEnd {
+		r.addLatencies(s)
 	}
 }
 
-// count counts a request and its outcome.
+// count counts a request, its outcome and its account. The caller holds the
+// lock.
 func (r *Recorder) count(s *load.Sample) {
 	r.sent++
-	r.returns += s.Retries
+	r.retries += s.Retries
 	if s.Wrong {
 		r.wrong++
 	}
 	r.outcomes[s.Outcome]++
-	r.countFailed(s)
+	r.countAfterFailure(s)
 	if s.Reason != "" {
 		r.reasons[s.Reason]++
 	}
@@ -107,65 +117,67 @@
 	}
 }
 
-// countTokens counts a request's tokens. Those of a wrong answer are no
-// delivered work.
+// countTokens counts a request's tokens by their arrival times. Those of a wrong
+// answer don't count. The caller holds the lock.
 func (r *Recorder) countTokens(s *load.Sample) {
 	if s.Wrong {
 		return
 	}
 	complete := s.Complete()
 	for _, at := range s.Tokens {
-		after := at.Sub(r.options.Start)
-		r.delivered.add(after, r.options.Bucket)
-		r.fine.add(after, recoveryStep)
-		steady := after >= r.options.WindowStart && after < r.options.WindowEnd
-		if steady {
+		elapsed := at.Sub(r.options.Start)
+		r.delivered.add(elapsed, r.options.Bucket)
+		r.recoverySeries.add(elapsed, recoveryStep)
+		inWindow := elapsed >= r.options.WindowStart && elapsed < r.options.WindowEnd
+		if inWindow {
 			r.inWindow.delivered++
 			r.accounts[s.Account].Tokens++
 		}
 		if !complete {
 			continue
 		}
-		r.good.add(after, r.options.Bucket)
-		if steady {
-			r.inWindow.good++
+		r.goodput.add(elapsed, r.options.Bucket)
+		if inWindow {
+			r.inWindow.goodput++
 		}
 	}
 }
 
-// latencies takes in the times of a request due in the window. The whole
-// counts for complete answers only.
-func (r *Recorder) latencies(s *load.Sample) {
-	r.delay.add(s.Sent.Sub(s.Due))
+// addLatencies records the latencies of a request that was due in the steady
+// window. The time to the end counts for complete answers only. The caller
+// holds the lock.
+func (r *Recorder) addLatencies(s *load.Sample) {
+	r.sendDelay.add(s.Sent.Sub(s.Due))
 	for i, at := range s.Tokens {
 		if i == 0 {
-			r.first.add(at.Sub(s.Due))
+			r.firstToken.add(at.Sub(s.Due))
 			continue
 		}
-		r.interval.add(at.Sub(s.Tokens[i-1]))
+		r.tokenInterval.add(at.Sub(s.Tokens[i-1]))
 	}
 	switch {
 	case !s.Complete():
 	case s.Plain:
-		r.plain.add(s.End.Sub(s.Due))
+		r.plainCall.add(s.End.Sub(s.Due))
 	default:
-		r.whole.add(s.End.Sub(s.Due))
+		r.modelAnswer.add(s.End.Sub(s.Due))
 	}
 }
 
-// series counts tokens by the time they came.
+// series counts tokens in buckets of equal length by their arrival time. Bucket
+// 0 begins at the run's start.
 type series []int
 
-// add counts a token that came after a time.
-func (s *series) add(after, bucket time.Duration) {
-	at := min(max(int(after/bucket), 0), maxBuckets-1)
-	for len(*s) <= at {
+// add counts a token that arrived at a time since the start.
+func (s *series) add(elapsed, bucket time.Duration) {
+	i := min(max(int(elapsed/bucket), 0), maxBuckets-1)
+	for len(*s) <= i {
 		*s = append(*s, 0)
 	}
-	(*s)[at]++
+	(*s)[i]++
 }
 
-// at gives the count of a bucket.
+// at returns the count of bucket i; 0 beyond the last one.
 func (s series) at(i int) int {
 	if i < len(s) {
 		return s[i]
--- a/loadgen/report/recovery.go
+++ b/loadgen/report/recovery.go
@@ -7,66 +7,73 @@
 	"mimosaarch.example/loadgen/load"
 )
 
-// The sliding window of recovery.
+// Throughput after a failure is measured over a sliding window of
+// recoveryWindow that advances by recoveryStep.
 const (
 	recoveryStep   = 100 * time.Millisecond
 	recoveryWindow = 500 * time.Millisecond
-	recoverySteps  = int(recoveryWindow / recoveryStep)
-	// recoveredShare is the part of the target at which work is back.
+	// stepsPerWindow is the number of steps in a window.
+	stepsPerWindow = int(recoveryWindow / recoveryStep)
+	// recoveredShare is the share of the target rate at which throughput counts
+	// as recovered.
 	recoveredShare = 0.95
 )
 
-// Recovery tells how delivered work came back after a failure. Rates are over
-// a window of 500 ms that is moved on by 100 ms; the windows after the failure
-// begin at or after it, so that none has work from before it.
+// Recovery describes the throughput around a failure that was injected into a
+// run. Rates are in tokens per second. Windows are 500 ms long and advance by
+// 100 ms. Windows after the failure begin at or after it, so that none contains
+// tokens from before it.
 type Recovery struct {
-	// FailureSeconds is the failure, in seconds from the run's start.
+	// FailureSeconds is the time of the failure, in seconds since the run's
+	// start.
 	FailureSeconds float64 `json:"at_s"`
-	// TargetRate is the tokens a second that delivered work is to come back to;
-	// it counts as back at 95% of it.
+	// TargetRate is the throughput expected after the failure. At 95% of it
+	// throughput counts as recovered.
 	TargetRate float64 `json:"target_tokens_per_s"`
-	// Recovered tells whether a window reached that before the run's end.
-	// Time is from the failure to the end of the first one that did, in
-	// seconds, so at least the window's length.
+	// Recovered reports whether a window reached 95% of the target rate before
+	// the end of the steady window. RecoverySeconds is the time from the
+	// failure to the end of the first such window, at least the length of a
+	// window.
 	Recovered       bool    `json:"recovered"`
 	RecoverySeconds float64 `json:"recovery_s"`
-	// LastBelowSeconds is from the failure to the end of the last window below it;
-	// 0 when there is none.
+	// LastBelowSeconds is the time from the failure to the end of the last
+	// window below 95% of the target rate; 0 if there is none.
 	LastBelowSeconds float64 `json:"last_below_s"`
-	// RateBefore and RateAfter are the means of the steady window's parts before and
-	// after the failure, Lowest the lowest window after it, in tokens a
-	// second.
+	// RateBefore and RateAfter are the mean rates of the steady window before
+	// and after the failure. LowestRate is that of the lowest window after it.
 	RateBefore float64 `json:"before_tokens_per_s"`
 	RateAfter  float64 `json:"after_tokens_per_s"`
 	LowestRate float64 `json:"lowest_tokens_per_s"`
-	// BelowShareBefore and BelowShareAfter are the parts of windows below 95% of the
-	// target: the first tells how much of the second is the load's own
-	// change.
+	// BelowShareBefore and BelowShareAfter are the shares of windows below 95%
+	// of the target rate before and after the failure. The share before shows
+	// how often the rate falls that low without a failure.
 	BelowShareBefore float64 `json:"below_before_share"`
 	BelowShareAfter  float64 `json:"below_after_share"`
-	// CutOff counts requests that ended after the failure with an unknown
-	// outcome, NotComplete all that ended then otherwise than complete.
+	// CutOff counts requests that ended after the failure with the outcome
+	// unknown. NotComplete counts all that ended after it without a complete,
+	// right answer.
 	CutOff      int `json:"cut_off"`
 	NotComplete int `json:"not_complete"`
 }
 
-// failure is what a Recorder knows of one.
+// failure is an injected failure.
 type failure struct {
-	at     time.Time
-	target float64
+	at time.Time
+	// targetRate is in tokens per second.
+	targetRate float64
 }
 
-// RecordFailure tells that something was made to fail, and the tokens a second that
-// delivered work is to come back to. Only the last failure counts.
-func (r *Recorder) RecordFailure(at time.Time, target float64) {
+// RecordFailure records that a failure was injected, and the throughput expected
+// after it, in tokens per second. Only the last failure counts.
+func (r *Recorder) RecordFailure(at time.Time, targetRate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failure = &failure{at: at, target: target}
+	r.failure = &failure{at: at, targetRate: targetRate}
 }
 
-// countFailed counts a request that ended otherwise than complete. The caller
-// holds the lock.
-func (r *Recorder) countFailed(s *load.Sample) {
+// countAfterFailure counts a request that ended after the failure without a
+// complete, right answer. The caller holds the lock.
+func (r *Recorder) countAfterFailure(s *load.Sample) {
 	if r.failure == nil || s.Complete() || s.End.Before(r.failure.at) {
 		return
 	}
@@ -76,46 +83,50 @@
 	}
 }
 
-// recovery sums up what followed a failure; nil when there was none. The
-// caller holds the lock.
+// recovery describes the recovery from the last failure; nil without a failure.
+// The caller holds the lock.
 func (r *Recorder) recovery() *Recovery {
 	if r.failure == nil {
 		return nil
 	}
-	after := r.failure.at.Sub(r.options.Start)
+	failedAt := r.failure.at.Sub(r.options.Start)
 	out := &Recovery{
-		FailureSeconds: after.Seconds(),
-		TargetRate:     r.failure.target,
+		FailureSeconds: failedAt.Seconds(),
+		TargetRate:     r.failure.targetRate,
 		CutOff:         r.cutOff,
 		NotComplete:    r.notComplete,
 	}
-	failed := int((after + recoveryStep - 1) / recoveryStep)
-	until := int(r.options.WindowEnd / recoveryStep)
-	out.before(r.fine, int(r.options.WindowStart/recoveryStep), int(after/recoveryStep))
-	out.after(r.fine, failed, until)
+	// Rounded up, since the step in which the failure lies also has tokens from
+	// before it.
+	firstAfter := int((failedAt + recoveryStep - 1) / recoveryStep)
+	end := int(r.options.WindowEnd / recoveryStep)
+	out.setBefore(r.recoverySeries, int(r.options.WindowStart/recoveryStep), int(failedAt/recoveryStep))
+	out.setAfter(r.recoverySeries, firstAfter, end)
 	return out
 }
 
-// before takes in the time before the failure, given in steps.
-func (o *Recovery) before(fine series, from, until int) {
-	o.RateBefore = fine.rate(from, until)
+// setBefore sets the fields for the time before the failure, which begins at
+// step from and ends before step until.
+func (o *Recovery) setBefore(tokens series, from, until int) {
+	o.RateBefore = tokens.rate(from, until)
 	below, windows := 0, 0
-	for at := from; at+recoverySteps <= until; at++ {
+	for at := from; at+stepsPerWindow <= until; at++ {
 		windows++
-		if fine.rate(at, at+recoverySteps) < recoveredShare*o.TargetRate {
+		if tokens.rate(at, at+stepsPerWindow) < recoveredShare*o.TargetRate {
 			below++
 		}
 	}
-	o.BelowShareBefore = part(below, windows)
+	o.BelowShareBefore = ratio(below, windows)
 }
 
-// after takes in the time after the failure, given in steps.
-func (o *Recovery) after(fine series, from, until int) {
-	o.RateAfter = fine.rate(from, until)
+// setAfter sets the fields for the time after the failure, which begins at step
+// from and ends before step until.
+func (o *Recovery) setAfter(tokens series, from, until int) {
+	o.RateAfter = tokens.rate(from, until)
 	below, windows := 0, 0
-	for at := from; at+recoverySteps <= until; at++ {
-		rate := fine.rate(at, at+recoverySteps)
-		ended := float64(at+recoverySteps)*recoveryStep.Seconds() - o.FailureSeconds
+	for at := from; at+stepsPerWindow <= until; at++ {
+		rate := tokens.rate(at, at+stepsPerWindow)
+		ended := float64(at+stepsPerWindow)*recoveryStep.Seconds() - o.FailureSeconds
 		if windows == 0 || rate < o.LowestRate {
 			o.LowestRate = rate
 		}
@@ -129,22 +140,23 @@
 			o.Recovered, o.RecoverySeconds = true, ended
 		}
 	}
-	o.BelowShareAfter = part(below, windows)
+	o.BelowShareAfter = ratio(below, windows)
 }
 
-// rate gives the tokens a second from one step to another.
+// rate returns the tokens per second from step from to before step until. The
+// buckets of the series must be of recoveryStep.
 func (s series) rate(from, until int) float64 {
 	n := 0
 	for i := from; i < until; i++ {
 		n += s.at(i)
 	}
-	return per(n, float64(until-from)*recoveryStep.Seconds())
+	return perSecond(n, float64(until-from)*recoveryStep.Seconds())
 }
 
-// part gives the part that n is of a whole; 0 of none.
-func part(n, whole int) float64 {
-	if whole == 0 {
+// ratio returns n divided by total; 0 if total is 0.
+func ratio(n, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(n) / float64(whole)
+	return float64(n) / float64(total)
 }
--- a/loadgen/report/recovery_test.go
+++ b/loadgen/report/recovery_test.go
@@ -8,8 +8,8 @@
 	"mimosaarch.example/loadgen/load"
 )
 
-// steady gives a request with a token each 50 ms from one time until another,
-// in milliseconds.
+// steady returns a request with a token every 50 ms between two times, in
+// milliseconds since the start.
 func steady(from, until int) *load.Sample {
 	var tokens []int
 	for ms := from; ms < until; ms += 50 {
@@ -18,9 +18,9 @@
 	return sample(from, tokens...)
 }
 
-// failing gives the report of samples with a failure after 2 s of 4 and a
-// target of 20 tokens a second.
-func failing(samples ...*load.Sample) *Recovery {
+// recoveryOf returns the recovery of a run of 4 s with these samples, a failure
+// after 2 s and a target rate of 20 tokens per second.
+func recoveryOf(samples ...*load.Sample) *Recovery {
 	r := New(Options{Start: start, WindowStart: time.Second, WindowEnd: 4 * time.Second})
 	r.RecordFailure(at(2000), 20)
 	for _, s := range samples {
@@ -34,7 +34,7 @@
 	cut.End, cut.Outcome, cut.Reason = at(2001), outcome.Unknown, load.CutOff
 	refused := &load.Sample{Due: at(2100), End: at(2100), Outcome: outcome.NotRun, Reason: outcome.QueueFull}
 	early := &load.Sample{Due: at(100), End: at(1900), Outcome: outcome.Unknown, Reason: load.CutOff}
-	r := failing(cut, refused, early, steady(2600, 4000))
+	r := recoveryOf(cut, refused, early, steady(2600, 4000))
 	if !r.Recovered || !near(r.RecoverySeconds, 1.1) || !near(r.LastBelowSeconds, 1.0) {
 		t.Errorf("recovery is %+v, want 1.1 s, the end of the first whole window after 2.6 s", r)
 	}
@@ -47,13 +47,13 @@
 }
 
 func TestNoRecovery(t *testing.T) {
-	if r := failing(steady(0, 2000)); r.Recovered || r.RecoverySeconds != 0 || !near(r.LastBelowSeconds, 2) {
+	if r := recoveryOf(steady(0, 2000)); r.Recovered || r.RecoverySeconds != 0 || !near(r.LastBelowSeconds, 2) {
 		t.Errorf("recovery is %+v without a token after the failure", r)
 	}
-	if r := recorded(steady(0, 2000)).Recovery; r != nil {
+	if r := reportOf(steady(0, 2000)).Recovery; r != nil {
 		t.Errorf("recovery is %+v without a failure", r)
 	}
 }
 
-// near reports whether two figures are the same but for rounding.
+// near reports whether two numbers are equal up to rounding errors.
 func near(a, b float64) bool { return a-b < 1e-6 && b-a < 1e-6 }
--- a/loadgen/report/report.go
+++ b/loadgen/report/report.go
@@ -4,61 +4,72 @@
 	"mimosaarch.example/core/outcome"
 )
 
-// Account is what one client account got.
+// Account counts one client account's requests, those with a complete, right
+// answer, and its tokens.
 type Account struct {
 	Sent     int `json:"sent"`
 	Complete int `json:"complete"`
-	// Tokens delivered to it in the steady window.
+	// Tokens counts those delivered in the steady window.
 	Tokens int `json:"tokens"`
 }
 
-// Point is the throughput of one stretch of time, in tokens a second.
+// Point is the throughput in one bucket of time, in tokens per second. Delivered
+// and Goodput are as in Report.
 type Point struct {
-	// StartSeconds is its start, in seconds from the run's start.
+	// StartSeconds is the bucket's start, in seconds since the run's start.
 	StartSeconds float64 `json:"after_s"`
 	Delivered    float64 `json:"delivered"`
 	Goodput      float64 `json:"good"`
 }
 
-// Report is the result of a run.
+// Report is the result of a load test.
 type Report struct {
 	// WindowSeconds is the length of the steady window, in seconds.
 	WindowSeconds float64 `json:"window_s"`
-	// Sent requests have an outcome each. NotSent ones came due while the
-	// tool had no caller free: above 0, the tool was the limit.
+	// Sent counts the requests sent, each of which has an outcome. NotSent
+	// counts those that were due while the load generator had its maximum of
+	// requests in flight; above 0, the load generator limited the load.
 	Sent    int `json:"sent"`
 	NotSent int `json:"not_sent"`
-	// Retries counts refused callers that came back.
+	// Retries counts the retries of refused requests.
 	Retries int `json:"returns"`
-	// Wrong answers had a text that is not the one to their request,
+	// Wrong counts the requests with a wrong answer, or a wrong part of one,
 	// whatever their outcome.
-	Wrong    int                     `json:"wrong"`
+	Wrong int `json:"wrong"`
+	// Outcomes and Reasons count the requests sent by their outcome, and by the
+	// reason of those that have one.
 	Outcomes map[outcome.Outcome]int `json:"outcomes"`
 	Reasons  map[outcome.Reason]int  `json:"reasons"`
-	// Delivered is the tokens a second that came in the steady window, wrong
-	// answers left out; Good those of complete answers only.
+	// Delivered is the throughput in the steady window, in tokens per second,
+	// without the tokens of wrong answers. Goodput counts only the tokens of
+	// complete answers.
 	Delivered float64 `json:"delivered_tokens_per_s"`
 	Goodput   float64 `json:"good_tokens_per_s"`
-	// Bound is the tokens a second that the hardware allows, and Share and
-	// GoodShare are the parts of it; 0 when it is not known.
+	// Bound is the highest throughput that the hardware allows, in tokens per
+	// second. Share and GoodputShare are Delivered and Goodput divided by it.
+	// All are 0 if the bound is unknown.
 	Bound        float64 `json:"bound_tokens_per_s"`
 	Share        float64 `json:"delivered_share"`
 	GoodputShare float64 `json:"good_share"`
-	// FirstToken counts from when the request was due; Whole and Plain are
-	// complete answers of models and plain services.
+	// Latencies are of requests due in the steady window. FirstToken is the
+	// time from the due time to the first token, and TokenInterval that between
+	// two tokens. ModelAnswer and PlainCall are the times from the due time to
+	// the end of complete answers, of model requests and calls of a plain
+	// service.
 	FirstToken    Latency `json:"first_token"`
 	TokenInterval Latency `json:"token_interval"`
 	ModelAnswer   Latency `json:"whole"`
 	PlainCall     Latency `json:"plain"`
-	// SendDelay is how late the tool itself was.
+	// SendDelay is the time from the due time to sending: how late the load
+	// generator was.
 	SendDelay Latency   `json:"send_delay"`
 	Accounts  []Account `json:"accounts"`
 	Series    []Point   `json:"series"`
-	// Recovery is nil when nothing was made to fail.
+	// Recovery is nil if no failure was injected.
 	Recovery *Recovery `json:"recovery,omitempty"`
 }
 
-// Report sums up what was gathered so far.
+// Report returns a report of the samples observed so far.
 func (r *Recorder) Report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,18 +78,18 @@
 		WindowSeconds: window,
 		Sent:          r.sent,
 		NotSent:       r.notSent,
-		Retries:       r.returns,
+		Retries:       r.retries,
 		Wrong:         r.wrong,
-		Outcomes:      copyOf(r.outcomes),
-		Reasons:       copyOf(r.reasons),
-		Delivered:     per(r.inWindow.delivered, window),
-		Goodput:       per(r.inWindow.good, window),
+		Outcomes:      copyCounts(r.outcomes),
+		Reasons:       copyCounts(r.reasons),
+		Delivered:     perSecond(r.inWindow.delivered, window),
+		Goodput:       perSecond(r.inWindow.goodput, window),
 		Bound:         r.options.Bound,
-		FirstToken:    r.first.latency(),
-		TokenInterval: r.interval.latency(),
-		ModelAnswer:   r.whole.latency(),
-		PlainCall:     r.plain.latency(),
-		SendDelay:     r.delay.latency(),
+		FirstToken:    r.firstToken.latency(),
+		TokenInterval: r.tokenInterval.latency(),
+		ModelAnswer:   r.modelAnswer.latency(),
+		PlainCall:     r.plainCall.latency(),
+		SendDelay:     r.sendDelay.latency(),
 		Accounts:      append([]Account{}, r.accounts...),
 		Series:        r.points(),
 		Recovery:      r.recovery(),
@@ -90,7 +101,7 @@
 	return out
 }
 
-// points gives the series. The caller holds the lock.
+// points returns the throughput of each bucket. The caller holds the lock.
 func (r *Recorder) points() []Point {
 	width := r.options.Bucket.Seconds()
 	out := make([]Point, len(r.delivered))
@@ -98,22 +109,22 @@
 		out[i] = Point{
 			StartSeconds: float64(i) * width,
 			Delivered:    float64(r.delivered.at(i)) / width,
-			Goodput:      float64(r.good.at(i)) / width,
+			Goodput:      float64(r.goodput.at(i)) / width,
 		}
 	}
 	return out
 }
 
-// per gives a count a second; 0 for no time.
-func per(count int, seconds float64) float64 {
+// perSecond returns a count divided by a time; 0 if the time is 0 or less.
+func perSecond(count int, seconds float64) float64 {
 	if seconds <= 0 {
 		return 0
 	}
 	return float64(count) / seconds
 }
 
-// copyOf copies counts.
-func copyOf[K comparable](counts map[K]int) map[K]int {
+// copyCounts returns a copy of counts that is never nil.
+func copyCounts[K comparable](counts map[K]int) map[K]int {
 	out := make(map[K]int, len(counts))
 	for key, n := range counts {
 		out[key] = n
--- a/loadgen/report/text.go
+++ b/loadgen/report/text.go
@@ -9,10 +9,10 @@
 	"text/tabwriter"
 )
 
-// columnPadding is the space between columns.
+// columnPadding is the number of spaces between columns.
 const columnPadding = 2
 
-// Text prints the report for people; the series is left out.
+// Text writes the report as readable text, without the series.
 func (r Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "requests      %d sent, %d not sent, %d returns\n", r.Sent, r.NotSent, r.Retries)
 	fmt.Fprintf(w, "outcomes      %s, wrong answers %d\n", counts(r.Outcomes), r.Wrong)
@@ -32,20 +32,20 @@
 	}
 }
 
-// text prints the recovery.
+// text writes the lines on the recovery.
 func (o *Recovery) text(w io.Writer) {
-	back := fmt.Sprintf("back after %.2f s", o.RecoverySeconds)
+	result := fmt.Sprintf("back after %.2f s", o.RecoverySeconds)
 	if !o.Recovered {
-		back = "not back before the end"
+		result = "not back before the end"
 	}
 	fmt.Fprintf(w, "recovery      %s at 95%% of %.1f tokens/s, failure at %.2f s, last window below ended %.2f s after it\n",
-		back, o.TargetRate, o.FailureSeconds, o.LastBelowSeconds)
+		result, o.TargetRate, o.FailureSeconds, o.LastBelowSeconds)
 	fmt.Fprintf(w, "around it     %.1f tokens/s before, %.1f after, lowest %.1f; windows below: %.2f of those before, %.2f after\n",
 		o.RateBefore, o.RateAfter, o.LowestRate, o.BelowShareBefore, o.BelowShareAfter)
 	fmt.Fprintf(w, "after it      %d requests cut off, %d not complete\n", o.CutOff, o.NotComplete)
 }
 
-// latencyTable prints the latencies.
+// latencyTable writes a table with a row for each kind of latency.
 func (r Report) latencyTable(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintln(t, "ms\tcount\tmean\tp50\tp95\tp99\tmax")
@@ -65,7 +65,7 @@
 	_ = t.Flush()
 }
 
-// accountTable prints what each account got.
+// accountTable writes a table with a row for each account.
 func (r Report) accountTable(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintln(t, "account\tsent\tcomplete\ttokens")
@@ -75,7 +75,8 @@
 	_ = t.Flush()
 }
 
-// counts prints counts by name.
+// counts formats counts, sorted by name, as "a 1, b 2"; "none" if there are
+// none.
 func counts[K ~string](m map[K]int) string {
 	if len(m) == 0 {
 		return "none"
