--- a/scenario/main_test.go
+++ b/scenario/main_test.go
@@ -1,7 +1,7 @@
-// Package scenario runs mimosad, mimosactl and the stand-ins as separate
-// processes, brings failures about, and checks what callers are told. Each
-// scenario is a script under testdata/script, written in the language of
-// package lang.
+// Package scenario tests mimosad and mimosactl against the stand-ins of the
+// platform, the engines and the plain services, each a process of its own. The
+// tests inject failures and check the answers that callers get. Each scenario
+// is a testscript under testdata/script that uses the commands of package lang.
 package scenario
 
 import (
@@ -21,23 +21,23 @@
 	"mimosaarch.example/standin/platform"
 )
 
-// parallelScripts is the most scripts run at once.
-const parallelScripts = "4"
+// maxParallelScripts bounds the scripts that run at the same time.
+const maxParallelScripts = "4"
 
-// boundedTests runs the tests, few at once. It is not reached in the processes of
-// the commands, whose flags are their own.
+// boundedTests runs the tests with at most maxParallelScripts in parallel. The
+// processes of the commands, which parse flags of their own, never call Run.
 type boundedTests struct{ m *testing.M }
 
 // Run implements testscript.TestingM.
 func (b boundedTests) Run() int {
 	flag.Parse()
-	if err := flag.Set("test.parallel", parallelScripts); err != nil {
+	if err := flag.Set("test.parallel", maxParallelScripts); err != nil {
 		panic(err)
 	}
 	return b.m.Run()
 }
 
-// TestMain registers the commands that run as processes of their own.
+// TestMain makes the test binary also serve as the commands that scripts start.
 func TestMain(m *testing.M) {
 	testscript.Main(boundedTests{m}, map[string]func(){
 		"mimosad":   func() { os.Exit(mimosad.Main(os.Args[1:], os.Stdout, os.Stderr)) },
@@ -49,7 +49,7 @@
 	})
 }
 
-// TestScripts runs every script.
+// TestScripts runs each script under testdata/script as a subtest.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                filepath.Join("testdata", "script"),
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -21,54 +21,59 @@
 	"mimosaarch.example/standin/engine"
 )
 
-// The engines of the test, both processes; one checks fences.
+// IDs of the engines. The first rejects orders with an old fencing token, the
+// second obeys every order.
 const (
-	checking   = "checking"
-	unchecking = "unchecking"
+	checkingEngine    = "checking"
+	nonCheckingEngine = "unchecking"
 )
 
-// termStart bounds the time from a term's begin to its first orders: a term
-// begins with the last minute's loads taken for used up.
-const termStart = 70 * time.Second
+// maxTermStart bounds the time from the start of a term to its first orders. A
+// new lease holder must assume that the loads allowed per minute are used up, so
+// it waits for a minute.
+const maxTermStart = 70 * time.Second
 
-// ordersFleet is two candidates for the lease of one platform, and two engines.
+// ordersFleet is two engines and two candidates for the lease on sending them
+// orders. Both candidates use the same platform.
 type ordersFleet struct {
-	addresses map[ids.Upstream]string
-	holders   []*holder
+	addresses  map[ids.Upstream]string
+	candidates []*candidate
 }
 
-// holder is one candidate. It can be cut off from the platform without an
-// answer.
-type holder struct {
+// candidate is a candidate for the lease that can be disconnected from the
+// platform: its calls then get no answer.
+type candidate struct {
 	*platform.Client
-	duty *orders.Controller
+	controller *orders.Controller
 
-	mu  sync.Mutex
-	cut bool
-	// sent are the orders that reached an engine, with the lease as it stood.
+	mu           sync.Mutex
+	disconnected bool
+	// sent holds all orders except those that never left the candidate.
 	sent []sentOrder
 }
 
-// sentOrder is an order given.
+// sentOrder is an order, the time of sending it, and whether the candidate then
+// held the lease.
 type sentOrder struct {
 	order.Send
 	at   time.Time
 	held bool
 }
 
-// silence cuts the holder off.
-func (h *holder) silence() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.cut = true
+// disconnect disconnects the candidate from the platform.
+func (c *candidate) disconnect() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.disconnected = true
 }
 
-// silent waits for the end of the call if the holder is cut off.
-func (h *holder) silent(ctx context.Context) error {
-	h.mu.Lock()
-	cut := h.cut
-	h.mu.Unlock()
-	if !cut {
+// waitIfDisconnected returns nil if the candidate is connected. Else it waits
+// until ctx ends and returns a *platform.UnavailableError.
+func (c *candidate) waitIfDisconnected(ctx context.Context) error {
+	c.mu.Lock()
+	disconnected := c.disconnected
+	c.mu.Unlock()
+	if !disconnected {
 		return nil
 	}
 	<-ctx.Done()
@@ -76,53 +81,56 @@
 }
 
 // Get implements orders.Platform.
-func (h *holder) Get(ctx context.Context, key string) (platformapi.Object, error) {
-	if err := h.silent(ctx); err != nil {
+func (c *candidate) Get(ctx context.Context, key string) (platformapi.Object, error) {
+	if err := c.waitIfDisconnected(ctx); err != nil {
 		return platformapi.Object{}, err
 	}
-	return h.Client.Get(ctx, key)
+	return c.Client.Get(ctx, key)
 }
 
 // Put implements orders.Platform.
-func (h *holder) Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error) {
-	if err := h.silent(ctx); err != nil {
+func (c *candidate) Put(ctx context.Context, key string, value []byte, ifMatch int64) (platformapi.Object, error) {
+	if err := c.waitIfDisconnected(ctx); err != nil {
 		return platformapi.Object{}, err
 	}
-	return h.Client.Put(ctx, key, value, ifMatch)
+	return c.Client.Put(ctx, key, value, ifMatch)
 }
 
 // List implements orders.Platform.
-func (h *holder) List(ctx context.Context, prefix string) (platformapi.ListReply, error) {
-	if err := h.silent(ctx); err != nil {
+func (c *candidate) List(ctx context.Context, prefix string) (platformapi.ListReply, error) {
+	if err := c.waitIfDisconnected(ctx); err != nil {
 		return platformapi.ListReply{}, err
 	}
-	return h.Client.List(ctx, prefix)
+	return c.Client.List(ctx, prefix)
 }
 
-// send gives an order and notes it.
-func (h *holder) send(ctx context.Context, address string, s order.Send) order.Result {
-	noted := sentOrder{Send: s, at: time.Now(), held: h.duty.Status().Held}
+// send sends an order to the engine at address and records it unless it was
+// skipped.
+func (c *candidate) send(ctx context.Context, address string, s order.Send) order.Result {
+	sent := sentOrder{Send: s, at: time.Now(), held: c.controller.Status().Held}
 	result := orders.Send(ctx, address, s)
 	if result == order.Skipped {
 		return result
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.sent = append(h.sent, noted)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sent = append(c.sent, sent)
 	return result
 }
 
-// given lists the orders sent.
-func (h *holder) given() []sentOrder {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.Clone(h.sent)
+// sentOrders returns a copy of the orders recorded by send.
+func (c *candidate) sentOrders() []sentOrder {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.sent)
 }
 
-// plan is what an engine is to hold.
-func plan(name string, checks bool) []byte {
+// encodePlan returns the JSON of a plan that assigns one layer of a model to an
+// engine.
+func encodePlan(name string, checks bool) []byte {
 	value, _ := json.Marshal(order.Plan{
-		// More than the engines hold, so that no chain is lost by a load.
+		// One layer more than the engines hold: there is no complete chain, so
+		// loading an engine can't break one and is never put off for that.
 		Layers:      2,
 		ChecksFence: checks,
 		Engines:     []order.Assignment{{Engine: ids.Upstream(name), Model: "m", Version: "2"}},
@@ -130,8 +138,9 @@
 	return value
 }
 
-// startForOrders starts a process of the test and gives its address.
-func startForOrders(t *testing.T, args ...string) string {
+// startProcess starts a command, which is killed when the test ends, and returns
+// its address.
+func startProcess(t *testing.T, args ...string) string {
 	t.Helper()
 	address, stop, err := lang.Start(t.TempDir(), args...)
 	if err != nil {
@@ -141,7 +150,7 @@
 	return address
 }
 
-// ordersSeen reads the orders that an engine was given.
+// ordersSeen returns the orders that an engine received, in order of arrival.
 func ordersSeen(t *testing.T, address string) []engine.OrderSeen {
 	t.Helper()
 	var seen []engine.OrderSeen
@@ -151,34 +160,35 @@
 	return seen
 }
 
-// candidate makes a holder and runs its duty until ctx ends.
-func (f *ordersFleet) candidate(ctx context.Context, t *testing.T, name, address string) *holder {
+// startCandidate starts a candidate that runs until ctx is cancelled. address is
+// that of the platform.
+func (f *ordersFleet) startCandidate(ctx context.Context, t *testing.T, name, address string) *candidate {
 	t.Helper()
 	client, err := platform.New(platform.Settings{Addresses: []string{address}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &holder{Client: client}
-	h.duty = orders.New(orders.Options{
+	c := &candidate{Client: client}
+	c.controller = orders.New(orders.Options{
 		Lease:    lease.Options{Holder: name},
 		Order:    order.Options{RetryInterval: time.Second},
-		Platform: h,
+		Platform: c,
 		Address:  func(id ids.Upstream) string { return f.addresses[id] },
-		Send:     h.send,
+		Send:     c.send,
 	})
-	go h.duty.Run(ctx)
-	go h.report(ctx)
-	return h
+	go c.controller.Run(ctx)
+	go c.reportLoads(ctx)
+	return c
 }
 
-// report tells the duty each second that neither engine holds what is wanted,
-// so that it repeats its orders as long as it may.
-func (h *holder) report(ctx context.Context) {
+// reportLoads reports each second that both engines hold an old model, so that
+// the controller keeps repeating its orders while it has the lease.
+func (c *candidate) reportLoads(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
-		for _, name := range []string{checking, unchecking} {
-			_ = h.duty.Reported(engineapi.LoadReport{Engine: name, Epoch: "x", Model: "old"})
+		for _, name := range []string{checkingEngine, nonCheckingEngine} {
+			_ = c.controller.Reported(engineapi.LoadReport{Engine: name, Epoch: "x", Model: "old"})
 		}
 		select {
 		case <-ticker.C:
@@ -188,34 +198,36 @@
 	}
 }
 
-// TestOrdersOfALapsedHolder cuts the holder of the lease off from the platform
-// while it gives orders. The platform and the engines are processes; the
-// candidates run here, by a clock that moves only while they wait.
+// TestOrdersOfALapsedHolder disconnects the lease holder from the platform while
+// it sends orders. It must stop when its lease lapses, the other candidate must
+// take over, and an engine that checks fencing tokens must reject a late order
+// of the first. The platform and the engines are processes; the candidates run
+// in the test with the fake clock of synctest.
 func TestOrdersOfALapsedHolder(t *testing.T) {
-	store := startForOrders(t, "platform")
+	store := startProcess(t, "platform")
 	f := &ordersFleet{addresses: map[ids.Upstream]string{
-		checking:   startForOrders(t, "engine", "--id", checking, "--check-fence"),
-		unchecking: startForOrders(t, "engine", "--id", unchecking),
+		checkingEngine:    startProcess(t, "engine", "--id", checkingEngine, "--check-fence"),
+		nonCheckingEngine: startProcess(t, "engine", "--id", nonCheckingEngine),
 	}}
 	publishPlans(t, store)
 	var late sentOrder
 	synctest.Test(t, func(t *testing.T) { late = f.takeover(t, store) })
 
-	// An order of the old holder that was under way all the time arrives now.
-	before := ordersSeen(t, f.addresses[checking])
-	if got := orders.Send(t.Context(), f.addresses[checking], late.Send); got != order.Stale {
-		t.Errorf("the late order's result: %v, not stale", got)
+	// Now an order of the first holder arrives late.
+	before := ordersSeen(t, f.addresses[checkingEngine])
+	if got := orders.Send(t.Context(), f.addresses[checkingEngine], late.Send); got != order.Stale {
+		t.Errorf("result of the late order is %v, want stale", got)
 	}
-	after := ordersSeen(t, f.addresses[checking])
+	after := ordersSeen(t, f.addresses[checkingEngine])
 	if len(after) != len(before)+1 || after[len(after)-1].Applied {
-		t.Errorf("the late order was not refused: %v", after[len(before):])
+		t.Errorf("the engine did not refuse the late order: %v", after[len(before):])
 	}
 	for name, address := range f.addresses {
 		checkFences(t, string(name), ordersSeen(t, address))
 	}
 }
 
-// publishPlans writes the plans to the store.
+// publishPlans writes a plan for each engine to the platform.
 func publishPlans(t *testing.T, store string) {
 	t.Helper()
 	client, err := platform.New(platform.Settings{Addresses: []string{store}})
@@ -223,80 +235,86 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	for name, checks := range map[string]bool{checking: true, unchecking: false} {
-		if _, err := client.Put(t.Context(), order.Key(ids.Service(name)), plan(name, checks), 0); err != nil {
+	for name, checks := range map[string]bool{checkingEngine: true, nonCheckingEngine: false} {
+		if _, err := client.Put(t.Context(), order.Key(ids.Service(name)), encodePlan(name, checks), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// takeover cuts the first holder off, waits until the other has given orders,
-// and gives an order of the first.
+// takeover disconnects the lease holder, waits until the other candidate has
+// taken over and sent orders, and checks the orders of both. It returns the
+// first order of the first holder.
 func (f *ordersFleet) takeover(t *testing.T, store string) sentOrder {
 	ctx, stop := context.WithCancel(t.Context())
 	defer f.end(stop)
-	f.holders = []*holder{f.candidate(ctx, t, "a", store), f.candidate(ctx, t, "b", store)}
-	<-time.After(termStart)
-	first, second := f.holders[0], f.holders[1]
-	if second.duty.Status().Held {
+	f.candidates = []*candidate{f.startCandidate(ctx, t, "a", store), f.startCandidate(ctx, t, "b", store)}
+	<-time.After(maxTermStart)
+	first, second := f.candidates[0], f.candidates[1]
+	if second.controller.Status().Held {
 		first, second = second, first
 	}
-	if !first.duty.Status().Held || second.duty.Status().Held {
-		t.Fatal("not one holder")
+	if !first.controller.Status().Held || second.controller.Status().Held {
+		t.Fatal("want exactly one lease holder")
 	}
-	fence := first.duty.Status().Fence
-	first.silence()
-	cutAt := time.Now()
-	<-time.After(2*lease.DefaultDuration + termStart)
-	if status := second.duty.Status(); !status.Held || status.Fence <= fence || first.duty.Status().Held {
-		t.Errorf("no takeover with a higher fence: %+v after %d", status, fence)
+	fence := first.controller.Status().Fence
+	first.disconnect()
+	disconnectedAt := time.Now()
+	<-time.After(2*lease.DefaultDuration + maxTermStart)
+	if status := second.controller.Status(); !status.Held || status.Fence <= fence || first.controller.Status().Held {
+		t.Errorf("no takeover with a higher fencing token: %+v after %d", status, fence)
 	}
-	f.checkSent(t, first.given(), second.given(), cutAt)
-	if len(first.given()) == 0 {
-		t.Fatal("no orders to repeat")
+	f.checkSent(t, first.sentOrders(), second.sentOrders(), disconnectedAt)
+	if len(first.sentOrders()) == 0 {
+		t.Fatal("the first holder sent no orders")
 	}
-	return first.given()[0]
+	return first.sentOrders()[0]
 }
 
-// end stops the candidates.
+// end stops the candidates and closes their connections to the platform.
 func (f *ordersFleet) end(stop context.CancelFunc) {
 	stop()
-	for _, h := range f.holders {
-		h.Close()
+	for _, c := range f.candidates {
+		c.Close()
 	}
-	// What looks after idle connections ends by the clock.
+	// The goroutines that close idle connections end after some time by the
+	// fake clock.
 	<-time.After(time.Minute)
 }
 
-// checkSent checks what both holders sent to each engine.
-func (f *ordersFleet) checkSent(t *testing.T, first, second []sentOrder, cutAt time.Time) {
+// checkSent checks the orders of both holders to each engine: the first holder
+// goes on until its lease lapses and no longer, every order is sent with the
+// lease held, and the second sends none before the last of the first has timed
+// out.
+func (f *ordersFleet) checkSent(t *testing.T, first, second []sentOrder, disconnectedAt time.Time) {
 	t.Helper()
 	for name := range f.addresses {
-		of := func(s sentOrder) bool { return s.Engine != name }
-		older, newer := slices.DeleteFunc(slices.Clone(first), of), slices.DeleteFunc(slices.Clone(second), of)
+		toOther := func(s sentOrder) bool { return s.Engine != name }
+		older, newer := slices.DeleteFunc(slices.Clone(first), toOther), slices.DeleteFunc(slices.Clone(second), toOther)
 		if len(older) == 0 || len(newer) == 0 {
-			t.Errorf("%s: %d orders of the first holder, %d of the second", name, len(older), len(newer))
+			t.Errorf("%s: %d orders of the first holder and %d of the second, want some of both", name, len(older), len(newer))
 			continue
 		}
 		last := older[len(older)-1]
-		if !last.at.After(cutAt) {
-			t.Errorf("%s: the cut holder gave no order while its lease ran", name)
+		if !last.at.After(disconnectedAt) {
+			t.Errorf("%s: the disconnected holder sent no order while its lease lasted", name)
 		}
-		if bound := cutAt.Add(lease.DefaultDuration); last.at.After(bound) {
-			t.Errorf("%s: an order %v after the lease had lapsed", name, last.at.Sub(bound))
+		if bound := disconnectedAt.Add(lease.DefaultDuration); last.at.After(bound) {
+			t.Errorf("%s: an order was sent %v after the lease had lapsed", name, last.at.Sub(bound))
 		}
 		for _, s := range slices.Concat(older, newer) {
 			if !s.held {
-				t.Errorf("%s: an order without the lease: %+v", name, s.Order)
+				t.Errorf("%s: an order was sent without the lease: %+v", name, s.Order)
 			}
 		}
 		if !newer[0].at.After(last.at.Add(last.Timeout)) {
-			t.Errorf("%s: orders of two terms at once", name)
+			t.Errorf("%s: orders of two terms were in flight at once", name)
 		}
 	}
 }
 
-// checkFences checks that the orders an engine obeyed never went back.
+// checkFences checks that the fencing tokens of the orders that an engine
+// applied never decrease, and that they are of exactly two terms.
 func checkFences(t *testing.T, name string, seen []engine.OrderSeen) {
 	t.Helper()
 	highest, terms := int64(0), 0
@@ -305,7 +323,7 @@
 			continue
 		}
 		if s.Order.Fence < highest {
-			t.Errorf("%s obeyed fence %d after %d", name, s.Order.Fence, highest)
+			t.Errorf("%s applied an order with fencing token %d after %d", name, s.Order.Fence, highest)
 		}
 		if s.Order.Fence > highest {
 			highest = s.Order.Fence
@@ -313,6 +331,6 @@
 		}
 	}
 	if terms != 2 {
-		t.Errorf("%s obeyed orders of %d terms, not 2", name, terms)
+		t.Errorf("%s applied orders of %d terms, want 2", name, terms)
 	}
 }
