--- a/mimosactl/losses/losses_test.go
+++ b/mimosactl/losses/losses_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// day is the log of two nodes, one of which starts again.
-const day = `built in 0.0 s
+// twoNodeLog is the log of two nodes, one of which restarts.
+const twoNodeLog = `built in 0.0 s
    0.1 n1 {"vm":"n1","event":"started","zone":"z1","time":"2026-08-31T10:00:00Z"}
 {"vm":"n2","event":"started","zone":"z2","time":"2026-08-31T10:00:00Z"}
 {"vm":"n1","event":"chain","request":"a","chain":"1.1.1.1:1=0-4,1.1.1.2:1=4-8","time":"2026-08-31T10:00:01Z"}
@@ -29,7 +29,7 @@
 `
 
 func TestLossesAreSummedByCause(t *testing.T) {
-	s, err := Read(strings.NewReader(day), 2*time.Second)
+	s, err := Read(strings.NewReader(twoNodeLog), 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,38 +39,38 @@
 	if diff := cmp.Diff(want, s.Causes); diff != "" {
 		t.Error(diff)
 	}
-	if s.Asked != 7 || s.Lost != 5 || s.Unexplained() != 1 || s.Skipped != 1 || s.Dropped != 7 {
+	if s.Attempts != 7 || s.Lost != 5 || s.Unexplained() != 1 || s.SkippedLines != 1 || s.DroppedLines != 7 {
 		t.Errorf("%+v", s)
 	}
 	if diff := cmp.Diff(map[string]int{"z1": 1, "z2": 4}, s.Zones); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(map[string]int{"calls.watch_config": 5, "refused.watch_config": 1}, s.Calls); diff != "" {
+	if diff := cmp.Diff(map[string]int{"calls.watch_config": 5, "refused.watch_config": 1}, s.StoreCalls); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(map[string]int{"1.1.1.2:1": 1}, s.Stages); diff != "" {
+	if diff := cmp.Diff(map[string]int{"1.1.1.2:1": 1}, s.ReplacedStages); diff != "" {
 		t.Error(diff)
 	}
 	total := 0
-	for i, m := range s.Moments {
-		if m.From != time.Duration(i)*2*time.Second {
-			t.Errorf("moment %d begins at %v", i, m.From)
+	for i, m := range s.Intervals {
+		if m.Start != time.Duration(i)*2*time.Second {
+			t.Errorf("interval %d starts at %v", i, m.Start)
 		}
 		for _, n := range m.ByKind {
 			total += n
 		}
 	}
 	if total != s.Lost {
-		t.Errorf("moments hold %d losses of %d", total, s.Lost)
+		t.Errorf("intervals hold %d losses of %d", total, s.Lost)
 	}
-	if top := s.Top(); len(top) != 5 || top[0].Kind != Cut {
-		t.Errorf("top %v", top)
+	if top := s.CausesByCount(); len(top) != 5 || top[0].Kind != Cut {
+		t.Errorf("causes by count %v", top)
 	}
 }
 
-func TestEmptyLogIsNoLoss(t *testing.T) {
+func TestEmptyLogHasNoLosses(t *testing.T) {
 	s, err := Read(strings.NewReader(""), time.Second)
-	if err != nil || s.Asked != 0 || len(s.Moments) != 0 {
+	if err != nil || s.Attempts != 0 || len(s.Intervals) != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
