--- a/scenario/lang/condition.go
+++ b/scenario/lang/condition.go
@@ -8,94 +8,103 @@
 	"github.com/valyala/fasthttp"
 )
 
-// condition is something that a script checks at once or waits for; it gives
-// nil when it holds.
-type condition func(ts *testscript.TestScript, w *world, args []string) error
+// condition is the implementation of a condition that a script checks or waits
+// for. It returns nil if the condition holds, else an error that says why not.
+type condition func(ts *testscript.TestScript, st *scriptState, args []string) error
 
-// conditions are those that check and await know, with their arguments. N is a
-// bound such as =3, >=3 or <=3.
+// conditions are the conditions of check and await, by name, with their
+// arguments. N is a bound such as =3, >=3 or <=3. A NAME, NODE, ENGINE, PLAIN or
+// PLATFORM is that of a spawned process.
 var conditions = map[string]condition{
-	// ready NODE...: the nodes take requests.
+	// ready NODE...: all the nodes are ready.
 	"ready": readyIs(fasthttp.StatusOK),
-	// unready NODE...: the nodes take no requests.
+	// unready NODE...: none of the nodes is ready.
 	"unready": readyIs(fasthttp.StatusServiceUnavailable),
-	// metric NODE NAME N: a counter.
+	// metric NODE NAME N: the value of a counter of the node.
 	"metric": metric,
-	// tokens REQUEST N: the tokens received so far.
+	// tokens REQUEST N: the number of tokens received so far.
 	"tokens": tokens,
-	// starts N ENGINE...: the attempts started on all the engines.
+	// starts N ENGINE...: the number of attempts started, over all the engines.
 	"starts": starts,
-	// running N ENGINE...: the requests running on all the engines as heads.
+	// running N ENGINE...: the number of requests that run now with one of the
+	// engines as the head of their chain.
 	"running": running,
-	// exact ENGINE...: each token cited each layer once, in order.
+	// exact ENGINE...: each token passed through each layer once, in order.
 	"exact": exact,
-	// executions METHOD N PLAIN...: the calls executed on all the services.
+	// executions METHOD N PLAIN...: the number of calls with the HTTP method
+	// that were executed, over all the plain services.
 	"executions": executions,
-	// once N PLAIN...: N bodies were executed, each once on all the services.
+	// once N PLAIN...: the number of distinct bodies executed, each of them
+	// only once over all the plain services.
 	"once": once,
-	// answers N GROUP... FIELD=VALUE...: the ended calls of groups that "calls"
-	// made, with these fields.
+	// answers N GROUP... FIELD=VALUE...: the number of ended calls of the
+	// groups made by "calls" that have these field values.
 	"answers": answers,
-	// outcomes N ADDRESS OUTCOME METHOD PATH OPTION...: as outcome, for the N
-	// keys of a group of calls.
+	// outcomes N ADDRESS OUTCOME METHOD PATH OPTION...: as outcome, with the
+	// key and body of each of the N calls of a group.
 	"outcomes": outcomesAre,
-	// sum NAME N NODE...: a counter, summed over nodes.
+	// sum NAME N NODE...: the sum of a counter over the nodes.
 	"sum": metricSum,
-	// exit NAME CODE: the process has ended.
+	// exit NAME CODE: the process has exited with the code.
 	"exit": exited,
-	// ended REQUEST...: the answers have ended.
+	// ended REQUEST...: the answers to all the requests have ended.
 	"ended": ended,
-	// accepted LINK N: the connections a link has accepted.
+	// accepted LINK N: the number of connections that the link has accepted.
 	"accepted": accepted,
-	// stats PLATFORM NAME N: a count of the platform's calls.
+	// stats PLATFORM NAME N: a count of calls from the platform's statistics.
 	"stats": stats,
-	// outcome ADDRESS OUTCOME METHOD PATH OPTION...: a call of the plain service,
-	// made for each look, has the outcome.
+	// outcome ADDRESS OUTCOME METHOD PATH OPTION...: a call of the plain service
+	// gets the outcome. Each evaluation makes a new call.
 	"outcome": outcomeIs,
-	// documents NODE N: the configuration documents in force.
+	// documents NODE N: the number of configuration documents in force.
 	"documents": documentsInForce,
-	// peers NODE PEER...: all the peers that a node knows, in order.
+	// peers NODE PEER...: the peers that the node knows are exactly these, given
+	// in sorted order.
 	"peers": peersAre,
-	// upstream NODE STATE UPSTREAM...: how a node sees the upstreams.
+	// upstream NODE STATE UPSTREAM...: the node reports STATE for all the upstreams.
 	"upstream": upstream,
-	// dead N NAME...: how many of the processes have ended.
+	// dead N NAME...: the number of these processes that have ended.
 	"dead": dead,
-	// received SERVER N: the requests a tcp server has read.
+	// received SERVER N: the number of requests that a tcp server has read.
 	"received": received,
 }
 
-// check is "check CONDITION ARG...": the condition holds now.
+// check is the command "check CONDITION ARG...". It fails unless the condition
+// holds now; with "!" it fails if the condition holds.
 func check(ts *testscript.TestScript, neg bool, args []string) {
-	holds := find(ts, args)
-	err := holds()
+	evaluate := bindCondition(ts, args)
+	err := evaluate()
 	if neg == (err == nil) {
 		ts.Fatalf("%s: negated %v, error %v", strings.Join(args, " "), neg, err)
 	}
 }
 
-// await is "await CONDITION ARG...": it waits until the condition holds.
+// await is the command "await CONDITION ARG...". It waits until the condition
+// holds and fails after maxWait.
 func await(ts *testscript.TestScript, neg bool, args []string) {
 	if neg {
 		ts.Fatalf("await can't be negated")
 	}
-	ts.Check(eventually(find(ts, args)))
+	ts.Check(eventually(bindCondition(ts, args)))
 }
 
-// find binds a condition to its arguments.
-func find(ts *testscript.TestScript, args []string) func() error {
+// bindCondition returns a function that evaluates the condition args[0] with the
+// other arguments. It fails the script if the condition is unknown.
+func bindCondition(ts *testscript.TestScript, args []string) func() error {
 	if len(args) < 2 {
 		ts.Fatalf("usage: check|await condition argument...")
 	}
-	holds := conditions[args[0]]
-	if holds == nil {
+	evaluate := conditions[args[0]]
+	if evaluate == nil {
 		ts.Fatalf("unknown condition %q", args[0])
 	}
-	w := worldOf(ts)
-	return func() error { return holds(ts, w, args[1:]) }
+	st := stateOf(ts)
+	return func() error { return evaluate(ts, st, args[1:]) }
 }
 
-// bounded tells how n misses a bound such as >=3.
-func bounded(n int, bound string) error {
+// checkBound returns an error if n does not satisfy a bound such as >=3, or if
+// the bound can't be parsed.
+func checkBound(n int, bound string) error {
 	digits := strings.TrimLeft(bound, "<>=")
 	want, err := strconv.Atoi(digits)
 	if err != nil {
@@ -110,35 +119,35 @@
 	case "<=":
 		holds = n <= want
 	default:
-		return mismatch("no such bound: %q", bound)
+		return mismatch("invalid bound %q, expected one such as =3, >=3 or <=3", bound)
 	}
 	if !holds {
-		return mismatch("%d, not %s", n, bound)
+		return mismatch("got %d, want %s", n, bound)
 	}
 	return nil
 }
 
-// tokens is a condition.
-func tokens(ts *testscript.TestScript, w *world, args []string) error {
-	return bounded(int(w.request(ts, args[0]).tokens.Load()), args[1])
+// tokens checks the number of tokens that a request has received.
+func tokens(ts *testscript.TestScript, st *scriptState, args []string) error {
+	return checkBound(int(st.request(ts, args[0]).tokens.Load()), args[1])
 }
 
-// exited is a condition.
-func exited(ts *testscript.TestScript, w *world, args []string) error {
-	p := w.process(ts, args[0])
+// exited checks that a process has ended, and its exit code.
+func exited(ts *testscript.TestScript, st *scriptState, args []string) error {
+	p := st.process(ts, args[0])
 	select {
 	case <-p.ended:
-		return bounded(p.code, "="+args[1])
+		return checkBound(p.code, "="+args[1])
 	default:
-		return mismatch("%s still runs", args[0])
+		return mismatch("%s is still running", args[0])
 	}
 }
 
-// ended is a condition.
-func ended(ts *testscript.TestScript, w *world, args []string) error {
+// ended checks that the answers to requests have ended.
+func ended(ts *testscript.TestScript, st *scriptState, args []string) error {
 	for _, name := range args {
 		select {
-		case <-w.request(ts, name).done:
+		case <-st.request(ts, name).done:
 		default:
 			return mismatch("%s has not ended", name)
 		}
@@ -146,20 +155,20 @@
 	return nil
 }
 
-// dead is a condition.
-func dead(ts *testscript.TestScript, w *world, args []string) error {
+// dead checks how many of several processes have ended.
+func dead(ts *testscript.TestScript, st *scriptState, args []string) error {
 	n := 0
 	for _, name := range args[1:] {
 		select {
-		case <-w.process(ts, name).ended:
+		case <-st.process(ts, name).ended:
 			n++
 		default:
 		}
 	}
-	return bounded(n, args[0])
+	return checkBound(n, args[0])
 }
 
-// received is a condition.
-func received(_ *testscript.TestScript, w *world, args []string) error {
-	return bounded(w.servers[args[0]].count(), args[1])
+// received checks the number of requests that a tcp server has read.
+func received(_ *testscript.TestScript, st *scriptState, args []string) error {
+	return checkBound(st.servers[args[0]].count(), args[1])
 }
--- a/scenario/lang/group.go
+++ b/scenario/lang/group.go
@@ -8,47 +8,49 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// callMany is "calls NAME N ADDRESS METHOD PATH OPTION...": it makes N calls of
-// the plain service at once, the requests NAME-1 and so on. A key and a body
-// get the same ending.
+// callMany is the command "calls NAME N ADDRESS METHOD PATH OPTION...". It starts
+// N concurrent calls of the plain service, the requests NAME-1 to NAME-N. The
+// key and the body of each, if given, get the same suffix as its name.
 func callMany(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 5 {
 		ts.Fatalf("usage: calls name n address method path [option=value...]")
 	}
 	for i := range number(ts, args[1]) {
-		call := append([]string{args[0] + ending(i)}, args[2:]...)
-		callPlain(ts, false, ownKey(call, i))
+		call := append([]string{args[0] + callSuffix(i)}, args[2:]...)
+		callPlain(ts, false, addCallSuffix(call, i))
 	}
 }
 
-// ending is what the names and keys of a group's call i end with.
-func ending(i int) string { return "-" + strconv.Itoa(i+1) }
+// callSuffix returns the suffix of the name, key and body of call i of a group,
+// counted from 0.
+func callSuffix(i int) string { return "-" + strconv.Itoa(i+1) }
 
-// ownKey gives a call of a group its own key and body.
-func ownKey(call []string, i int) []string {
-	own := slices.Clone(call)
-	for at, arg := range own {
+// addCallSuffix returns a copy of a call's arguments in which the key and the
+// body have the suffix of call i.
+func addCallSuffix(call []string, i int) []string {
+	out := slices.Clone(call)
+	for at, arg := range out {
 		if strings.HasPrefix(arg, "key=") || strings.HasPrefix(arg, "body=") {
-			own[at] = arg + ending(i)
+			out[at] = arg + callSuffix(i)
 		}
 	}
-	return own
+	return out
 }
 
-// outcomesAre is a condition: each call of a group, made for each look, has
-// the outcome.
-func outcomesAre(ts *testscript.TestScript, w *world, args []string) error {
+// outcomesAre checks that each call of a group, sent again with its key and
+// body, gets the outcome.
+func outcomesAre(ts *testscript.TestScript, st *scriptState, args []string) error {
 	for i := range number(ts, args[0]) {
-		if err := outcomeIs(ts, w, ownKey(args[1:], i)); err != nil {
+		if err := outcomeIs(ts, st, addCallSuffix(args[1:], i)); err != nil {
 			return mismatch("call %d: %v", i+1, err)
 		}
 	}
 	return nil
 }
 
-// answers is a condition: how many of the calls that groups made have ended
-// and have the fields' values.
-func answers(ts *testscript.TestScript, w *world, args []string) error {
+// answers checks how many calls of some groups have ended with the given field
+// values. The error also counts the calls by outcome, reason and status.
+func answers(ts *testscript.TestScript, st *scriptState, args []string) error {
 	var groups, fields []string
 	for _, arg := range args[1:] {
 		if strings.Contains(arg, "=") {
@@ -58,31 +60,32 @@
 		}
 	}
 	n, seen := 0, make(map[string]int)
-	for name, r := range w.requests {
-		group, _, many := strings.Cut(name, "-")
-		if !many || !oneOf(group, strings.Join(groups, "|")) {
+	for name, r := range st.requests {
+		group, _, inGroup := strings.Cut(name, "-")
+		if !inGroup || !oneOf(group, strings.Join(groups, "|")) {
 			continue
 		}
 		select {
 		case <-r.done:
 		default:
-			seen["under way"]++
+			seen["in flight"]++
 			continue
 		}
 		got := r.fields()
 		seen[got["outcome"]+" "+got["reason"]+" "+got["status"]]++
-		if r.has(ts, fields) {
+		if r.hasFields(ts, fields) {
 			n++
 		}
 	}
-	if err := bounded(n, args[0]); err != nil {
-		return mismatch("%v: %v", err, seen)
+	if err := checkBound(n, args[0]); err != nil {
+		return mismatch("%v, all answers: %v", err, seen)
 	}
 	return nil
 }
 
-// has reports whether an ended request has the fields' values.
-func (r *request) has(ts *testscript.TestScript, fields []string) bool {
+// hasFields reports whether an ended request has all the field values, each of
+// the form "name=value" or "name=value|value".
+func (r *request) hasFields(ts *testscript.TestScript, fields []string) bool {
 	got := r.fields()
 	for _, arg := range fields {
 		field, want, _ := strings.Cut(arg, "=")
@@ -97,15 +100,15 @@
 	return true
 }
 
-// metricSum is a condition: a counter, summed over nodes.
-func metricSum(ts *testscript.TestScript, w *world, args []string) error {
+// metricSum checks the sum of a counter over several nodes.
+func metricSum(ts *testscript.TestScript, st *scriptState, args []string) error {
 	sum := 0
 	for _, name := range args[2:] {
-		n, err := counter(w.process(ts, name), args[0])
+		n, err := counter(st.process(ts, name), args[0])
 		if err != nil {
 			return err
 		}
 		sum += n
 	}
-	return bounded(sum, args[1])
+	return checkBound(sum, args[1])
 }
--- a/scenario/lang/lang.go
+++ b/scenario/lang/lang.go
@@ -1,6 +1,6 @@
-// Package lang is the small language that scenarios are written in: commands and
-// conditions for testscript that start processes, bring failures about, send
-// requests and check what became of them. A command that fails ends its script.
+// Package lang implements the commands of the scenario scripts for testscript.
+// They start nodes and stand-ins as processes, inject failures, send requests,
+// and check answers and states. A command that fails ends its script.
 package lang
 
 import (
@@ -12,10 +12,12 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// command is one command of the scripts.
+// command is the implementation of a script command. neg is true if the command
+// is preceded by "!", which most commands don't allow.
 type command = func(ts *testscript.TestScript, neg bool, args []string)
 
-// Commands gives the commands of scripts besides testscript's own, by name.
+// Commands returns the commands that scripts have in addition to testscript's
+// own, by name.
 func Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	return map[string]command{
 		"spawn":   spawn,
@@ -40,54 +42,58 @@
 	}
 }
 
-// worldKey is the key of the script's world in its values.
-type worldKey struct{}
+// stateKey is the key of a script's state in testscript's values.
+type stateKey struct{}
 
-// Setup gives a script its world and the configuration that most publish.
+// Setup prepares a script: it creates the script's state and copies the
+// configuration documents of testdata/config to its directory config.
 func Setup(env *testscript.Env) error {
-	w := newWorld(env)
-	env.Values[worldKey{}] = w
-	env.Defer(w.close)
+	st := newScriptState(env)
+	env.Values[stateKey{}] = st
+	env.Defer(st.close)
 	return os.CopyFS(filepath.Join(env.WorkDir, "config"), os.DirFS(filepath.Join("testdata", "config")))
 }
 
-// worldOf gives the script's world.
-func worldOf(ts *testscript.TestScript) *world {
-	return ts.Value(worldKey{}).(*world)
+// stateOf returns the script's state.
+func stateOf(ts *testscript.TestScript) *scriptState {
+	return ts.Value(stateKey{}).(*scriptState)
 }
 
-// Bounds of a wait for a condition, which is polled.
+// Conditions are polled every pollInterval. maxWait bounds that wait, and others
+// for an answer or a connection.
 const (
-	waitAtMost = 20 * time.Second
-	pollEvery  = 5 * time.Millisecond
+	maxWait      = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// eventually polls until the condition holds; the error is its last.
-func eventually(holds func() error) error {
-	ticker := time.NewTicker(pollEvery)
+// eventually evaluates a condition until it returns nil, for at most maxWait. It
+// returns the last error.
+func eventually(evaluate func() error) error {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	bound := time.After(waitAtMost)
+	timeout := time.After(maxWait)
 	for {
-		err := holds()
+		err := evaluate()
 		if err == nil {
 			return nil
 		}
 		select {
-		case <-bound:
+		case <-timeout:
 			return err
 		case <-ticker.C:
 		}
 	}
 }
 
-// MismatchError tells that a condition does not hold, or that a command cannot
-// be carried out as it is written.
+// MismatchError reports that a condition does not hold, that an answer is not the
+// expected one, or that a process ended before it was ready. Detail says what
+// was found.
 type MismatchError struct{ Detail string }
 
 // Error implements error.
 func (e *MismatchError) Error() string { return e.Detail }
 
-// mismatch makes a MismatchError.
+// mismatch returns a *MismatchError with a formatted detail.
 func mismatch(format string, args ...any) error {
 	return &MismatchError{Detail: fmt.Sprintf(format, args...)}
 }
--- a/scenario/lang/node_condition.go
+++ b/scenario/lang/node_condition.go
@@ -11,32 +11,34 @@
 	"mimosaarch.example/decide/router"
 )
 
-// readyIs waits for a status of the readiness check.
+// readyIs returns a condition that checks the HTTP status of the readiness
+// endpoint of nodes.
 func readyIs(status int) condition {
-	return func(ts *testscript.TestScript, w *world, args []string) error {
+	return func(ts *testscript.TestScript, st *scriptState, args []string) error {
 		for _, name := range args {
-			code, _, err := fasthttp.Get(nil, "http://"+w.process(ts, name).operators+"/readyz")
+			code, _, err := fasthttp.Get(nil, "http://"+st.process(ts, name).operators+"/readyz")
 			if err != nil {
 				return err
 			}
 			if code != status {
-				return mismatch("%s: readiness %d", name, code)
+				return mismatch("%s: readiness status is %d", name, code)
 			}
 		}
 		return nil
 	}
 }
 
-// metric is a condition.
-func metric(ts *testscript.TestScript, w *world, args []string) error {
-	n, err := counter(w.process(ts, args[0]), args[1])
+// metric checks the value of a node's counter.
+func metric(ts *testscript.TestScript, st *scriptState, args []string) error {
+	n, err := counter(st.process(ts, args[0]), args[1])
 	if err != nil {
 		return err
 	}
-	return bounded(n, args[2])
+	return checkBound(n, args[2])
 }
 
-// counter reads one of a node's counters; one not yet made is 0.
+// counter returns the value of a node's counter; 0 if the node doesn't have it
+// yet.
 func counter(p *process, name string) (int, error) {
 	_, body, err := fasthttp.Get(nil, "http://"+p.operators+"/metrics")
 	if err != nil {
@@ -49,26 +51,26 @@
 	return all[name].Count, nil
 }
 
-// outcomeIs is a condition.
-func outcomeIs(ts *testscript.TestScript, _ *world, args []string) error {
+// outcomeIs makes a call of the plain service and checks its outcome.
+func outcomeIs(ts *testscript.TestScript, _ *scriptState, args []string) error {
 	result, err := plainSender(ts, args[0], args[2:])(context.Background())
 	if err != nil {
 		return err
 	}
 	if !oneOf(string(result.Outcome), args[1]) {
-		return mismatch("%s (%s %s), not %s", result.Outcome, result.Reason, result.Message, args[1])
+		return mismatch("outcome is %s (%s %s), want %s", result.Outcome, result.Reason, result.Message, args[1])
 	}
 	return nil
 }
 
-// nodeStatus is the part of a node's status that scripts look at.
+// nodeStatus is the part of a node's status that conditions use.
 type nodeStatus struct {
 	router.Status
 	Config struct{ Objects []struct{ Key string } }
 	Peers  []struct{ VM string }
 }
 
-// statusOf asks a node for its status.
+// statusOf fetches a node's status from its operator port.
 func statusOf(p *process) (nodeStatus, error) {
 	var status nodeStatus
 	_, body, err := fasthttp.Get(nil, "http://"+p.operators+"/status")
@@ -78,18 +80,18 @@
 	return status, json.Unmarshal(body, &status)
 }
 
-// documentsInForce is a condition.
-func documentsInForce(ts *testscript.TestScript, w *world, args []string) error {
-	status, err := statusOf(w.process(ts, args[0]))
+// documentsInForce checks the number of a node's configuration documents.
+func documentsInForce(ts *testscript.TestScript, st *scriptState, args []string) error {
+	status, err := statusOf(st.process(ts, args[0]))
 	if err != nil {
 		return err
 	}
-	return bounded(len(status.Config.Objects), args[1])
+	return checkBound(len(status.Config.Objects), args[1])
 }
 
-// upstream is a condition.
-func upstream(ts *testscript.TestScript, w *world, args []string) error {
-	status, err := statusOf(w.process(ts, args[0]))
+// upstream checks the state that a node reports for upstreams.
+func upstream(ts *testscript.TestScript, st *scriptState, args []string) error {
+	status, err := statusOf(st.process(ts, args[0]))
 	if err != nil {
 		return err
 	}
@@ -99,15 +101,15 @@
 	}
 	for _, id := range args[2:] {
 		if states[id] != args[1] {
-			return mismatch("%s: %q, not %q", id, states[id], args[1])
+			return mismatch("%s: state is %q, want %q", id, states[id], args[1])
 		}
 	}
 	return nil
 }
 
-// peersAre is a condition.
-func peersAre(ts *testscript.TestScript, w *world, args []string) error {
-	status, err := statusOf(w.process(ts, args[0]))
+// peersAre checks the IDs of all peers that a node knows.
+func peersAre(ts *testscript.TestScript, st *scriptState, args []string) error {
+	status, err := statusOf(st.process(ts, args[0]))
 	if err != nil {
 		return err
 	}
@@ -117,7 +119,7 @@
 	}
 	slices.Sort(names)
 	if !slices.Equal(names, args[1:]) {
-		return mismatch("peers %v, not %v", names, args[1:])
+		return mismatch("peers are %v, want %v", names, args[1:])
 	}
 	return nil
 }
--- a/scenario/lang/peer.go
+++ b/scenario/lang/peer.go
@@ -17,11 +17,11 @@
 	"mimosaarch.example/core/peerapi"
 )
 
-// message is "message ADDRESS FORM FILE": it sends one message to a node as a
-// peer would and prints what comes back. Forms: bytes, the file as it is;
-// oversize, a head that tells of more bytes than are allowed; packed, the file
-// as a well-formed frame. After bytes and oversize the node has to end the
-// connection, and a packed one has to be answered.
+// message is the command "message ADDRESS FORM FILE". It sends a message to the
+// peer port of a node. The form bytes sends the file unchanged, and oversize
+// sends a length prefix above the limit; for both the node must close the
+// connection without an answer. The form packed sends the file as a valid frame,
+// which the node must answer; the answer is printed to stdout.
 func message(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 3 {
 		ts.Fatalf("usage: message address bytes|oversize|packed file")
@@ -29,11 +29,11 @@
 	text := []byte(ts.ReadFile(args[2]))
 	switch args[1] {
 	case "bytes":
-		ts.Check(refusedBytes(args[0], text))
+		ts.Check(expectClose(args[0], text))
 	case "oversize":
-		ts.Check(refusedBytes(args[0], binary.AppendUvarint(nil, peerapi.MaxMessageBytes+1)))
+		ts.Check(expectClose(args[0], binary.AppendUvarint(nil, peerapi.MaxMessageBytes+1)))
 	case "packed":
-		reply, err := peerCall(args[0], text)
+		reply, err := callPeer(args[0], text)
 		ts.Check(err)
 		_, err = fmt.Fprintf(ts.Stdout(), "%s\n", reply)
 		ts.Check(err)
@@ -42,58 +42,62 @@
 	}
 }
 
-// dialPeer connects as a peer would.
+// dialPeer connects to the peer port of a node, with maxWait for all reads and
+// writes together.
 func dialPeer(address string) (net.Conn, error) {
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	return conn, conn.SetDeadline(time.Now().Add(waitAtMost))
+	return conn, conn.SetDeadline(time.Now().Add(maxWait))
 }
 
-// refusedBytes sends bytes and waits for the node to end the connection without
-// an answer.
-func refusedBytes(address string, sent []byte) error {
+// expectClose sends bytes and waits for the node to close the connection. It
+// returns an error if the node answers or keeps the connection open.
+func expectClose(address string, data []byte) error {
 	conn, err := dialPeer(address)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = conn.Close() }()
-	if _, err := conn.Write(sent); err != nil {
+	if _, err := conn.Write(data); err != nil {
 		return err
 	}
 	got, err := io.ReadAll(conn)
 	switch {
 	case len(got) > 0:
-		return mismatch("an answer of %d bytes", len(got))
+		return mismatch("got an answer of %d bytes, want none", len(got))
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return err
 	}
-	// The end, or a reset since bytes were left unread.
+	// The read ended with EOF, or with a connection reset because the node left
+	// bytes unread.
 	return nil
 }
 
-// peerCall sends a frame and gives the plain text of the one that answers.
-func peerCall(address string, text []byte) ([]byte, error) {
+// callPeer sends a message in a frame and returns the decompressed message of
+// the answering frame.
+func callPeer(address string, text []byte) ([]byte, error) {
 	conn, err := dialPeer(address)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = conn.Close() }()
-	frame, err := pack(text)
+	frame, err := encodeFrame(text)
 	if err != nil {
 		return nil, err
 	}
 	if _, err := conn.Write(frame); err != nil {
 		return nil, err
 	}
-	return unpack(conn)
+	return readFrame(conn)
 }
 
-// pack frames a message.
-func pack(text []byte) ([]byte, error) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
+// encodeFrame compresses a message and prefixes it with its compressed length as
+// a varint.
+func encodeFrame(text []byte) ([]byte, error) {
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
 		return nil, err
 	}
@@ -101,26 +105,28 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	return append(binary.AppendUvarint(nil, uint64(packed.Len())), packed.Bytes()...), nil
+	return append(binary.AppendUvarint(nil, uint64(compressed.Len())), compressed.Bytes()...), nil
 }
 
-// unpack reads a frame, the first one of its direction.
-func unpack(conn net.Conn) ([]byte, error) {
+// readFrame reads the first frame on a connection and returns its decompressed
+// message, which must be JSON. It can't read later frames, which are compressed
+// with the earlier messages as their dictionary.
+func readFrame(conn net.Conn) ([]byte, error) {
 	var one [1]byte
-	var head []byte
-	for len(head) == 0 || head[len(head)-1]&0x80 != 0 {
+	var prefix []byte
+	for len(prefix) == 0 || prefix[len(prefix)-1]&0x80 != 0 {
 		if _, err := io.ReadFull(conn, one[:]); err != nil {
 			return nil, err
 		}
-		head = append(head, one[0])
+		prefix = append(prefix, one[0])
 	}
-	size, _ := binary.Uvarint(head)
-	plain, err := io.ReadAll(flate.NewReader(io.LimitReader(conn, int64(size))))
+	size, _ := binary.Uvarint(prefix)
+	text, err := io.ReadAll(flate.NewReader(io.LimitReader(conn, int64(size))))
 	if err != nil {
 		return nil, err
 	}
-	if !json.Valid(plain) {
-		return nil, mismatch("no JSON: %q", plain)
+	if !json.Valid(text) {
+		return nil, mismatch("the answer is not JSON: %q", text)
 	}
-	return plain, nil
+	return text, nil
 }
--- a/scenario/lang/process.go
+++ b/scenario/lang/process.go
@@ -16,31 +16,37 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// process is one command that a script runs in the background.
+// process is a command that runs in the background.
 type process struct {
 	name, kind string
 	cmd        *exec.Cmd
-	// started is closed once the process has told its addresses, or ended.
+	// started is closed once the process has printed its addresses, or has
+	// ended.
 	started chan struct{}
-	// ended is closed once the process has ended and its output is read.
+	// ended is closed once the process has ended and its output has been read.
+	// After that code is its exit code.
 	ended chan struct{}
 	code  int
 
-	mu   sync.Mutex
-	once sync.Once
-	// addr is where it is called, operators a node's operator port, peers
-	// where other nodes call it.
+	// startOnce closes started. mu guards the fields below.
+	mu        sync.Mutex
+	startOnce sync.Once
+	// addr is the address for callers; operators and peers are a node's
+	// addresses for operators and for other nodes.
 	addr, operators, peers string
 	output                 bytes.Buffer
 }
 
-// listeningPrefix starts the line with which the stand-ins tell their address.
+// listeningPrefix is the prefix of the line in which a stand-in prints its
+// address.
 const listeningPrefix = "listening "
 
-// startedMessage is the message with which a node tells its addresses.
+// startedMessage is the message of the log entry in which a node prints its
+// addresses.
 const startedMessage = "node started"
 
-// startProcess starts a command in a directory.
+// startProcess starts the command args in a directory and begins to read its
+// output.
 func startProcess(name, dir string, args []string) (*process, error) {
 	path, err := exec.LookPath(args[0])
 	if err != nil {
@@ -69,7 +75,7 @@
 	return p, nil
 }
 
-// read takes the process's output and then its exit code.
+// read collects the output until the process ends, and then its exit code.
 func (p *process) read(out io.ReadCloser) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
@@ -80,47 +86,48 @@
 	_ = p.cmd.Wait()
 	p.code = p.cmd.ProcessState.ExitCode()
 	close(p.ended)
-	p.once.Do(func() { close(p.started) })
+	p.startOnce.Do(func() { close(p.started) })
 }
 
-// line takes one line of output.
+// line records one line of output, and the addresses if the line has them.
 func (p *process) line(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.output.WriteString(text + "\n")
 	if addr, ok := strings.CutPrefix(text, listeningPrefix); ok {
 		p.addr = addr
-		p.once.Do(func() { close(p.started) })
+		p.startOnce.Do(func() { close(p.started) })
 		return
 	}
 	var entry struct{ Message, Callers, Operators, Peers string }
 	if p.kind == "mimosad" && json.Unmarshal([]byte(text), &entry) == nil && entry.Message == startedMessage {
 		p.addr, p.operators, p.peers = entry.Callers, entry.Operators, entry.Peers
-		p.once.Do(func() { close(p.started) })
+		p.startOnce.Do(func() { close(p.started) })
 	}
 }
 
-// log gives the output so far.
+// log returns the output so far.
 func (p *process) log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.String()
 }
 
-// kill ends the process, also when it is stopped, and waits for its end.
+// kill kills the process, also one stopped by SIGSTOP, and waits for its end.
 func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// spawn is "spawn NAME COMMAND ARG...": it starts a process, waits until it
-// tells its addresses, and sets $NAME, and $NAME_op and
-// $NAME_peers of a node or $NAME_control of a link.
+// spawn is the command "spawn NAME COMMAND ARG...". It starts a process and waits
+// until it has printed its addresses. It sets $NAME to the address for callers,
+// $NAME_op and $NAME_peers to a node's addresses for operators and peers, and
+// $NAME_control to a link's control address.
 func spawn(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: spawn name command [arg...]")
 	}
-	w := worldOf(ts)
+	st := stateOf(ts)
 	name, controlFile := args[0], ""
 	run := args[1:]
 	if run[0] == "link" {
@@ -129,7 +136,7 @@
 	}
 	p, err := startProcess(name, ts.MkAbs("."), run)
 	ts.Check(err)
-	w.add(p)
+	st.add(p)
 	<-p.started
 	if p.addr == "" {
 		ts.Fatalf("%s ended with code %d:\n%s", name, p.code, p.log())
@@ -142,7 +149,7 @@
 	}
 }
 
-// stages are the layers that the engines of a chain hold.
+// stages are the engines of a chain and the layers that each holds.
 var stages = []struct {
 	name        string
 	first, last string
@@ -152,8 +159,8 @@
 	{name: "tail", first: "9", last: "11"},
 }
 
-// chain is "chain SUFFIX FLAG...": it spawns the engines head_SUFFIX,
-// mid_SUFFIX and tail_SUFFIX.
+// chain is the command "chain SUFFIX FLAG...". It spawns the engines head_SUFFIX,
+// mid_SUFFIX and tail_SUFFIX, which together hold all layers of the model.
 func chain(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 {
 		ts.Fatalf("usage: chain suffix [flag...]")
@@ -168,8 +175,9 @@
 	}
 }
 
-// settingsForm are the settings that every node has.
-const settingsForm = `vm: %s
+// settingsTemplate formats the settings of a node from its name, its zone,
+// peersLine or "", and the platform's address.
+const settingsTemplate = `vm: %s
 zone: %s
 listen:
   callers: 127.0.0.1:0
@@ -177,14 +185,16 @@
 %splatform: [%s]
 `
 
-// peersLine is the setting of a node that other nodes may call.
+// peersLine is the setting that makes a node listen for peers.
 const peersLine = "  peers: 127.0.0.1:0\n"
 
-// defaultLines are settings that a script may set otherwise.
+// defaultLines are the settings of a node that a script may override. Short
+// intervals keep the scripts fast.
 var defaultLines = []string{"poll_interval: 50ms", "vm_list_interval: 50ms", "log_level: debug"}
 
-// node is "node NAME ZONE PLATFORM [peers] LINE...": it spawns a node. With
-// "peers" others may call it, at $NAME_peers.
+// node is the command "node NAME ZONE PLATFORM [peers] LINE...". It spawns a node
+// whose settings also have the given lines. With "peers" the node listens for
+// peers at $NAME_peers.
 func node(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 3 {
 		ts.Fatalf("usage: node name zone platform-address [peers] [settings-line...]")
@@ -193,22 +203,22 @@
 	if len(lines) > 0 && lines[0] == "peers" {
 		lines, peers = lines[1:], peersLine
 	}
-	text := fmt.Sprintf(settingsForm, args[0], args[1], peers, args[2])
-	text += strings.Join(append(missing(lines), lines...), "\n")
+	text := fmt.Sprintf(settingsTemplate, args[0], args[1], peers, args[2])
+	text += strings.Join(append(defaultsNotIn(lines), lines...), "\n")
 	file := ts.MkAbs(args[0] + ".yaml")
 	ts.Check(os.WriteFile(file, []byte(text), 0o600))
 	spawn(ts, false, []string{args[0], "mimosad", "--settings", file})
 }
 
-// missing gives the default lines whose setting is not among lines.
-func missing(lines []string) []string {
+// defaultsNotIn returns the default lines whose settings lines doesn't set.
+func defaultsNotIn(lines []string) []string {
 	return slices.DeleteFunc(slices.Clone(defaultLines), func(line string) bool {
 		name, _, _ := strings.Cut(line, " ")
 		return slices.ContainsFunc(lines, func(other string) bool { return strings.HasPrefix(other, name) })
 	})
 }
 
-// signals are those that scripts may send.
+// signals are the signals that scripts may send, by name.
 var signals = map[string]syscall.Signal{
 	"KILL": syscall.SIGKILL,
 	"STOP": syscall.SIGSTOP,
@@ -216,12 +226,13 @@
 	"TERM": syscall.SIGTERM,
 }
 
-// sendSignal is "signal NAME SIGNAL". After KILL it waits for the end.
+// sendSignal is the command "signal NAME SIGNAL". It sends a signal to a process
+// and, after KILL, waits for the process to end.
 func sendSignal(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: signal name signal")
 	}
-	p := worldOf(ts).process(ts, args[0])
+	p := stateOf(ts).process(ts, args[0])
 	sig, ok := signals[args[1]]
 	if !ok {
 		ts.Fatalf("unknown signal %q", args[1])
@@ -232,9 +243,9 @@
 	}
 }
 
-// Start starts a command in a directory and waits for its address; stop kills
-// it. The error is a *MismatchError, with what the command printed, or that of
-// starting it.
+// Start starts a command in a directory and waits until it has printed its
+// address for callers. stop kills it. If the command ends before, the error is a
+// *MismatchError with its output; otherwise it is that of starting the command.
 func Start(dir string, args ...string) (address string, stop func(), err error) {
 	p, err := startProcess(args[0], dir, args)
 	if err != nil {
@@ -243,7 +254,7 @@
 	<-p.started
 	if p.addr == "" {
 		p.kill()
-		return "", nil, mismatch("%v ended:\n%s", args, p.log())
+		return "", nil, mismatch("%v ended before it printed its address:\n%s", args, p.log())
 	}
 	return p.addr, p.kill, nil
 }
--- a/scenario/lang/raw.go
+++ b/scenario/lang/raw.go
@@ -12,9 +12,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// raw is "raw ADDRESS FILE [half]": it sends the bytes of a file, the lines of
-// its head ended as HTTP wants them, and prints the answer to stdout. With
-// "half" it then closes its sending side.
+// raw is the command "raw ADDRESS FILE [half]". It sends the HTTP request in a
+// file, with CRLF at the end of its header lines, and prints the status and body
+// of the answer to stdout. With "half" it closes the sending side of the
+// connection before it reads the answer.
 func raw(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: raw address file [half]")
@@ -24,7 +25,7 @@
 	conn, err := net.Dial("tcp4", args[0])
 	ts.Check(err)
 	defer func() { _ = conn.Close() }()
-	ts.Check(conn.SetDeadline(time.Now().Add(waitAtMost)))
+	ts.Check(conn.SetDeadline(time.Now().Add(maxWait)))
 	_, err = conn.Write([]byte(text))
 	ts.Check(err)
 	if len(args) > 2 {
@@ -36,16 +37,17 @@
 	ts.Check(err)
 }
 
-// tcpServer reads HTTP requests, counts them, and closes each connection
-// without an answer.
+// tcpServer is an upstream that reads one HTTP request on each connection, counts
+// it, and closes the connection without an answer.
 type tcpServer struct {
 	listener net.Listener
 
-	mu    sync.Mutex
-	reads int
+	// mu guards requests, the number of requests read.
+	mu       sync.Mutex
+	requests int
 }
 
-// tcp is "tcp NAME": it starts a tcpServer.
+// tcp is the command "tcp NAME". It starts a tcpServer.
 func tcp(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: tcp name")
@@ -53,24 +55,24 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	ts.Check(err)
 	s := &tcpServer{listener: listener}
-	worldOf(ts).servers[args[0]] = s
+	stateOf(ts).servers[args[0]] = s
 	go s.serve()
 }
 
-// addr is the address listened on.
+// addr returns the IP address and port that the server listens on.
 func (s *tcpServer) addr() string { return s.listener.Addr().String() }
 
-// close stops the server.
+// close closes the listener, which ends serve.
 func (s *tcpServer) close() { _ = s.listener.Close() }
 
-// count gives the requests read.
+// count returns the number of requests read.
 func (s *tcpServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reads
+	return s.requests
 }
 
-// serve takes connections until close.
+// serve accepts connections until close.
 func (s *tcpServer) serve() {
 	for {
 		conn, err := s.listener.Accept()
@@ -81,7 +83,7 @@
 	}
 }
 
-// read takes one request, whole, and hangs up.
+// read reads one whole request and closes the connection.
 func (s *tcpServer) read(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	var req fasthttp.Request
@@ -90,5 +92,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reads++
+	s.requests++
 }
--- a/scenario/lang/request.go
+++ b/scenario/lang/request.go
@@ -15,32 +15,36 @@
 	"mimosaarch.example/standin/engine"
 )
 
-// Names of the services that scripts use.
+// Names of the model service and the plain service of the scripts.
 const (
 	modelService = "mimosa-drafts"
 	plainService = "booking-api"
 )
 
-// defaultAccount is the bearer key of the first account of config/accounts.yaml.
-const defaultAccount = "key-school"
+// defaultAccountKey is the bearer key of the first account of
+// config/accounts.yaml.
+const defaultAccountKey = "key-school"
 
-// request is one request sent in the background.
+// request is a request that is sent in the background.
 type request struct {
 	cancel context.CancelFunc
-	// done is closed once the answer has ended.
+	// done is closed once the answer has ended. After that result and err are
+	// those of the client.
 	done   chan struct{}
 	result client.Result
 	err    error
-	// tokens counts those received so far.
+	// tokens is the number of tokens received so far.
 	tokens atomic.Int64
-	// whole is the text that a whole answer has; empty of a plain call.
-	whole string
-	// prefixes holds the length of whole after each count of tokens.
-	prefixes []int
-	asked    int
+	// wantText is the text of a complete answer; empty for a plain call.
+	wantText string
+	// prefixLens[n] is the length of the first n tokens of wantText.
+	prefixLens []int
+	// wantTokens is the number of tokens requested.
+	wantTokens int
 }
 
-// options reads "name=value" arguments; those named in defaults only.
+// options parses "name=value" arguments. It sets their values in defaults and
+// returns it. A name that is not in defaults fails the script.
 func options(ts *testscript.TestScript, args []string, defaults map[string]string) map[string]string {
 	for _, arg := range args {
 		name, value, ok := strings.Cut(arg, "=")
@@ -52,50 +56,52 @@
 	return defaults
 }
 
-// number reads a whole number.
+// number parses an integer. Invalid text fails the script.
 func number(ts *testscript.TestScript, text string) int {
 	n, err := strconv.Atoi(text)
 	ts.Check(err)
 	return n
 }
 
-// begin runs send in the background as the request of a name.
-func begin(ts *testscript.TestScript, name string, r *request, send func(ctx context.Context) (client.Result, error)) {
+// startRequest runs send in the background as the request with a name, which the
+// script must not have used before.
+func startRequest(ts *testscript.TestScript, name string, r *request, send func(ctx context.Context) (client.Result, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	r.done = make(chan struct{})
-	w := worldOf(ts)
-	if w.requests[name] != nil {
-		ts.Fatalf("request %q stands twice", name)
+	st := stateOf(ts)
+	if st.requests[name] != nil {
+		ts.Fatalf("a request %q already exists", name)
 	}
-	w.requests[name] = r
+	st.requests[name] = r
 	go func() {
 		defer close(r.done)
 		r.result, r.err = send(ctx)
 	}()
 }
 
-// chat is "chat NAME ADDRESS OPTION...": it sends a model request in the
-// background. Options: tokens, prompt, key, account, deadline_ms, priority.
+// chat is the command "chat NAME ADDRESS OPTION...". It sends a model request in
+// the background. Options: tokens, prompt, key (the idempotency key), account
+// (the bearer key), deadline_ms, priority.
 func chat(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: chat name address [option=value...]")
 	}
 	o := options(ts, args[2:], map[string]string{
-		"tokens": "24", "prompt": args[0], "key": "", "account": defaultAccount, "deadline_ms": "0", "priority": "0",
+		"tokens": "24", "prompt": args[0], "key": "", "account": defaultAccountKey, "deadline_ms": "0", "priority": "0",
 	})
 	messages := []engineapi.Message{{Role: "user", Content: o["prompt"]}}
-	r := &request{asked: number(ts, o["tokens"])}
-	r.expect(messages)
+	r := &request{wantTokens: number(ts, o["tokens"])}
+	r.setWantText(messages)
 	priority := number(ts, o["priority"])
 	deadline := time.Duration(number(ts, o["deadline_ms"])) * time.Millisecond
 	c := client.New(client.Options{Address: args[1], Key: o["account"]})
-	begin(ts, args[0], r, func(ctx context.Context) (client.Result, error) {
+	startRequest(ts, args[0], r, func(ctx context.Context) (client.Result, error) {
 		defer c.Close()
 		return c.Chat(ctx, client.Chat{
 			Model:     modelService,
 			Messages:  messages,
-			MaxTokens: r.asked,
+			MaxTokens: r.wantTokens,
 			Key:       o["key"],
 			Priority:  priority,
 			Deadline:  deadline,
@@ -104,19 +110,20 @@
 	})
 }
 
-// expect notes the text of the whole answer.
-func (r *request) expect(messages []engineapi.Message) {
-	r.prefixes = append(r.prefixes, 0)
-	for i := range r.asked {
-		r.whole += engine.Text(messages, i)
-		r.prefixes = append(r.prefixes, len(r.whole))
+// setWantText sets the text that a complete answer to the messages has, and the
+// lengths of its prefixes.
+func (r *request) setWantText(messages []engineapi.Message) {
+	r.prefixLens = append(r.prefixLens, 0)
+	for i := range r.wantTokens {
+		r.wantText += engine.Text(messages, i)
+		r.prefixLens = append(r.prefixLens, len(r.wantText))
 	}
 }
 
-// plainSender makes the call of the plain service that METHOD PATH OPTION...
-// describe. Options: body, key, account, deadline_ms.
+// plainSender returns a function that calls the plain service as the arguments
+// METHOD PATH OPTION... say. Options: body, key, account, deadline_ms.
 func plainSender(ts *testscript.TestScript, address string, args []string) func(context.Context) (client.Result, error) {
-	o := options(ts, args[2:], map[string]string{"body": "", "key": "", "account": defaultAccount, "deadline_ms": "0"})
+	o := options(ts, args[2:], map[string]string{"body": "", "key": "", "account": defaultAccountKey, "deadline_ms": "0"})
 	plain := client.PlainCall{
 		Service:  plainService,
 		Method:   args[0],
@@ -132,39 +139,41 @@
 	}
 }
 
-// callPlain is "call NAME ADDRESS METHOD PATH OPTION...": it calls the plain
-// service in the background.
+// callPlain is the command "call NAME ADDRESS METHOD PATH OPTION...". It calls the
+// plain service in the background.
 func callPlain(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 4 {
 		ts.Fatalf("usage: call name address method path [option=value...]")
 	}
-	begin(ts, args[0], &request{}, plainSender(ts, args[1], args[2:]))
+	startRequest(ts, args[0], &request{}, plainSender(ts, args[1], args[2:]))
 }
 
-// hangUp is "hangup NAME": it closes the connection of a model request.
+// hangUp is the command "hangup NAME". It closes the connection of a request and
+// waits until the request has ended.
 func hangUp(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: hangup name")
 	}
-	r := worldOf(ts).request(ts, args[0])
+	r := stateOf(ts).request(ts, args[0])
 	r.cancel()
 	<-r.done
 }
 
-// answer is "answer NAME FIELD=VALUE...": it waits for the end of a request
-// and checks its fields: outcome, reason, status, tokens, body (contained),
-// retry (yes or no), error (yes: the connection broke). Whatever came of a
-// model request's text must be the start of the right text, token by token;
-// of a complete one, all of it. "one|two" allows either value.
+// answer is the command "answer NAME FIELD=VALUE...". It waits for the end of a
+// request and checks fields of the result: outcome, reason, status, tokens, body
+// (a substring of it), retry (whether a time to retry after was given) and error
+// (whether the connection failed); the last two are yes or no. VALUE may be
+// alternatives such as "one|two". It also checks the text received for a model
+// request, as checkText does.
 func answer(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 {
 		ts.Fatalf("usage: answer name [field=value...]")
 	}
-	r := worldOf(ts).request(ts, args[0])
+	r := stateOf(ts).request(ts, args[0])
 	select {
 	case <-r.done:
-	case <-time.After(waitAtMost):
-		ts.Fatalf("%s: no end of the answer after %d tokens", args[0], r.tokens.Load())
+	case <-time.After(maxWait):
+		ts.Fatalf("%s: the answer has not ended after %d tokens", args[0], r.tokens.Load())
 	}
 	ts.Logf("%s: status %d, %s %s %q, %d tokens, error %v, body %s",
 		args[0], r.result.Status, r.result.Outcome, r.result.Reason, r.result.Message, r.result.Tokens, r.err, r.result.Body)
@@ -174,7 +183,7 @@
 		field, want, _ := strings.Cut(arg, "=")
 		if field == "body" {
 			if !strings.Contains(string(r.result.Body), want) {
-				ts.Fatalf("%s: body %q lacks %q", args[0], r.result.Body, want)
+				ts.Fatalf("%s: body %q does not contain %q", args[0], r.result.Body, want)
 			}
 			continue
 		}
@@ -183,12 +192,12 @@
 			ts.Fatalf("unknown field %q", field)
 		}
 		if !oneOf(value, want) {
-			ts.Fatalf("%s: %s is %q, not %q", args[0], field, value, want)
+			ts.Fatalf("%s: %s is %q, want %q", args[0], field, value, want)
 		}
 	}
 }
 
-// fields words what an ended request's fields are.
+// fields returns the fields of an ended request by name, as scripts write them.
 func (r *request) fields() map[string]string {
 	return map[string]string{
 		"outcome": string(r.result.Outcome),
@@ -200,7 +209,8 @@
 	}
 }
 
-// oneOf reports whether value is among those that "|" separates.
+// oneOf reports whether value is one of the alternatives in allowed, which are
+// separated by "|".
 func oneOf(value, allowed string) bool {
 	for _, a := range strings.Split(allowed, "|") {
 		if value == a {
@@ -210,7 +220,7 @@
 	return false
 }
 
-// yesNo words a truth value.
+// yesNo returns "yes" or "no".
 func yesNo(b bool) string {
 	if b {
 		return "yes"
@@ -218,21 +228,21 @@
 	return "no"
 }
 
-// checkText checks that the tokens received are the first of the right text,
-// each once and in order, and that a complete answer has them all.
+// checkText checks that the tokens received are the first ones of the expected
+// text, each once and in order, and that a complete answer has all of them.
 func (r *request) checkText() error {
-	if r.whole == "" {
+	if r.wantText == "" {
 		return nil
 	}
-	if r.result.Tokens >= len(r.prefixes) {
-		return mismatch("%d tokens, only %d asked for", r.result.Tokens, r.asked)
+	if r.result.Tokens >= len(r.prefixLens) {
+		return mismatch("got %d tokens, but requested %d", r.result.Tokens, r.wantTokens)
 	}
-	want := r.whole[:r.prefixes[r.result.Tokens]]
+	want := r.wantText[:r.prefixLens[r.result.Tokens]]
 	if r.result.Text != want {
 		return mismatch("wrong text after %d tokens:\n got %q\nwant %q", r.result.Tokens, r.result.Text, want)
 	}
-	if r.result.Outcome == outcome.Complete && r.result.Tokens != r.asked {
-		return mismatch("complete after %d of %d tokens", r.result.Tokens, r.asked)
+	if r.result.Outcome == outcome.Complete && r.result.Tokens != r.wantTokens {
+		return mismatch("outcome is complete after %d of %d tokens", r.result.Tokens, r.wantTokens)
 	}
 	return nil
 }
--- a/scenario/lang/standin.go
+++ b/scenario/lang/standin.go
@@ -16,51 +16,54 @@
 	standin "mimosaarch.example/standin/platform"
 )
 
-// postControl is "control NAME JSON": it changes how a spawned stand-in works.
+// postControl is the command "control NAME JSON". It changes the behaviour of a
+// spawned stand-in, for example to inject a failure.
 func postControl(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: control name json")
 	}
-	address := worldOf(ts).process(ts, args[0]).addr
-	if link := ts.Getenv(args[0] + "_control"); link != "" {
-		address = link
+	address := stateOf(ts).process(ts, args[0]).addr
+	if controlAddr := ts.Getenv(args[0] + "_control"); controlAddr != "" {
+		address = controlAddr
 	}
 	ts.Check(control.Post(address, json.RawMessage(args[1])))
 }
 
-// roles gives the role of a spawned command's VM, and its service.
+// roles are the roles of spawned commands in the VM list, and the services of
+// upstreams, by command.
 var roles = map[string]struct{ role, service string }{
 	"mimosad": {role: platformapi.RoleEntry},
 	"engine":  {role: platformapi.RoleEngine, service: modelService},
 	"plain":   {role: platformapi.RolePlain, service: plainService},
 }
 
-// setVMs is "vms PLATFORM ENTRY...": it replaces the list of VMs. An entry is
-// NAME:ZONE, NAME:ZONE:leaving, or NAME:ZONE:live:LINK where callers of the
-// VM go through a spawned link; NAME is a spawned process. An argument may
-// hold several entries.
+// setVMs is the command "vms PLATFORM ENTRY...". It replaces the platform's VM
+// list. An entry is NAME:ZONE, NAME:ZONE:STATE or NAME:ZONE:STATE:LINK, where NAME
+// is a spawned process or a tcp server, and STATE is live or leaving. With LINK
+// the VM's address is that of a spawned link. An argument may hold several
+// entries, separated by spaces.
 func setVMs(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 {
 		ts.Fatalf("usage: vms platform-address [name:zone[:state[:link]]...]")
 	}
-	w := worldOf(ts)
+	st := stateOf(ts)
 	var list []platformapi.VM
 	for _, entry := range strings.Fields(strings.Join(args[1:], " ")) {
-		list = append(list, w.vm(ts, strings.Split(entry, ":")))
+		list = append(list, st.vm(ts, strings.Split(entry, ":")))
 	}
 	ts.Check(control.Put(args[0], standin.VMsControlPath, standin.VMsControl{VMs: list}))
 }
 
-// vm describes one VM of the list.
-func (w *world) vm(ts *testscript.TestScript, parts []string) platformapi.VM {
+// vm returns the entry of the VM list that the parts of an ENTRY describe.
+func (st *scriptState) vm(ts *testscript.TestScript, parts []string) platformapi.VM {
 	if len(parts) < 2 {
-		ts.Fatalf("no zone in %q", parts)
+		ts.Fatalf("VM entry %q has no zone", parts)
 	}
 	vm := platformapi.VM{ID: parts[0], Zone: parts[1], State: platformapi.StateLive}
-	if s := w.servers[parts[0]]; s != nil {
+	if s := st.servers[parts[0]]; s != nil {
 		vm.Address, vm.Role, vm.Service = s.addr(), platformapi.RolePlain, plainService
 	} else {
-		p := w.process(ts, parts[0])
+		p := st.process(ts, parts[0])
 		vm.Address, vm.Role, vm.Service = p.addr, roles[p.kind].role, roles[p.kind].service
 		vm.PeerAddress = p.peers
 	}
@@ -68,20 +71,20 @@
 		vm.State = parts[2]
 	}
 	if len(parts) > 3 {
-		vm.Address = w.process(ts, parts[3]).addr
+		vm.Address = st.process(ts, parts[3]).addr
 	}
 	return vm
 }
 
-// newPlatform makes a client of the platform.
+// newPlatform returns a client of the platform at an address.
 func newPlatform(ts *testscript.TestScript, address string) *platform.Client {
 	c, err := platform.New(platform.Settings{Addresses: []string{address}})
 	ts.Check(err)
 	return c
 }
 
-// publish is "publish PLATFORM FILE...": it publishes documents, each over the
-// version that stands.
+// publish is the command "publish PLATFORM FILE...". It publishes configuration
+// documents as mimosactl does, each over its current version, whichever that is.
 func publish(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: publish platform-address file...")
@@ -98,7 +101,8 @@
 	ts.Check(err)
 }
 
-// putObject is "object PLATFORM KEY FILE": it writes any value to the store.
+// putObject is the command "object PLATFORM KEY FILE". It writes the bytes of a
+// file to the platform's store without checking them.
 func putObject(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 3 {
 		ts.Fatalf("usage: object platform-address key file")
@@ -108,10 +112,10 @@
 	c := newPlatform(ts, args[0])
 	defer c.Close()
 	var missing *platform.NotFoundError
-	stands, err := c.Get(context.Background(), args[1])
+	current, err := c.Get(context.Background(), args[1])
 	if !errors.As(err, &missing) {
 		ts.Check(err)
 	}
-	_, err = c.Put(context.Background(), args[1], data, stands.Version)
+	_, err = c.Put(context.Background(), args[1], data, current.Version)
 	ts.Check(err)
 }
--- a/scenario/lang/standin_condition.go
+++ b/scenario/lang/standin_condition.go
@@ -10,12 +10,12 @@
 	standin "mimosaarch.example/standin/platform"
 )
 
-// engineRuns reads the runs of all engines named.
-func engineRuns(ts *testscript.TestScript, w *world, names []string) ([]engine.Run, error) {
+// engineRuns returns the runs that the named engines have recorded.
+func engineRuns(ts *testscript.TestScript, st *scriptState, names []string) ([]engine.Run, error) {
 	var all []engine.Run
 	for _, name := range names {
 		var reply engine.Runs
-		if err := control.Get(w.process(ts, name).addr, engine.RunsPath, &reply); err != nil {
+		if err := control.Get(st.process(ts, name).addr, engine.RunsPath, &reply); err != nil {
 			return nil, err
 		}
 		all = append(all, reply.Runs...)
@@ -23,9 +23,9 @@
 	return all, nil
 }
 
-// starts is a condition.
-func starts(ts *testscript.TestScript, w *world, args []string) error {
-	runs, err := engineRuns(ts, w, args[1:])
+// starts checks the number of attempts that engines have started.
+func starts(ts *testscript.TestScript, st *scriptState, args []string) error {
+	runs, err := engineRuns(ts, st, args[1:])
 	if err != nil {
 		return err
 	}
@@ -33,12 +33,12 @@
 	for _, r := range runs {
 		n += len(r.Attempts)
 	}
-	return bounded(n, args[0])
+	return checkBound(n, args[0])
 }
 
-// running is a condition.
-func running(ts *testscript.TestScript, w *world, args []string) error {
-	runs, err := engineRuns(ts, w, args[1:])
+// running checks the number of requests that engines run as heads.
+func running(ts *testscript.TestScript, st *scriptState, args []string) error {
+	runs, err := engineRuns(ts, st, args[1:])
 	if err != nil {
 		return err
 	}
@@ -48,12 +48,12 @@
 			n++
 		}
 	}
-	return bounded(n, args[0])
+	return checkBound(n, args[0])
 }
 
-// exact is a condition.
-func exact(ts *testscript.TestScript, w *world, args []string) error {
-	runs, err := engineRuns(ts, w, args)
+// exact checks that no token of any run skipped or repeated a layer.
+func exact(ts *testscript.TestScript, st *scriptState, args []string) error {
+	runs, err := engineRuns(ts, st, args)
 	if err != nil {
 		return err
 	}
@@ -65,68 +65,69 @@
 	return nil
 }
 
-// executions is a condition.
-func executions(ts *testscript.TestScript, w *world, args []string) error {
+// executions checks the number of calls that plain services have executed.
+func executions(ts *testscript.TestScript, st *scriptState, args []string) error {
 	n := 0
 	for _, name := range args[2:] {
 		var reply plain.Runs
-		if err := control.Get(w.process(ts, name).addr, plain.RunsPath, &reply); err != nil {
+		if err := control.Get(st.process(ts, name).addr, plain.RunsPath, &reply); err != nil {
 			return err
 		}
 		n += reply.Methods[args[0]]
 	}
-	return bounded(n, args[1])
+	return checkBound(n, args[1])
 }
 
-// once is a condition.
-func once(ts *testscript.TestScript, w *world, args []string) error {
-	times := make(map[string]int)
+// once checks that plain services executed no body twice, and the number of
+// distinct bodies.
+func once(ts *testscript.TestScript, st *scriptState, args []string) error {
+	executed := make(map[string]int)
 	for _, name := range args[1:] {
 		var reply plain.Runs
-		if err := control.Get(w.process(ts, name).addr, plain.RunsPath, &reply); err != nil {
+		if err := control.Get(st.process(ts, name).addr, plain.RunsPath, &reply); err != nil {
 			return err
 		}
 		for body, n := range reply.Executions {
-			times[body] += n
+			executed[body] += n
 		}
 	}
-	for body, n := range times {
+	for body, n := range executed {
 		if n > 1 {
-			return mismatch("%q executed %d times", body, n)
+			return mismatch("%q was executed %d times", body, n)
 		}
 	}
-	return bounded(len(times), args[0])
+	return checkBound(len(executed), args[0])
 }
 
-// accepted is a condition.
-func accepted(ts *testscript.TestScript, _ *world, args []string) error {
+// accepted checks the number of connections that a link has accepted.
+func accepted(ts *testscript.TestScript, _ *scriptState, args []string) error {
 	var reply link.Stats
 	if err := control.Get(ts.Getenv(args[0]+"_control"), link.StatsPath, &reply); err != nil {
 		return err
 	}
-	return bounded(reply.Accepted, args[1])
+	return checkBound(reply.Accepted, args[1])
 }
 
-// stats is a condition.
-func stats(ts *testscript.TestScript, w *world, args []string) error {
+// stats checks one of the platform's counts of calls.
+func stats(ts *testscript.TestScript, st *scriptState, args []string) error {
 	var reply map[string]int
-	if err := control.Get(w.process(ts, args[0]).addr, standin.StatsPath, &reply); err != nil {
+	if err := control.Get(st.process(ts, args[0]).addr, standin.StatsPath, &reply); err != nil {
 		return err
 	}
-	return bounded(reply[args[1]], args[2])
+	return checkBound(reply[args[1]], args[2])
 }
 
-// serving is "serving VARIABLE ENGINE...": it waits until one of the engines
-// runs a request as head, or has run steps as a later stage, and sets the
-// variable to its name.
+// serving is the command "serving VARIABLE ENGINE...". It waits until one of the
+// engines runs a request as head, or has run steps as a later stage, and sets
+// the variable to that engine's name.
 func serving(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: serving variable engine...")
 	}
-	w := worldOf(ts)
+	st := stateOf(ts)
 	ts.Check(eventually(func() error {
 		for _, name := range args[1:] {
-			runs, err := engineRuns(ts, w, []string{name})
+			runs, err := engineRuns(ts, st, []string{name})
 			if err != nil {
 				return err
 			}
