--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -151,9 +151,9 @@
 }
 
 // ordersSeen returns the orders that an engine received, in order of arrival.
-func ordersSeen(t *testing.T, address string) []engine.OrderSeen {
+func ordersSeen(t *testing.T, address string) []engine.OrderRecord {
 	t.Helper()
-	var seen []engine.OrderSeen
+	var seen []engine.OrderRecord
 	if err := control.Get(address, engine.OrdersPath, &seen); err != nil {
 		t.Fatal(err)
 	}
@@ -315,7 +315,7 @@
 
 // checkFences checks that the fencing tokens of the orders that an engine
 // applied never decrease, and that they are of exactly two terms.
-func checkFences(t *testing.T, name string, seen []engine.OrderSeen) {
+func checkFences(t *testing.T, name string, seen []engine.OrderRecord) {
 	t.Helper()
 	highest, terms := int64(0), 0
 	for _, s := range seen {
