--- a/scenario/capacity/config_test.go
+++ b/scenario/capacity/config_test.go
@@ -12,10 +12,11 @@
 	"mimosaarch.example/decide/configorder"
 )
 
-// accountsPerShard is the accounts of one configuration object.
+// accountsPerShard is the number of accounts in one configuration object.
 const accountsPerShard = 1000
 
-// accountShard makes one object of accounts.
+// accountShard returns a configuration object with one shard of the accounts.
+// The accounts' rates depend on the version.
 func accountShard(b *testing.B, shard int, version int64) platformapi.Object {
 	b.Helper()
 	doc := fleet.Accounts{Kind: fleet.KindAccounts, Name: fmt.Sprintf("shard-%02d", shard)}
@@ -35,8 +36,9 @@
 	return platformapi.Object{Key: fleet.Key(doc), Version: version, Value: value}
 }
 
-// BenchmarkConfig is one node's work on the client accounts: reading all, and
-// a change to one shard.
+// BenchmarkConfig measures what the client accounts cost a node: the time and
+// memory to read all of them (all), and the time to apply a change to one shard
+// (change).
 func BenchmarkConfig(b *testing.B) {
 	for _, shards := range []int{1, 10, 43} {
 		var objects []platformapi.Object
@@ -46,13 +48,13 @@
 			bytes += len(objects[i].Value)
 		}
 		b.Run(fmt.Sprintf("all/accounts=%d", shards*accountsPerShard), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			var store *configorder.Store
 			for b.Loop() {
 				store = configorder.New(configorder.Settings{})
 				applyAll(b, store, objects)
 			}
-			b.ReportMetric(float64(int64(heap())-int64(before))/1024, "KB-held")
+			b.ReportMetric(float64(int64(heapBytes())-int64(before))/1024, "KB-held")
 			b.ReportMetric(float64(bytes)/1024, "KB-read")
 			applyAll(b, store, nil)
 		})
@@ -69,7 +71,8 @@
 	}
 }
 
-// applyAll applies objects and makes the configuration.
+// applyAll applies objects to the store and builds the configuration from all
+// objects in it.
 func applyAll(b *testing.B, store *configorder.Store, objects []platformapi.Object) {
 	b.Helper()
 	for _, object := range objects {
--- a/scenario/capacity/doc.go
+++ b/scenario/capacity/doc.go
@@ -1,3 +1,4 @@
-// Package capacity holds the benchmarks that docs/CAPACITY.md takes its slopes
-// from. It has no code besides them: run it with go test -bench.
+// Package capacity holds the benchmarks behind docs/CAPACITY.md, which derives
+// the cost of each additional peer, account and request from them. It contains
+// nothing else; run it with go test -bench.
 package capacity
--- a/scenario/capacity/peers_test.go
+++ b/scenario/capacity/peers_test.go
@@ -22,37 +22,43 @@
 	"mimosaarch.example/decide/router"
 )
 
-// What each node of the benchmarks has to tell.
+// Sizes of the digest of each node of the benchmarks: load reports with their
+// links, engines with requests in flight, and accounts with usage.
 const (
-	reportsPerNode = 8
-	linksPerReport = 3
-	inFlightCounts = 30
-	accountsTold   = 20
+	reportsPerNode    = 8
+	linksPerReport    = 3
+	inFlightPerNode   = 30
+	accountsPerDigest = 20
 )
 
-// node is a Service with figures that change as those of a busy node do.
+// node is a peer.Service with the digest of a busy node, which changes in each
+// round.
 type node struct {
 	*peer.Service
-	zone  ids.Zone
+	zone ids.Zone
+	// round receives a value when the node has built a digest, once a round.
 	round chan struct{}
 
+	// sent and received count bytes, and missed counts digests.
 	sent, received atomic.Int64
 	missed         atomic.Int64
 
 	mu     sync.Mutex
 	rand   *rand.Rand
 	digest peerapi.Digest
-	relay  bool
-	// churn has a tenth of the counts move to other engines in each round.
+	// relay adds the load reports of peers to the node's own digest.
+	relay bool
+	// churn moves a tenth of the in-flight counts to other engines each round.
 	churn bool
-	// heard holds what peers told, and gaps the longest time between two
-	// digests of one peer of the zone.
+	// heard holds the last digest of each peer, and last its time of arrival.
 	heard map[ids.VM]peerapi.Digest
 	last  map[ids.VM]time.Time
-	gap   time.Duration
+	// maxGap is the longest time between two digests of the same peer, among
+	// peers of the same zone.
+	maxGap time.Duration
 }
 
-// newNode makes a node's first figures.
+// newNode returns a node with random initial values in its digest.
 func newNode(index int, zone ids.Zone, relay, churn bool) *node {
 	n := &node{
 		zone:  zone,
@@ -64,10 +70,10 @@
 		last:  make(map[ids.VM]time.Time),
 	}
 	n.digest.InFlight = make(map[ids.Upstream]int)
-	for i := range inFlightCounts {
+	for i := range inFlightPerNode {
 		n.digest.InFlight[ids.Upstream(engineName(zone, i))] = 1 + n.rand.IntN(9)
 	}
-	for i := range accountsTold {
+	for i := range accountsPerDigest {
 		account := ids.Account(fmt.Sprintf("account-%05d", index*7+i))
 		n.digest.Usage = append(n.digest.Usage, peerapi.AccountUsage{Account: account, Demand: n.rand.Float64() * 10})
 	}
@@ -77,10 +83,10 @@
 	return n
 }
 
-// engineName names an engine.
+// engineName returns the ID of an engine of a zone.
 func engineName(zone ids.Zone, i int) string { return fmt.Sprintf("engine-%s-%03d", zone, i) }
 
-// report makes an engine's load report.
+// report returns the load report of engine i of a zone, with random values.
 func report(zone ids.Zone, i int, r *rand.Rand) engineapi.LoadReport {
 	out := engineapi.LoadReport{
 		Engine:          engineName(zone, i),
@@ -101,13 +107,13 @@
 	return out
 }
 
-// Digest implements peer.Source. In each round a third of the counts, a half
-// of the demands and all reports have changed.
+// Digest implements peer.Source. From one round to the next a third of the
+// in-flight counts, half of the accounts' demands and all load reports change.
 func (n *node) Digest(context.Context) (peerapi.Digest, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := peerapi.Digest{InFlight: make(map[ids.Upstream]int), Usage: slices.Clone(n.digest.Usage)}
-	n.move()
+	n.churnCounts()
 	for id, count := range n.digest.InFlight {
 		if n.rand.IntN(3) == 0 {
 			count = max(count+n.rand.IntN(3)-1, 1)
@@ -135,11 +141,12 @@
 	return out, nil
 }
 
-// churnEngines are the engines among which counts move.
+// churnEngines is the number of engines among which in-flight counts move.
 const churnEngines = 200
 
-// move moves some counts to other engines.
-func (n *node) move() {
+// churnCounts moves a tenth of the in-flight counts to other engines, if the node
+// has churn.
+func (n *node) churnCounts() {
 	if !n.churn {
 		return
 	}
@@ -151,7 +158,9 @@
 	}
 }
 
-// relayed gives the reports of peers, as a router tells them again.
+// relayed returns the load reports of peers, marked as relayed and aged, as a
+// router adds them to its digest. Without relay there are none. The caller holds
+// the lock.
 func (n *node) relayed() []peerapi.Load {
 	var out []peerapi.Load
 	if !n.relay {
@@ -178,16 +187,16 @@
 	defer n.mu.Unlock()
 	n.heard[d.VM] = d
 	if last, ok := n.last[d.VM]; ok && d.Zone == n.zone {
-		n.gap = max(n.gap, at.Sub(last))
+		n.maxGap = max(n.maxGap, at.Sub(last))
 	}
 	n.last[d.VM] = at
 }
 
-// resetGap forgets the longest time between two digests.
-func (n *node) resetGap() {
+// resetMaxGap starts a new measurement of the longest time between two digests.
+func (n *node) resetMaxGap() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.gap = 0
+	n.maxGap = 0
 }
 
 // PeerGone implements peer.Sink.
@@ -196,7 +205,7 @@
 // PeerVMs implements peer.Sink.
 func (*node) PeerVMs(platformapi.VMList) {}
 
-// count takes the counts that the benchmarks show.
+// count implements peer.Options.Count for the counters that the benchmarks use.
 func (n *node) count(c peer.Counter, by int64) {
 	switch c {
 	case peer.BytesSent:
@@ -208,22 +217,24 @@
 	}
 }
 
-// hears is how many peers the node has heard from, those of its zone apart.
-func (n *node) hears() (inZone, across int) {
+// peersHeard returns the number of peers from which the node has received a
+// digest, in its own zone and in others.
+func (n *node) peersHeard() (inZone, otherZones int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, d := range n.heard {
 		if d.Zone == n.zone {
 			inZone++
 		} else {
-			across++
+			otherZones++
 		}
 	}
-	return inZone, across
+	return inZone, otherZones
 }
 
-// startNodes runs nodes, spread over zones, and waits until each hears from
-// all of its zone.
+// startNodes starts nodes, spread evenly over zones, and waits until each has
+// received a digest from all others of its zone. They stop when the benchmark
+// ends.
 func startNodes(b *testing.B, count, zones int, relay, churn bool) []*node {
 	b.Helper()
 	ca, err := identity.NewCA("fleet")
@@ -243,14 +254,14 @@
 		running.Go(func() { n.Run(ctx) })
 	}
 	for _, n := range nodes {
-		for inZone := 0; inZone < count/zones-1; inZone, _ = n.hears() {
+		for inZone := 0; inZone < count/zones-1; inZone, _ = n.peersHeard() {
 			<-n.round
 		}
 	}
 	return nodes
 }
 
-// start opens a node's port.
+// start creates the node's peer service, which listens on a local port.
 func (n *node) start(b *testing.B, ca *identity.CA, index int, seeds []string) {
 	b.Helper()
 	id, err := ca.Identity("node", time.Hour)
@@ -272,14 +283,15 @@
 	}
 }
 
-// usage is what the whole process has used.
+// usage is the resource usage of the process and its nodes up to a time: CPU time
+// of the process, and bytes sent and received by the nodes.
 type usage struct {
 	at             time.Time
 	cpu            time.Duration
 	sent, received int64
 }
 
-// measure reads the clock, the processor time and the nodes' bytes.
+// measure returns the usage up to now.
 func measure(b *testing.B, nodes []*node) usage {
 	b.Helper()
 	var r syscall.Rusage
@@ -294,18 +306,20 @@
 	return out
 }
 
-// heap is the memory in use after a collection, in bytes.
-func heap() uint64 {
+// heapBytes returns the memory of heap and stacks in use after a garbage
+// collection, in bytes.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapInuse + m.StackInuse
 }
 
-// BenchmarkPeers measures what one node's part among its peers costs, with
-// mutual TLS. An operation is a round; run it with -benchtime 20x. Bytes are
-// counted above TCP; the processor time is that of the process, both ends of
-// each link and the benchmark itself included, by node.
+// BenchmarkPeers measures what the exchange of digests with its peers costs one
+// node, with mutual TLS. An operation is one round of digests; run it with
+// -benchtime 20x. Bytes are counted above TCP. CPU time is that of the process
+// divided by the number of nodes, so it includes both ends of each connection
+// and the benchmark itself.
 func BenchmarkPeers(b *testing.B) {
 	sizes := []struct {
 		nodes, zones int
@@ -323,41 +337,43 @@
 	for _, size := range sizes {
 		name := fmt.Sprintf("nodes=%d/zones=%d/relayed=%v/churn=%v", size.nodes, size.zones, size.relay, size.churn)
 		b.Run(name, func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			nodes := startNodes(b, size.nodes, size.zones, size.relay, size.churn)
 			for range 8 {
 				<-nodes[0].round
 			}
 			for _, n := range nodes {
-				n.resetGap()
+				n.resetMaxGap()
 			}
 			from := measure(b, nodes)
 			for b.Loop() {
 				<-nodes[0].round
 			}
 			to := measure(b, nodes)
-			show(b, nodes, from, to)
-			b.ReportMetric(float64(int64(heap())-int64(before))/1024/float64(len(nodes)), "KB/node")
+			reportUsage(b, nodes, from, to)
+			b.ReportMetric(float64(int64(heapBytes())-int64(before))/1024/float64(len(nodes)), "KB/node")
 		})
 	}
 }
 
-// show reports figures by node and second.
-func show(b *testing.B, nodes []*node, from, to usage) {
+// reportUsage reports the usage between two measurements per node and second,
+// the longest gap between two digests of a peer, and the mean number of peers in
+// other zones from which a node has received a digest.
+func reportUsage(b *testing.B, nodes []*node, from, to usage) {
 	b.Helper()
-	seconds := to.at.Sub(from.at).Seconds() * float64(len(nodes))
-	b.ReportMetric(float64(to.sent-from.sent)/seconds, "sent-B/s")
-	b.ReportMetric(float64(to.received-from.received)/seconds, "received-B/s")
-	b.ReportMetric(float64((to.cpu-from.cpu).Microseconds())/1000/seconds, "cpu-ms/s")
-	var gap time.Duration
-	var across int
+	nodeSeconds := to.at.Sub(from.at).Seconds() * float64(len(nodes))
+	b.ReportMetric(float64(to.sent-from.sent)/nodeSeconds, "sent-B/s")
+	b.ReportMetric(float64(to.received-from.received)/nodeSeconds, "received-B/s")
+	b.ReportMetric(float64((to.cpu-from.cpu).Microseconds())/1000/nodeSeconds, "cpu-ms/s")
+	var maxGap time.Duration
+	var otherZones int
 	for _, n := range nodes {
 		n.mu.Lock()
-		gap = max(gap, n.gap)
+		maxGap = max(maxGap, n.maxGap)
 		n.mu.Unlock()
-		_, linked := n.hears()
-		across += linked
+		_, heard := n.peersHeard()
+		otherZones += heard
 	}
-	b.ReportMetric(gap.Seconds(), "longest-gap-s")
-	b.ReportMetric(float64(across)/float64(len(nodes)), "heard-across")
+	b.ReportMetric(maxGap.Seconds(), "longest-gap-s")
+	b.ReportMetric(float64(otherZones)/float64(len(nodes)), "heard-across")
 }
--- a/scenario/capacity/poll_test.go
+++ b/scenario/capacity/poll_test.go
@@ -14,11 +14,11 @@
 	"mimosaarch.example/adapter/upstream"
 )
 
-// pollsFor is how long polls are measured.
-const pollsFor = 2 * time.Second
+// pollDuration is the duration of one operation of BenchmarkPolls.
+const pollDuration = 2 * time.Second
 
-// BenchmarkPolls is the processor time of asking engines for their load at a
-// pace, the engines' side included. Run it with -benchtime 1x.
+// BenchmarkPolls measures the CPU time of polling engines for load reports at a
+// fixed rate, including the engines' side. Run it with -benchtime 1x.
 func BenchmarkPolls(b *testing.B) {
 	body, err := json.Marshal(report("zone-0", 1, rand.New(rand.NewPCG(1, 1))))
 	if err != nil {
@@ -38,26 +38,27 @@
 	for _, perSecond := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("polls=%d", perSecond), func(b *testing.B) {
 			from := measure(b, nil)
-			asked := 0
+			polls := 0
 			for b.Loop() {
-				asked += poll(b, listener.Addr().String(), perSecond)
+				polls += poll(b, listener.Addr().String(), perSecond)
 			}
 			to := measure(b, nil)
 			seconds := to.at.Sub(from.at).Seconds()
 			b.ReportMetric(float64((to.cpu-from.cpu).Microseconds())/1000/seconds, "cpu-ms/s")
-			b.ReportMetric(float64(asked)/seconds, "polls/s")
+			b.ReportMetric(float64(polls)/seconds, "polls/s")
 			b.ReportMetric(float64(len(body)), "body-B/poll")
 		})
 	}
 }
 
-// poll asks at a pace for pollsFor, and gives the count of answers.
+// poll polls at a fixed rate for pollDuration and returns the number of polls.
+// Each must return a valid report.
 func poll(b *testing.B, address string, perSecond int) int {
 	b.Helper()
 	poller := upstream.NewPoller(time.Second)
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
-	count := perSecond * int(pollsFor/time.Second)
+	count := perSecond * int(pollDuration/time.Second)
 	for range count {
 		<-ticker.C
 		got, err := poller.Fetch(b.Context(), address)
--- a/scenario/capacity/record_test.go
+++ b/scenario/capacity/record_test.go
@@ -9,31 +9,32 @@
 	"mimosaarch.example/node/record"
 )
 
-// stepsPerRequest are the decisions kept of an ordinary request.
+// stepsPerRequest is the number of decisions recorded for a typical request.
 const stepsPerRequest = 3
 
-// BenchmarkRecords is the memory of the decisions that a node keeps, and the
-// time to add one.
+// BenchmarkRecords measures the memory of the routing decisions that a node
+// keeps, and the time to add one to a full history.
 func BenchmarkRecords(b *testing.B) {
 	for _, kept := range []int{1000, 5000, 20000} {
 		b.Run(fmt.Sprintf("kept=%d", kept), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			book := record.New(kept)
 			for i := range 2 * kept {
 				book.Add(decision(i))
 			}
-			held := float64(int64(heap())-int64(before)) / 1024
+			heldKB := float64(int64(heapBytes())-int64(before)) / 1024
 			i := 2 * kept
 			for b.Loop() {
 				book.Add(decision(i))
 				i++
 			}
-			b.ReportMetric(held, "KB-held")
+			b.ReportMetric(heldKB, "KB-held")
 		})
 	}
 }
 
-// decision makes one step of a request.
+// decision returns the i-th decision of the benchmark, of which stepsPerRequest
+// belong to the same request.
 func decision(i int) router.Decision {
 	return router.Decision{
 		At:      start,
--- a/scenario/capacity/router_test.go
+++ b/scenario/capacity/router_test.go
@@ -14,26 +14,28 @@
 	"mimosaarch.example/decide/router"
 )
 
-// Sizes of the router's benchmarks.
+// The model's number of layers and the SHA-256 of the account's key in the
+// router's benchmarks.
 const (
-	modelLayers = 60
-	accountKey  = "00000000000000000000000000000000000000000000000000000000000000aa"
+	modelLayers      = 60
+	accountKeySHA256 = "00000000000000000000000000000000000000000000000000000000000000aa"
 )
 
-// start is when the benchmarks' clocks begin.
+// start is the initial time of the benchmarks' simulated clocks.
 var start = time.Unix(1000, 0)
 
-// bench is a Router with a clock of its own.
-type bench struct {
+// routerBench is a Router with a simulated clock.
+type routerBench struct {
 	*router.Router
 	now  time.Time
 	rand *rand.Rand
 }
 
-// newBench makes a Router that knows engines and other entry VMs.
-func newBench(b *testing.B, engines, peers int) *bench {
+// newRouterBench returns a Router that has a configuration and knows engines,
+// their loads and other entry VMs.
+func newRouterBench(b *testing.B, engines, peers int) *routerBench {
 	b.Helper()
-	out := &bench{
+	out := &routerBench{
 		Router: router.New(router.Options{VM: "entry-000", Zone: "zone-0", MaxRequests: 4096}),
 		now:    start,
 		rand:   rand.New(rand.NewPCG(1, 1)),
@@ -55,24 +57,25 @@
 			"mimosa-desk": {Name: "mimosa-desk", Type: fleet.ServiceModel, Profile: "p", Layers: modelLayers},
 		},
 		AccountsByKey: map[string]fleet.Account{
-			accountKey: {ID: "account", KeySHA256: accountKey, Rate: 1e6, Burst: 2e6, Weight: 1},
+			accountKeySHA256: {ID: "account", KeySHA256: accountKeySHA256, Rate: 1e6, Burst: 2e6, Weight: 1},
 		},
 	}})
 	for i := range engines {
-		out.load(i, engines)
+		out.reportLoad(i, engines)
 	}
 	out.step(router.Tick{})
 	return out
 }
 
-// step passes time and an event.
-func (b *bench) step(ev router.Event) []router.Command {
+// step advances the clock by 1 µs and passes an event to the router.
+func (b *routerBench) step(ev router.Event) []router.Command {
 	b.now = b.now.Add(time.Microsecond)
 	return b.Step(b.now, ev)
 }
 
-// load tells an engine's report; only its count of requests changes.
-func (b *bench) load(i, engines int) {
+// reportLoad passes the load report of engine i to the router. From one report to
+// the next only the number of running requests changes.
+func (b *routerBench) reportLoad(i, engines int) {
 	r := report("zone-0", i, rand.New(rand.NewPCG(uint64(i), 2)))
 	for k := range r.Links {
 		r.Links[k].To = engineName("zone-0", (i+k+1)%engines)
@@ -81,12 +84,12 @@
 	b.step(router.LoadReported{Report: r, At: b.now})
 }
 
-// request runs a request from its arrival to its end, and reports whether it
-// was sent.
-func (b *bench) request(i int) bool {
+// request passes all events of a request to the router, from its arrival to its
+// end. It reports whether the router sent the request to a chain at once.
+func (b *routerBench) request(i int) bool {
 	id := ids.Request(fmt.Sprintf("r-%d", i))
 	commands := b.step(router.RequestArrived{
-		ID: id, Service: "mimosa-desk", KeySHA256: accountKey,
+		ID: id, Service: "mimosa-desk", KeySHA256: accountKeySHA256,
 		Fingerprint: string(id), PromptTokens: 200, MaxTokens: 200,
 	})
 	for _, command := range commands {
@@ -101,12 +104,14 @@
 	return false
 }
 
-// BenchmarkStep is the decision loop's work for one event of each kind.
+// BenchmarkStep measures the router's time for all events of a request, for a
+// load report, a tick, building a digest and a digest from a peer, by the number
+// of engines.
 func BenchmarkStep(b *testing.B) {
 	for _, engines := range []int{30, 90, 210} {
-		run := func(kind string, do func(r *bench, i int)) {
+		run := func(kind string, do func(r *routerBench, i int)) {
 			b.Run(fmt.Sprintf("%s/engines=%d", kind, engines), func(b *testing.B) {
-				r := newBench(b, engines, 25)
+				r := newRouterBench(b, engines, 25)
 				i := 0
 				b.ReportAllocs()
 				for b.Loop() {
@@ -115,30 +120,30 @@
 				}
 			})
 		}
-		sent, asked := 0, 0
-		run("request", func(r *bench, i int) {
-			asked++
+		sent, total := 0, 0
+		run("request", func(r *routerBench, i int) {
+			total++
 			if r.request(i) {
 				sent++
 			}
 		})
-		if sent < asked {
-			b.Logf("%d of %d requests were sent", sent, asked)
+		if sent < total {
+			b.Logf("%d of %d requests were sent", sent, total)
 		}
-		run("load", func(r *bench, i int) { r.load(i%engines, engines) })
-		run("tick", func(r *bench, _ int) { r.step(router.Tick{}) })
-		run("digest", func(r *bench, _ int) { r.step(router.DigestDue{}) })
-		run("peer", func(r *bench, i int) { r.peer(i % 25) })
+		run("load", func(r *routerBench, i int) { r.reportLoad(i%engines, engines) })
+		run("tick", func(r *routerBench, _ int) { r.step(router.Tick{}) })
+		run("digest", func(r *routerBench, _ int) { r.step(router.DigestDue{}) })
+		run("peer", func(r *routerBench, i int) { r.receiveDigest(i % 25) })
 	}
 }
 
-// peer tells a peer's digest.
-func (b *bench) peer(i int) {
+// receiveDigest passes a digest from peer i to the router.
+func (b *routerBench) receiveDigest(i int) {
 	d := router.Digest{InFlight: make(map[ids.Upstream]int)}
-	for k := range inFlightCounts {
+	for k := range inFlightPerNode {
 		d.InFlight[ids.Upstream(engineName("zone-0", k))] = 1 + b.rand.IntN(9)
 	}
-	for k := range accountsTold {
+	for k := range accountsPerDigest {
 		d.Usage = append(d.Usage, limit.AccountUsage{Account: ids.Account(fmt.Sprintf("account-%05d", i*7+k)), Demand: b.rand.Float64()})
 	}
 	b.step(router.DigestReceived{VM: ids.VM(fmt.Sprintf("entry-%03d", i+1)), At: b.now, Digest: d})
