--- a/loadgen/client/answer.go
+++ b/loadgen/client/answer.go
@@ -36,9 +36,8 @@
 }
 
 // readPlain reads a plain service's answer or an error body, and ends the
-// exchange.
-// An answer that names no outcome, in its header or its body, has the outcome
-// unknown.
+// exchange. An answer that names no outcome, in its header or its body, has the
+// outcome unknown.
 func (x *exchange) readPlain() (Result, error) {
 	result := Result{
 		Status:  x.resp.StatusCode(),
--- a/loadgen/load/load.go
+++ b/loadgen/load/load.go
@@ -22,8 +22,8 @@
 
 // Settings configure a run. Zero fields take the defaults.
 type Settings struct {
-	// Nodes are the addresses that requests are sent to, round robin.
-	// Required.
+	// Nodes are the addresses of the nodes, which get the attempts in round
+	// robin. Required.
 	Nodes []string
 	Mix   Mix
 	// Schedule sets when requests are sent. With Callers only its duration is
--- a/loadgen/report/report_test.go
+++ b/loadgen/report/report_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("intervals are %+v, want 40 and 60 ms", r.TokenInterval)
 	}
 	if r.ModelAnswer.Count != 1 || !cmp.Equal(r.ModelAnswer.Max, 200.0, withinPrecision) {
-		t.Errorf("whole answers are %+v, want one of 200 ms", r.ModelAnswer)
+		t.Errorf("model answers are %+v, want one of 200 ms", r.ModelAnswer)
 	}
 	if !cmp.Equal(r.SendDelay.Max, 50.0, withinPrecision) {
 		t.Errorf("send delay is %+v, want at most 50 ms", r.SendDelay)
