--- a/decide/claim/claim_test.go
+++ b/decide/claim/claim_test.go
@@ -202,7 +202,7 @@
 	s.wantResult(s.claimAndFinish(third, "k1"), router.ClaimWon)
 }
 
-func TestKnownAgeOutlivesAnothersWrite(t *testing.T) {
+func TestKnownAgeIsKeptAfterAWriteOfAnotherVM(t *testing.T) {
 	s := newSim(t, 3, Settings{Shards: 1, Retention: time.Hour})
 	s.claimAndFinish(s.vms[0], "k1")
 	s.settle(s.held()[0])
--- a/decide/claim/codec_test.go
+++ b/decide/claim/codec_test.go
@@ -48,7 +48,7 @@
 	}}
 }
 
-func TestValueIsKeptWhole(t *testing.T) {
+func TestEncodedValueIsDecodedUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := newValue()
 		want := make(map[digest]router.ClaimRecord)
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestCutValueIsRefused(t *testing.T) {
+func TestTruncatedValueIsRefused(t *testing.T) {
 	v := newValue()
 	for i := range 3 {
 		v.put(newEntry(benchOp(i)))
@@ -103,7 +103,9 @@
 	}
 }
 
-func TestDecodeTakesAnyBytes(t *testing.T) {
+// decode must not panic on any bytes, and the size of a value that it accepts must be an
+// upper bound of the encoded size.
+func TestDecodeBoundsTheSizeOfAnyValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := append([]byte{formatVersion, 1}, rapid.SliceOf(rapid.Byte()).Draw(t, "data")...)
 		v, err := decode(data, 1, epoch, nil)
--- a/decide/claim/forward_test.go
+++ b/decide/claim/forward_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestRefusedForwardIsCommittedHere(t *testing.T) {
+func TestRefusedForwardIsCommittedLocally(t *testing.T) {
 	s, _, origin := forwarding(t, 2)
 	request := s.claim(origin, "k1", nil)
 	s.messages[0].answer = &ForwardAnswer{Kind: ForwardRefused}
@@ -70,7 +70,7 @@
 	s.wantResult(request, router.ClaimWon)
 }
 
-func TestSilentForwardIsTakenBack(t *testing.T) {
+func TestUnansweredForwardIsCommittedLocally(t *testing.T) {
 	s, _, origin := forwarding(t, 2)
 	request := s.claim(origin, "k1", nil)
 	s.dropMessage(0)
@@ -175,7 +175,9 @@
 	}
 }
 
-func TestGivenBackClaimIsNotReleasedByThePreferred(t *testing.T) {
+// The preferred VM writes a claim but loses the answer, and the origin commits the claim
+// after the deadline. The preferred VM must not release it.
+func TestClaimReturnedToItsOriginIsNotReleasedByThePreferredVM(t *testing.T) {
 	s, preferred, origin := forwarding(t, 2)
 	request := s.claim(origin, "k1", nil)
 	s.deliverOnlyMessage()
