--- a/decide/configorder/store_test.go
+++ b/decide/configorder/store_test.go
@@ -65,7 +65,7 @@
 
 // An invalid or older object must not replace the active one, and peers must
 // receive the active object as well as the invalid one.
-func TestLastGoodObjectStaysInForce(t *testing.T) {
+func TestLastValidObjectStaysActive(t *testing.T) {
 	s := New(Settings{})
 	mustApply(t, s, profile("p", 3), true)
 	before := s.Config()
