--- a/decide/quarantine/quarantine.go
+++ b/decide/quarantine/quarantine.go
@@ -20,9 +20,9 @@
 // If a fingerprint is blamed for two upstreams more than Threshold and for
 // nearly half of the deaths, it is quarantined without further conditions.
 //
-// Alternatives that were rejected: a plain count (with a threshold of two
-// deaths, innocent requests that were retried on the wrong upstream are
-// quarantined), the sum of 1/n (with 20 requests in flight, a culprit needs 40
+// Alternatives that were rejected: a plain count (every second death would
+// quarantine innocent requests that were retried on the wrong upstream), the sum
+// of 1/n (with 20 requests in flight, a culprit needs 40
 // deaths to reach 2), and a fixed duration for each decision (evidence that
 // arrives late could not revoke it).
 //
--- a/decide/quarantine/quarantine_test.go
+++ b/decide/quarantine/quarantine_test.go
@@ -175,6 +175,7 @@
 	deaths, innocents int
 }
 
+// place starts a run on a random engine that is up.
 func (f *fleet) place(now int, r run) {
 	engine := f.rng.IntN(simEngines)
 	for f.downUntil[engine] > now {
@@ -189,6 +190,7 @@
 	return f.hold && at(now).Before(until)
 }
 
+// newInnocent returns a run of a request that does not crash engines.
 func (f *fleet) newInnocent(now int) run {
 	f.serial++
 	fp := Fingerprint(fmt.Sprint("r", f.serial))
@@ -198,6 +200,7 @@
 	return run{fp: fp, vm: f.rng.IntN(simVMs), ends: now + 500 + f.rng.IntN(4000)}
 }
 
+// killEngine ends an engine and returns the runs that this cut off.
 func (f *fleet) killEngine(now, engine int) []run {
 	f.deaths++
 	cut := f.engines[engine]
