--- a/decide/quarantine/quarantine.go
+++ b/decide/quarantine/quarantine.go
@@ -22,9 +22,9 @@
 //
 // Alternatives that were rejected: a plain count (every second death would
 // quarantine innocent requests that were retried on the wrong upstream), the sum
-// of 1/n (with 20 requests in flight, a culprit needs 40
-// deaths to reach 2), and a fixed duration for each decision (evidence that
-// arrives late could not revoke it).
+// of 1/n (with 20 requests in flight, a culprit needs 40 deaths to reach 2), and a
+// fixed duration for each decision (evidence that arrives late could not revoke
+// it).
 //
 // Two cases cannot be distinguished: an innocent request that is retried from
 // one upstream that dies for another reason on another one that does too, while
