--- a/decide/roster/spread_test.go
+++ b/decide/roster/spread_test.go
@@ -27,9 +27,9 @@
 	allWatchersCutBound = 2 * time.Second
 )
 
-// oneFault simulates each fault at nodes of every role, with a change at various times
-// after the fault. It returns the number of runs and the nodes that got the change too
-// late. singleSource is the setting of the simulation.
+// oneFault simulates each fault at nodes of every role. Each run makes one change, 0 to
+// 4 s after the fault in steps of interval. oneFault returns the number of runs and the
+// nodes that got the change too late. singleSource is the setting of the simulation.
 func oneFault(members []Member, interval time.Duration, singleSource bool) (runs int, late []string) {
 	for _, at := range positions(members) {
 		for f := killed; f < faultCount; f++ {
