--- a/decide/load/estimator_test.go
+++ b/decide/load/estimator_test.go
@@ -96,6 +96,8 @@
 	checkInFlight(t, est, 700, 6)
 }
 
+// A report that was measured before the last one must be ignored, and a report of a new
+// epoch must replace what was known of the earlier process.
 func TestOldReportsAndOldEpochs(t *testing.T) {
 	est := New(Settings{})
 	mustApply(t, est, 1000, delayedReport(8))
