--- a/decide/balancer/queue_model_test.go
+++ b/decide/balancer/queue_model_test.go
@@ -32,16 +32,17 @@
 	modelQueueLimit = 64
 )
 
-// server models an engine or a link. It serves one step after the other, each
-// taking the time step, and delivers it after delay. Time free is when it has
-// served all steps so far; running is the number of requests at an engine.
+// server models an engine or a link. It serves one step after the other, each of
+// which takes the time step, and delivers it after delay. free is when it will have
+// served all steps so far, and running is the number of requests at an engine.
 type server struct {
 	step, delay, free time.Duration
 	running           int
 }
 
-// job is one request with left tokens to generate. stage is the position of the
-// current token in the chain, last the time when the token before was done.
+// job is one request. left is the number of tokens still to generate, stage the
+// position of the current token in the chain, and last the time when the previous
+// token was done.
 type job struct {
 	left, stage int
 	chain       topology.Chain
