--- a/standin/internal/httpd/reply.go
+++ b/standin/internal/httpd/reply.go
@@ -7,17 +7,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BadRequest is the body of an answer to a call that could not be read.
+// BadRequest is the body of a response with status 400. Code is "bad_request".
 type BadRequest struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// codeBadRequest is the code of BadRequest.
+// codeBadRequest is the value of BadRequest.Code.
 const codeBadRequest = "bad_request"
 
-// JSON answers with a status and a value's JSON.
-func JSON(ctx *fasthttp.RequestCtx, status int, value any) {
+// WriteJSON answers with a status and the JSON of value, or with status 500 and no
+// body if value cannot be encoded.
+func WriteJSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		status = fasthttp.StatusInternalServerError
@@ -28,22 +29,22 @@
 	ctx.SetBody(body)
 }
 
-// Read decodes the call's JSON body into value. When it can't, it answers 400
-// and reports false.
-func Read(ctx *fasthttp.RequestCtx, value any) bool {
+// ReadJSON decodes the JSON body of the call into value, a pointer. If that fails, it
+// answers 400 and returns false.
+func ReadJSON(ctx *fasthttp.RequestCtx, value any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), value); err != nil {
-		Bad(ctx, err.Error())
+		WriteBadRequest(ctx, err.Error())
 		return false
 	}
 	return true
 }
 
-// Bad answers 400.
-func Bad(ctx *fasthttp.RequestCtx, message string) {
-	JSON(ctx, fasthttp.StatusBadRequest, BadRequest{Code: codeBadRequest, Message: message})
+// WriteBadRequest answers with status 400 and a BadRequest body.
+func WriteBadRequest(ctx *fasthttp.RequestCtx, message string) {
+	WriteJSON(ctx, fasthttp.StatusBadRequest, BadRequest{Code: codeBadRequest, Message: message})
 }
 
-// Drop closes the call's connection without an answer.
+// Drop closes the connection of the call without a response.
 func Drop(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
