--- a/adapter/placer/departures_test.go
+++ b/adapter/placer/departures_test.go
@@ -30,7 +30,7 @@
 func simulateDepartures(t *testing.T, s *simulation, engines, streams int) {
 	t.Helper()
 	o := Options{
-		Engines: s, Lease: s, ChecksFence: true, OnRestart: func(ids.Instance) {},
+		Engines: s, Lease: s, EnginesCheckFence: true, OnRestart: func(ids.Instance) {},
 		SilentFor: func(*directory.Upstream) time.Duration { return 0 },
 	}
 	runPlacerOver(t, simModel, &s.mu, s.dir, o, func(ctx context.Context) {
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -75,12 +75,12 @@
 	Engines Engines
 	Lease   Lease
 	Plan    placement.Options
-	// ChecksFence is true if engines refuse orders of an earlier term than the
+	// EnginesCheckFence is true if engines refuse orders of an earlier term than the
 	// latest they have seen. Orders then continue while the store is unreachable
 	// and the lease cannot be renewed.
-	ChecksFence bool
-	Now         func() time.Time
-	Log         zerolog.Logger
+	EnginesCheckFence bool
+	Now               func() time.Time
+	Log               zerolog.Logger
 	// Count adds n to a counter.
 	Count func(name string, n int64)
 	// SilentFor returns how long an engine has left this node's requests
@@ -352,7 +352,7 @@
 	if status.Held && status.Left >= minLeaseRemaining {
 		return status.Fence, true
 	}
-	if !p.opts.ChecksFence {
+	if !p.opts.EnginesCheckFence {
 		return 0, false
 	}
 	lastTerm := p.opts.Lease.LastTerm()
--- a/adapter/placer/placer_test.go
+++ b/adapter/placer/placer_test.go
@@ -128,7 +128,7 @@
 // runs.
 func runPlacer(t *testing.T, f *fleet, fenced bool, scenario func()) {
 	t.Helper()
-	o := Options{Engines: f, Lease: f, ChecksFence: fenced, OnRestart: f.restarted, SilentFor: f.silentFor}
+	o := Options{Engines: f, Lease: f, EnginesCheckFence: fenced, OnRestart: f.restarted, SilentFor: f.silentFor}
 	runPlacerOver(t, testModel, &f.mu, f.dir, o, func(context.Context) { scenario() })
 }
 
--- a/adapter/placer/simulation_test.go
+++ b/adapter/placer/simulation_test.go
@@ -86,7 +86,8 @@
 	interrupted, lost, refused, requests int
 }
 
-// newSimulation draws three zones whose engines hold one copy each.
+// newSimulation returns a fleet of three zones, each with a random number of empty
+// engines for one copy of the model.
 func newSimulation(seed uint64) *simulation {
 	conditions := condition.New()
 	s := &simulation{
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -80,8 +80,8 @@
 	StopGrace time.Duration
 	// LeaseDuration is the duration of the lease for orders to engines.
 	LeaseDuration time.Duration
-	// EnginesCheckFence states that engines reject orders with an outdated
-	// lease term.
+	// EnginesCheckFence is true if engines reject orders with an outdated fencing
+	// token.
 	EnginesCheckFence bool
 	// Placement configures the placement of layers on engines.
 	Placement placement.Options
@@ -170,17 +170,17 @@
 		Log:       log,
 	})
 	n.placer = placer.New(placer.Options{
-		Table:       n.configs.table.Load,
-		View:        n.upstreams.view.Load,
-		Engines:     ports.Engines,
-		Lease:       n.elector,
-		Plan:        settings.Placement,
-		ChecksFence: settings.EnginesCheckFence,
-		Now:         boottime.Now,
-		Log:         log,
-		Count:       n.metrics.Add,
-		SilentFor:   n.server.SilentFor,
-		OnRestart:   n.upstreams.recordRestart,
+		Table:             n.configs.table.Load,
+		View:              n.upstreams.view.Load,
+		Engines:           ports.Engines,
+		Lease:             n.elector,
+		Plan:              settings.Placement,
+		EnginesCheckFence: settings.EnginesCheckFence,
+		Now:               boottime.Now,
+		Log:               log,
+		Count:             n.metrics.Add,
+		SilentFor:         n.server.SilentFor,
+		OnRestart:         n.upstreams.recordRestart,
 	})
 	n.registerGauges()
 	return n
