--- a/node/entry/origin.go
+++ b/node/entry/origin.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// addTo adds the origin to a addTo line.
+// addTo adds the origin to a log line.
 func (o origin) addTo(line *zerolog.Event) *zerolog.Event {
 	line.Str("from", o.from)
 	if o.peer != "" {
--- a/node/entry/probe.go
+++ b/node/entry/probe.go
@@ -30,8 +30,8 @@
 	trigger chan struct{}
 }
 
-// newProbe creates a probe that vouches for the watches of the given
-// collections.
+// newProbe creates a probe whose answers also count as answers to the waiting
+// watches of the given collections.
 func newProbe(store Prober, f *fleet, log zerolog.Logger, contacts ...*storeContact) *probe {
 	return &probe{store: store, fleet: f, contacts: contacts, log: log, trigger: make(chan struct{}, 1)}
 }
--- a/node/entry/shared_source_test.go
+++ b/node/entry/shared_source_test.go
@@ -306,9 +306,9 @@
 	}
 }
 
-// TestNewWatchIsProbedAtOnce checks that a probe vouches for a new watch
-// without delay. Until then the node counts as stale to its peers, and they
-// would ask the store themselves.
+// TestNewWatchIsProbedAtOnce checks that the store is probed as soon as a watch
+// starts. Until the probe is answered, the node counts as stale to its peers, and
+// they would ask the store themselves.
 func TestNewWatchIsProbedAtOnce(t *testing.T) {
 	_, others := startPeer(t, relay.Update{})
 	s := newWatcher(&hangingStore{called: make(chan struct{}, 1)}, others)
@@ -331,7 +331,8 @@
 
 // TestProbeDetectsASilentStore checks that a probe without an answer in time
 // marks the store as unresponsive, that a failed probe does not change that,
-// and that the next answer ends it and vouches for waiting watches only.
+// and that the next answer ends it and counts as an answer to waiting watches
+// only.
 func TestProbeDetectsASilentStore(t *testing.T) {
 	f := newFleet(Settings{VM: "a-00", Zone: "a"}, boottime.Now, func(int) {})
 	waiting, idle := &storeContact{}, &storeContact{}
--- a/node/entry/state.go
+++ b/node/entry/state.go
@@ -63,8 +63,9 @@
 // storeAnswered records that the store answered this node just now.
 func (c *storeContact) storeAnswered() { c.lastAnswer.Store(&storeAnswer{at: boottime.Now()}) }
 
-// probeAnswered records that the store answered a probe. The answer vouches for
-// a waiting watch, because the store would have reported a change to it.
+// probeAnswered records that the store answered a probe. If a watch is waiting,
+// the answer shows that nothing has changed, because the store would have
+// reported a change to the watch. So it counts as an answer to the watch.
 func (c *storeContact) probeAnswered() {
 	if c.watching.Load() {
 		c.storeAnswered()
