--- a/adapter/claims/worker.go
+++ b/adapter/claims/worker.go
@@ -74,7 +74,7 @@
 }
 
 // publishCounts stores the counts for other goroutines and reports the
-// increments to OnCount.
+// increments to Settings.Count.
 func (w *worker) publishCounts() {
 	counts := w.group.Counts()
 	before := w.counts.Swap(&counts)
--- a/adapter/forward/crashes.go
+++ b/adapter/forward/crashes.go
@@ -32,7 +32,7 @@
 	fingerprint quarantine.Fingerprint
 	service     ids.Service
 	upstreams   []ids.Instance
-	// lostAt is when the connection was lost, zero while it stands.
+	// lostAt is when the connection was lost, zero while it is open.
 	lostAt time.Time
 	// blamed is true once a death was attributed to the run. A run is blamed for one
 	// death at most, because a network partition or a failing rack takes many upstreams
--- a/adapter/forward/exchange.go
+++ b/adapter/forward/exchange.go
@@ -117,8 +117,8 @@
 }
 
 // readyTimeout bounds the wait of a request for the node's first configuration and
-// directory. While a whole fleet starts, hundreds of nodes list at once and share the
-// store's link. Requests that wait are served, so their callers need no retry.
+// directory. While a whole fleet starts, hundreds of nodes read the store's lists at once
+// and share its link. Requests that wait are served, so their callers need no retry.
 const readyTimeout = 900 * time.Millisecond
 
 // awaitReady waits for the first configuration and directory, until readyTimeout or the
--- a/adapter/forward/picker.go
+++ b/adapter/forward/picker.go
@@ -145,7 +145,7 @@
 }
 
 // checkTiling reports whether the stages of a chain cover the model's layers exactly
-// once. A chain that does not is a fault of the choice, so it is always logged.
+// once. A chain that does not is due to a fault in decide/chain, so it is always logged.
 func (p *picker) checkTiling(c chain.Chain, layers int) bool {
 	err := chain.Check(c, layers)
 	if err != nil {
--- a/adapter/forward/stream_test.go
+++ b/adapter/forward/stream_test.go
@@ -464,7 +464,8 @@
 	var r *testServer
 	dead := dyingEngine(t, &r, next)
 	r = newTestServer(t, dead)
-	// A twenty-fifth of the budget is three retries, and one more within a second.
+	// With 25 nodes, this node's share of the budget is three retries, and one more within
+	// a second.
 	r.SetNodes(25)
 	for r.Server.picker.allowRetry("model", outcome.UpstreamLost, true) {
 	}
--- a/adapter/leader/leader.go
+++ b/adapter/leader/leader.go
@@ -116,7 +116,8 @@
 	return s.Held
 }
 
-// Status returns whether this node holds the lease now.
+// Status returns whether this node holds the lease now, and if so the time left and
+// the fencing token.
 func (e *Elector) Status() lease.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
