--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -329,7 +329,7 @@
 	if err != nil {
 		return Unfit, err
 	}
-	if now := report.Life(u.ID); now != u.ID {
+	if now := report.Instance(u.ID); now != u.ID {
 		p.opts.OnRestart(now)
 		return Unfit, &directory.RestartedError{Known: u.ID, Now: now}
 	}
