--- a/adapter/peer/claim_test.go
+++ b/adapter/peer/claim_test.go
@@ -200,7 +200,7 @@
 				t.Fatalf("%s names %s (another: %v) for shard %d, others %s", list[i].ID, got, other, shard, vm)
 			}
 			if !other && !c.service.servesShard(shard) {
-				t.Fatalf("%s does not take its shard %d", got, shard)
+				t.Fatalf("%s does not serve its shard %d", got, shard)
 			}
 		}
 	}
@@ -209,13 +209,13 @@
 			t.Errorf("%s has %d of %d shards", vm, share, shards)
 		}
 	}
-	takers := 0
+	serving := 0
 	for _, c := range services {
 		if c.service.servesShard(0) {
-			takers++
+			serving++
 		}
 	}
-	if takers != maxServingRanks {
-		t.Errorf("%d VMs take shard 0, want %d", takers, maxServingRanks)
+	if serving != maxServingRanks {
+		t.Errorf("%d VMs serve shard 0, want %d", serving, maxServingRanks)
 	}
 }
--- a/adapter/peer/options.go
+++ b/adapter/peer/options.go
@@ -41,7 +41,7 @@
 	// one boot arrive in the order in which they were made.
 	PeerDigest(d peerapi.Digest, at time.Time)
 	// PeerGone reports that a peer's figures are no longer valid, and why.
-	PeerGone(vm ids.VM, why member.GoneReason)
+	PeerGone(vm ids.VM, reason member.GoneReason)
 	// PeerVMs receives a list of VMs that is newer than any that the Service
 	// has seen.
 	PeerVMs(list platformapi.VMList)
--- a/adapter/peer/service_test.go
+++ b/adapter/peer/service_test.go
@@ -26,11 +26,11 @@
 	changed   chan struct{}
 	digestErr error
 
-	mu     sync.Mutex
-	store  *configorder.Store
-	counts map[Counter]int64
-	bump   chan struct{}
-	stop   func()
+	mu            sync.Mutex
+	store         *configorder.Store
+	counts        map[Counter]int64
+	countsChanged chan struct{}
+	stop          func()
 }
 
 func (n *testNode) Digest(context.Context) (peerapi.Digest, error) {
@@ -45,8 +45,8 @@
 }
 
 func (n *testNode) PeerDigest(d peerapi.Digest, _ time.Time) { put(n.digests, d) }
-func (n *testNode) PeerGone(vm ids.VM, why member.GoneReason) {
-	put(n.gone, member.PeerGone{VM: vm, Reason: why})
+func (n *testNode) PeerGone(vm ids.VM, reason member.GoneReason) {
+	put(n.gone, member.PeerGone{VM: vm, Reason: reason})
 }
 func (n *testNode) PeerVMs(list platformapi.VMList)          { put(n.lists, list) }
 func (n *testNode) Offer(objects []platformapi.Object) error { n.apply(objects...); return nil }
@@ -102,13 +102,13 @@
 func start(t *testing.T, vm, zone string, change func(*Options)) *testNode {
 	t.Helper()
 	n := &testNode{
-		digests: make(chan peerapi.Digest, 64),
-		gone:    make(chan member.PeerGone, 64),
-		lists:   make(chan platformapi.VMList, 64),
-		changed: make(chan struct{}, 64),
-		bump:    make(chan struct{}, 1),
-		store:   configorder.New(configorder.Settings{}),
-		counts:  make(map[Counter]int64),
+		digests:       make(chan peerapi.Digest, 64),
+		gone:          make(chan member.PeerGone, 64),
+		lists:         make(chan platformapi.VMList, 64),
+		changed:       make(chan struct{}, 64),
+		countsChanged: make(chan struct{}, 1),
+		store:         configorder.New(configorder.Settings{}),
+		counts:        make(map[Counter]int64),
 	}
 	opts := Options{
 		VM:       ids.VM(vm),
@@ -120,7 +120,7 @@
 		Feed:     feed{n},
 		Count: func(c Counter, v int64) {
 			n.locked(func() { n.counts[c] += v })
-			put(n.bump, struct{}{})
+			put(n.countsChanged, struct{}{})
 		},
 	}
 	if change != nil {
@@ -150,7 +150,7 @@
 	limit := time.After(20 * time.Second)
 	for !ok() {
 		select {
-		case <-n.bump:
+		case <-n.countsChanged:
 		case <-limit:
 			n.locked(func() { t.Fatalf("timeout before condition %q; counts %v", what, n.counts) })
 		}
