--- a/adapter/configfeed/feed_test.go
+++ b/adapter/configfeed/feed_test.go
@@ -24,10 +24,10 @@
 // harness is a running Feed with the last configuration that it passed to its sink.
 type harness struct {
 	*Feed
-	platform *fakePlatform
-	mu       sync.Mutex
-	config   *router.Config
-	problems int
+	platform   *fakePlatform
+	mu         sync.Mutex
+	config     *router.Config
+	errorCount int
 }
 
 // run runs a test with a Feed in virtual time.
@@ -38,7 +38,7 @@
 		settings := Settings{RingCapacity: 2, OnError: func(error) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.problems++
+			h.errorCount++
 		}}
 		h.Feed = New(h.platform, func(c *router.Config) {
 			h.mu.Lock()
@@ -150,8 +150,8 @@
 		go h.Run(ctx)
 		synctest.Wait()
 		h.platform.write(fleet.ProfilePrefix+"p", "kind: profile")
-		if got := h.deadline(); got != 1 || h.problems != 1 {
-			t.Fatalf("got %d with %d problems", got, h.problems)
+		if got := h.deadline(); got != 1 || h.errorCount != 1 {
+			t.Fatalf("got %d with %d errors", got, h.errorCount)
 		}
 	})
 }
--- a/adapter/orders/orders_test.go
+++ b/adapter/orders/orders_test.go
@@ -167,9 +167,9 @@
 	runControllers(t, func(t *testing.T, f *fleet) {
 		sleep(2 * time.Minute)
 		first := f.holder(t)
-		given := f.takeOrders()
-		if first < 0 || len(given) == 0 || given[0].Version != "2" || given[0].Fence == 0 {
-			t.Fatalf("holder %d gave %v", first, given)
+		sent := f.takeOrders()
+		if first < 0 || len(sent) == 0 || sent[0].Version != "2" || sent[0].Fence == 0 {
+			t.Fatalf("holder %d sent %v", first, sent)
 		}
 		f.stops[first]()
 		sleep(10 * time.Second)
@@ -178,8 +178,8 @@
 		}
 		sleep(2 * time.Minute)
 		next := f.takeOrders()
-		if second := f.holder(t); second != 1-first || len(next) == 0 || next[0].Fence <= given[0].Fence {
-			t.Fatalf("holder %d gave %v", second, next)
+		if second := f.holder(t); second != 1-first || len(next) == 0 || next[0].Fence <= sent[0].Fence {
+			t.Fatalf("holder %d sent %v", second, next)
 		}
 	})
 }
@@ -226,7 +226,7 @@
 		sleep(2 * time.Minute)
 		holder := f.holder(t)
 		if holder < 0 || f.controllers[holder].Status().Fence <= old {
-			t.Fatal("the term went on")
+			t.Fatal("the term continued")
 		}
 	})
 }
--- a/adapter/upstream/control_test.go
+++ b/adapter/upstream/control_test.go
@@ -39,9 +39,9 @@
 func TestCancelTellsTheEngine(t *testing.T) {
 	notStarted := jsonAnswer(engineapi.CancelReply{State: engineapi.CancelNotStarted, Epoch: "e1"})
 	for name, test := range map[string]struct {
-		reply, noted string
-		head         bool
-		phase        outcome.Phase
+		reply, recordedEpoch string
+		head                 bool
+		phase                outcome.Phase
 	}{
 		"same epoch":       {notStarted, "e1", false, outcome.Refused},
 		"other epoch":      {notStarted, "e0", false, outcome.MaybeSent},
@@ -59,7 +59,7 @@
 			}
 			f := newFake(t, respondAndWait(test.reply, onPost, parts...))
 			r := New(Options{})
-			r.options.Epochs.Record(f.address, test.noted)
+			r.options.Epochs.Record(f.address, test.recordedEpoch)
 			e := runOne(t, ctx, r, modelSend(f.address), chatCall(), s)
 			failIf(t, e.Phase != test.phase || e.Reason != outcome.Cancelled, "end %+v", e)
 			conns, requests := f.counts()
--- a/node/entry/shared_source.go
+++ b/node/entry/shared_source.go
@@ -81,8 +81,8 @@
 	s.fleet.awaitReady(ctx)
 	start := boottime.Now()
 	for {
-		way, peer := s.fleet.nextSource(s.selector)
-		if way != roster.Peer {
+		source, peer := s.fleet.nextSource(s.selector)
+		if source != roster.Peer {
 			return s.watchStore(ctx, since, wait)
 		}
 		askedAt := boottime.Now()
--- a/node/entry/shared_source_test.go
+++ b/node/entry/shared_source_test.go
@@ -118,8 +118,8 @@
 	got := make(chan relay.Update)
 	go func() { got <- n.UpdateSince(t.Context(), relay.UpdateRequest{Want: relay.WantConfig, WaitMs: 60_000}) }()
 	n.configs.Failed(errRefused)
-	if told := <-got; !told.Disconnected {
-		t.Errorf("update %+v", told)
+	if update := <-got; !update.Disconnected {
+		t.Errorf("update %+v", update)
 	}
 }
 
@@ -170,20 +170,20 @@
 		t.Fatal(err)
 	}
 	if got := s.fleet.memberListVersion(); got.Revision != 9 || len(s.fleet.others()) != len(all)-1 {
-		t.Errorf("edition %+v with %d others", got, len(s.fleet.others()))
+		t.Errorf("list version %+v with %d others", got, len(s.fleet.others()))
 	}
 	if have := <-peer.requests; have.Members.Revision != 1 || have.Members.Digest == 0 {
-		t.Errorf("request with edition %+v", have.Members)
+		t.Errorf("request with list version %+v", have.Members)
 	}
 }
 
 func TestOlderListOfNodesIsIgnored(t *testing.T) {
-	told := 0
-	f := newFleet(Settings{VM: "a-00", Zone: "a"}, boottime.Now, func(nodes int) { told = nodes })
+	notified := 0
+	f := newFleet(Settings{VM: "a-00", Zone: "a"}, boottime.Now, func(nodes int) { notified = nodes })
 	f.setMembers(zoneMembers("a", 4), 9)
 	f.setMembers(zoneMembers("a", 2), 8)
-	if told != 4 {
-		t.Errorf("%d nodes after an older list, want 4", told)
+	if notified != 4 {
+		t.Errorf("%d nodes after an older list, want 4", notified)
 	}
 	var update relay.Update
 	f.addMembers(&update, relay.MemberListVersion{Revision: 3, Digest: f.memberListVersion().Digest})
@@ -208,8 +208,8 @@
 	}
 	f.setMembers(zoneMembers("a", 4), 2)
 	f.awaitReady(t.Context())
-	if way, _ := f.nextSource(f.newSelector()); way != roster.Peer {
-		t.Errorf("way %v", way)
+	if source, _ := f.nextSource(f.newSelector()); source != roster.Peer {
+		t.Errorf("source %v", source)
 	}
 }
 
@@ -270,9 +270,9 @@
 func TestWatcherAppliesUpdatesOfOtherWatchers(t *testing.T) {
 	_, others := startPeer(t, relay.Update{ConfigRevision: 7, AgeMs: 5})
 	s := newWatcher(&hangingStore{called: make(chan struct{}, 1)}, others)
-	took := make(chan int64, 100)
+	applied := make(chan int64, 100)
 	s.apply = func(_ ids.VM, update relay.Update, _ time.Time) int64 {
-		took <- update.ConfigRevision
+		applied <- update.ConfigRevision
 		return update.ConfigRevision
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -281,12 +281,12 @@
 		defer close(ended)
 		_, _ = s.watchStore(ctx, 5, time.Minute)
 	}()
-	if revision := <-took; revision != 7 {
+	if revision := <-applied; revision != 7 {
 		t.Errorf("revision %d", revision)
 	}
 	// A peer that answers at once must not be asked again at once.
 	time.Sleep(2 * roster.PeerPollWait)
-	if n := len(took); n > 3 {
+	if n := len(applied); n > 3 {
 		t.Errorf("%d more requests in %v", n, 2*roster.PeerPollWait)
 	}
 	cancel()
--- a/node/entry/verdicts_test.go
+++ b/node/entry/verdicts_test.go
@@ -26,13 +26,13 @@
 }
 
 // verdictRecorder is a relay.Source that records the verdicts it receives.
-type verdictRecorder struct{ heard chan quarantine.Verdict }
+type verdictRecorder struct{ received chan quarantine.Verdict }
 
 func (verdictRecorder) UpdateSince(context.Context, relay.UpdateRequest) relay.Update {
 	return relay.Update{}
 }
 
-func (l verdictRecorder) ApplyVerdict(v quarantine.Verdict) { l.heard <- v }
+func (l verdictRecorder) ApplyVerdict(v quarantine.Verdict) { l.received <- v }
 
 func TestVerdictsReachAllOtherNodes(t *testing.T) {
 	settings := Settings{VM: "a-00", Zone: "a"}
@@ -43,7 +43,7 @@
 	members := append(zoneMembers("a", 3), zoneMembers("b", 2)...)
 	// Nothing listens at the addresses of this node and of one other.
 	members[0].PeerAddress, members[1].PeerAddress = "127.0.0.1:1", "127.0.0.1:1"
-	heard := make(chan quarantine.Verdict, len(members))
+	received := make(chan quarantine.Verdict, len(members))
 	for i := 2; i < len(members); i++ {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -51,13 +51,13 @@
 		}
 		defer func() { _ = l.Close() }()
 		members[i].PeerAddress = l.Addr().String()
-		go func() { _ = relay.Serve(t.Context(), l, verdictRecorder{heard}) }()
+		go func() { _ = relay.Serve(t.Context(), l, verdictRecorder{received}) }()
 	}
 	n.fleet.setMembers(members, 1)
 	n.queueVerdict(quarantine.Verdict{Fingerprint: "f", For: time.Minute})
 	go n.sendVerdicts(t.Context())
 	for range 3 {
-		if v := <-heard; v.Fingerprint != "f" || v.For != time.Minute {
+		if v := <-received; v.Fingerprint != "f" || v.For != time.Minute {
 			t.Errorf("received %+v", v)
 		}
 	}
