--- a/adapter/forward/stall.go
+++ b/adapter/forward/stall.go
@@ -121,8 +121,10 @@
 
 // wait is the upconn.WaitFunc of a stream. When the stall timeout has passed, it probes
 // the engines of the chain. If one of them is dead or slow, it tries to reroute the
-// request. If that fails and the request may be sent again, it ends the attempt with an
-// *upconn.ReadTimeoutError.
+// request. If that fails, or if silenceFactor timeouts have passed although all engines
+// are alive, it ends the attempt with an *upconn.ReadTimeoutError, provided that the
+// request should be sent again. It also ends the attempt of a quarantined request if an
+// engine is dead.
 func (w *stallWatch) wait(waited time.Duration) (time.Duration, error) {
 	timeout := w.stallTimeout()
 	x := w.s.x
@@ -237,8 +239,8 @@
 	}
 }
 
-// shouldSwitch reports whether the request may be sent again, and whether that is
-// better than to keep waiting.
+// shouldSwitch reports whether the request should be sent again instead of waiting any
+// longer. dead is true if the present chain cannot be expected to make progress.
 func (w *stallWatch) shouldSwitch(faulty []*directory.Upstream, dead bool) bool {
 	x := w.s.x
 	if !x.route.MayRepeat() || x.sends >= maxSends {
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -96,8 +96,9 @@
 	// planInterval is the time between two planning rounds.
 	planInterval = 100 * time.Millisecond
 	// initialSettleTime is the time that must pass after the last engine was added
-	// before engines that hold no layers yet are planned. Engines enter the directory
-	// over some seconds, and a plan made for only some of them is not changed later.
+	// before a plan is made for a service whose engines hold no layers yet. Engines
+	// enter the directory over some seconds, and a plan made for only some of them is
+	// not changed later.
 	initialSettleTime = 1500 * time.Millisecond
 	// settleTime replaces initialSettleTime as soon as one engine of the service holds
 	// layers.
