--- a/mimosactl/answers/answers.go
+++ b/mimosactl/answers/answers.go
@@ -30,7 +30,7 @@
 
 // Plain implements load.Checker. A POST, which creates a booking, must return
 // 201, a receipt and an execution count of 1. Any other method must return 200.
-func (Checker) Plain(call client.Plain, status int, body []byte) bool {
+func (Checker) Plain(call client.PlainCall, status int, body []byte) bool {
 	if call.Method != fasthttp.MethodPost {
 		return status == fasthttp.StatusOK
 	}
--- a/mimosactl/app/load.go
+++ b/mimosactl/app/load.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	recorder := report.New(report.Options{Start: time.Now(), From: c.Warmup, Until: c.For, Bound: c.Bound})
+	recorder := report.New(report.Options{Start: time.Now(), WindowStart: c.Warmup, WindowEnd: c.For, Bound: c.Bound})
 	settings.Observer = recorder
 	run, err := load.New(settings)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	load.Watch(ctx, run, c.env.printProgress)
+	load.RunWithProgress(ctx, run, c.env.printProgress)
 	result := recorder.Report()
 	if err := c.env.print(result, func(w io.Writer) { result.Text(w) }); err != nil {
 		return err
@@ -78,17 +78,17 @@
 	s := load.Settings{
 		Nodes:       c.Nodes,
 		Mix:         c.mix(),
-		Schedule:    load.Schedule{Rate: c.Rate, Shape: load.Shape(c.Shape), For: c.For},
+		Schedule:    load.Schedule{Rate: c.Rate, Shape: load.Shape(c.Shape), Duration: c.For},
 		Callers:     c.Callers,
 		Seed:        c.Seed,
 		MaxInFlight: c.InFlight,
 		Timeout:     c.Timeout,
 		Deadline:    c.Deadline,
-		Returns:     c.MaxRetries,
+		MaxRetries:  c.MaxRetries,
 	}
 	s.Mix.Model = ids.Service(c.Model)
 	s.Mix.Plain = ids.Service(c.Plain)
-	s.Mix.Run = documents.NewChangeID()
+	s.Mix.RunID = documents.NewChangeID()
 	s.Mix.Accounts = accounts
 	if !c.NoCheck {
 		s.Checker = answers.Checker{}
--- a/mimosactl/app/send.go
+++ b/mimosactl/app/send.go
@@ -101,7 +101,7 @@
 // as they arrive.
 func (c *sendCommand) call(caller *client.Client) (client.Result, error) {
 	if c.Path != "" {
-		return caller.Plain(context.Background(), client.Plain{
+		return caller.Plain(context.Background(), client.PlainCall{
 			Service:  ids.Service(c.Service),
 			Method:   c.Method,
 			Path:     c.Path,
--- a/mimosactl/bench/bench.go
+++ b/mimosactl/bench/bench.go
@@ -140,10 +140,10 @@
 	}
 	start := time.Now()
 	recorder := report.New(report.Options{
-		Start: start,
-		From:  o.Warmup,
-		Until: o.Duration,
-		Bound: bound * means.Tokens / means.Steps,
+		Start:       start,
+		WindowStart: o.Warmup,
+		WindowEnd:   o.Duration,
+		Bound:       bound * means.Tokens / means.Steps,
 	})
 	injector, err := f.newFailureInjector(recorder, o.LoadFraction*bound, means.Tokens/means.Steps)
 	if err != nil {
@@ -151,21 +151,21 @@
 	}
 	defer injector.close()
 	run, err := load.New(load.Settings{
-		Nodes:    injector.addresses(),
-		Mix:      mix,
-		Schedule: load.Schedule{Rate: result.RequestsPerSec, Shape: o.Shape, For: o.Duration},
-		Seed:     o.Seed,
-		Deadline: o.Deadline,
-		Returns:  o.MaxRetries,
-		Checker:  answers.Checker{},
-		Observer: injector,
+		Nodes:      injector.addresses(),
+		Mix:        mix,
+		Schedule:   load.Schedule{Rate: result.RequestsPerSec, Shape: o.Shape, Duration: o.Duration},
+		Seed:       o.Seed,
+		Deadline:   o.Deadline,
+		MaxRetries: o.MaxRetries,
+		Checker:    answers.Checker{},
+		Observer:   injector,
 	})
 	if err != nil {
 		return Result{}, err
 	}
 	runStart, cpuBefore := time.Now(), cpuTime()
 	injector.schedule(ctx, start)
-	load.Watch(ctx, run, o.OnProgress)
+	load.RunWithProgress(ctx, run, o.OnProgress)
 	result.CPUCores = (cpuTime() - cpuBefore).Seconds() / time.Since(runStart).Seconds()
 	result.Failure = injector.report()
 	result.Report = recorder.Report()
@@ -178,7 +178,7 @@
 	mix := f.options.Mix
 	mix.Model = ids.Service(standins.ModelService)
 	mix.Plain = ids.Service(standins.PlainService)
-	mix.Run = documents.NewChangeID()
+	mix.RunID = documents.NewChangeID()
 	mix.Accounts = nil
 	for _, a := range accounts {
 		mix.Accounts = append(mix.Accounts, load.Account{Key: a.key, Weight: a.weight})
--- a/mimosactl/bench/failure.go
+++ b/mimosactl/bench/failure.go
@@ -139,10 +139,10 @@
 	return []string{x.proxy.listener.Addr().String()}
 }
 
-// Done implements load.Observer.
-func (x *failureInjector) Done(s *load.Sample) {
+// Observe implements load.Observer.
+func (x *failureInjector) Observe(s *load.Sample) {
 	x.record(s)
-	x.recorder.Done(s)
+	x.recorder.Observe(s)
 }
 
 // schedule starts a goroutine that injects the failure FailAfter after start,
@@ -169,7 +169,7 @@
 func (x *failureInjector) injectFailure() {
 	now := time.Now()
 	x.setFailureTime(now)
-	x.recorder.Failed(now, x.recoveryTarget)
+	x.recorder.RecordFailure(now, x.recoveryTarget)
 	switch x.result.Kind {
 	case FailEngine:
 		// Kill fails only for an unknown engine.
--- a/mimosactl/demo/demo.go
+++ b/mimosactl/demo/demo.go
@@ -177,7 +177,7 @@
 
 // booking sends a plain request that must be executed at most once.
 func (d *demo) booking(ctx context.Context) error {
-	result, err := d.client.Plain(ctx, client.Plain{
+	result, err := d.client.Plain(ctx, client.PlainCall{
 		Service: standins.PlainService,
 		Method:  "POST",
 		Path:    "/bookings",
