--- a/loadgen/client/client.go
+++ b/loadgen/client/client.go
@@ -100,8 +100,8 @@
 	Text   string
 	// Body is a plain service's answer.
 	Body []byte
-	// RetryAfter is how long the node asks the caller to wait before a retry;
-	// 0 if it gave no time.
+	// RetryAfter is the delay that the node advised before a retry; 0 if it
+	// advised none.
 	RetryAfter time.Duration
 }
 
--- a/loadgen/load/load.go
+++ b/loadgen/load/load.go
@@ -41,12 +41,12 @@
 	// Timeout bounds each attempt of a request, also beyond the end of the
 	// schedule. Default 60s.
 	Timeout time.Duration
-	// Deadline is the remaining time that requests name to the node; 0 names
+	// Deadline is the remaining time that is sent with each request; 0 sends
 	// none.
 	Deadline time.Duration
 	// MaxRetries is how often a request that was not run is retried after the
-	// time that the node named. A refusal without such a time is not retried.
-	// Default 0.
+	// delay that the node advised. A refusal without an advised delay is not
+	// retried. Default 0.
 	MaxRetries int
 	// Checker checks answers. If nil, no answer counts as wrong.
 	Checker Checker
--- a/loadgen/load/load_test.go
+++ b/loadgen/load/load_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestRefusedCallerComesBack(t *testing.T) {
+func TestRefusedRequestIsRetried(t *testing.T) {
 	var calls int
 	var mu sync.Mutex
 	refuseTwice := func(ctx *fasthttp.RequestCtx) {
@@ -144,10 +144,10 @@
 		streamTokens(true, "a ", "b ")(ctx)
 	}
 	if s := sendOne(t, 5, refuseTwice); !s.Complete() || s.Retries != 2 || len(s.Tokens) != 2 {
-		t.Errorf("sample is %+v, want complete after 2 returns", s)
+		t.Errorf("sample is %+v, want complete after 2 retries", s)
 	}
 	if s := sendOne(t, 1, refuse); s.Outcome != outcome.NotRun || s.Retries != 1 {
-		t.Errorf("sample is %+v, want not run after 1 return", s)
+		t.Errorf("sample is %+v, want not run after 1 retry", s)
 	}
 }
 
--- a/loadgen/load/send.go
+++ b/loadgen/load/send.go
@@ -18,8 +18,8 @@
 	CutOff outcome.Reason = "cut_off"
 )
 
-// send sends a request that was due at a time, retries it when a refusal names
-// a time to wait, and passes its sample to the observer.
+// send sends a request that was due at a time, retries it when a refusal advises
+// a delay, and passes its sample to the observer.
 func (r *Run) send(ctx context.Context, it item, due time.Time) {
 	r.counts.sent.Add(1)
 	s := &Sample{Due: due, Sent: time.Now(), Account: it.account, Plain: it.plain != nil}
--- a/loadgen/report/histogram.go
+++ b/loadgen/report/histogram.go
@@ -13,7 +13,7 @@
 	significantDigits = 3
 )
 
-// Latency summarises a histogram of durations, in milliseconds. All fields are
+// Latency summarizes a histogram of durations, in milliseconds. All fields are
 // 0 if Count is 0.
 type Latency struct {
 	Count int64   `json:"count"`
@@ -40,7 +40,7 @@
 	_ = h.hdr.RecordValue(micros)
 }
 
-// latency summarises the histogram.
+// latency summarizes the histogram.
 func (h *histogram) latency() Latency {
 	if h.hdr.TotalCount() == 0 {
 		return Latency{}
--- a/loadgen/report/plot.go
+++ b/loadgen/report/plot.go
@@ -15,7 +15,7 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Colours of a plot's lines.
+// Colors of a plot's lines.
 var (
 	deliveredColor = color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff}
 	goodputColor   = color.RGBA{R: 0x2c, G: 0xa0, B: 0x2c, A: 0xff}
--- a/loadgen/report/report_test.go
+++ b/loadgen/report/report_test.go
@@ -49,7 +49,7 @@
 	wrong.Wrong = true
 	r := reportOf(sample(500, 900, 1000, 1100, 2999, 3000), cut, wrong)
 	if r.Delivered != 2 || r.Goodput != 1.5 || r.Share != 0.5 || r.GoodputShare != 0.375 {
-		t.Errorf("delivered %v, good %v, shares %v and %v; want 4 and 3 tokens in 2 s of 4 a second",
+		t.Errorf("delivered %v, goodput %v, shares %v and %v; want 4 and 3 tokens in 2 s of 4 a second",
 			r.Delivered, r.Goodput, r.Share, r.GoodputShare)
 	}
 	want := []Point{{0, 1, 1}, {1, 2, 2}, {2, 2, 1}, {3, 1, 1}}
@@ -87,7 +87,7 @@
 	refused := &load.Sample{Due: at(0), Sent: at(0), Outcome: outcome.NotRun, Reason: outcome.QueueFull, Retries: 2}
 	r := reportOf(sample(1000, 1100, 1200), small, refused, &load.Sample{Due: at(0), NotSent: true})
 	if r.Sent != 3 || r.NotSent != 1 || r.Retries != 2 {
-		t.Errorf("%d sent, %d not sent, %d returns", r.Sent, r.NotSent, r.Retries)
+		t.Errorf("%d sent, %d not sent, %d retries", r.Sent, r.NotSent, r.Retries)
 	}
 	if d := cmp.Diff(map[outcome.Outcome]int{outcome.Complete: 2, outcome.NotRun: 1}, r.Outcomes); d != "" {
 		t.Error(d)
--- a/mimosactl/bench/bench.go
+++ b/mimosactl/bench/bench.go
@@ -44,8 +44,8 @@
 	Seed uint64
 	// Deadline is sent with each request; 0 uses the profile's deadline.
 	Deadline time.Duration
-	// MaxRetries is how often a refused request is sent again after the advised
-	// delay.
+	// MaxRetries is how often a refused request is retried after the delay that
+	// the node advised.
 	MaxRetries int
 	// Failure is the failure to inject, FailAfter after the start of the run;
 	// FailNone injects none.
