--- a/scenario/capacity/record_test.go
+++ b/scenario/capacity/record_test.go
@@ -18,14 +18,14 @@
 	for _, kept := range []int{1000, 5000, 20000} {
 		b.Run(fmt.Sprintf("kept=%d", kept), func(b *testing.B) {
 			before := heapBytes()
-			book := record.New(kept)
+			history := record.New(kept)
 			for i := range 2 * kept {
-				book.Add(decision(i))
+				history.Add(decision(i))
 			}
 			heldKB := float64(int64(heapBytes())-int64(before)) / 1024
 			i := 2 * kept
 			for b.Loop() {
-				book.Add(decision(i))
+				history.Add(decision(i))
 				i++
 			}
 			b.ReportMetric(heldKB, "KB-held")
--- a/scenario/lang/condition.go
+++ b/scenario/lang/condition.go
@@ -56,8 +56,8 @@
 	// outcome ADDRESS OUTCOME METHOD PATH OPTION...: a call of the plain service
 	// gets the outcome. Each evaluation makes a new call.
 	"outcome": outcomeIs,
-	// documents NODE N: the number of configuration documents in force.
-	"documents": documentsInForce,
+	// documents NODE N: the number of active configuration documents.
+	"documents": activeDocuments,
 	// peers NODE PEER...: the peers that the node knows are exactly these, given
 	// in sorted order.
 	"peers": peersAre,
--- a/scenario/lang/lang.go
+++ b/scenario/lang/lang.go
@@ -59,8 +59,8 @@
 	return ts.Value(stateKey{}).(*scriptState)
 }
 
-// Conditions are polled every pollInterval. maxWait bounds that wait, and others
-// for an answer or a connection.
+// Conditions are polled every pollInterval. maxWait limits each wait for a
+// condition, an answer or a connection.
 const (
 	maxWait      = 20 * time.Second
 	pollInterval = 5 * time.Millisecond
--- a/scenario/lang/node_condition.go
+++ b/scenario/lang/node_condition.go
@@ -80,8 +80,9 @@
 	return status, json.Unmarshal(body, &status)
 }
 
-// documentsInForce checks the number of a node's configuration documents.
-func documentsInForce(ts *testscript.TestScript, st *scriptState, args []string) error {
+// activeDocuments checks the number of configuration documents that are active at
+// a node.
+func activeDocuments(ts *testscript.TestScript, st *scriptState, args []string) error {
 	status, err := statusOf(st.process(ts, args[0]))
 	if err != nil {
 		return err
--- a/scenario/lang/request.go
+++ b/scenario/lang/request.go
@@ -161,7 +161,7 @@
 
 // answer is the command "answer NAME FIELD=VALUE...". It waits for the end of a
 // request and checks fields of the result: outcome, reason, status, tokens, body
-// (a substring of it), retry (whether a time to retry after was given) and error
+// (a substring of it), retry (whether a delay before a retry was advised) and error
 // (whether the connection failed); the last two are yes or no. VALUE may be
 // alternatives such as "one|two". It also checks the text received for a model
 // request, as checkText does.
--- a/scenario/lang/standin.go
+++ b/scenario/lang/standin.go
@@ -16,7 +16,7 @@
 	standin "mimosaarch.example/standin/platform"
 )
 
-// postControl is the command "control NAME JSON". It changes the behaviour of a
+// postControl is the command "control NAME JSON". It changes the behavior of a
 // spawned stand-in, for example to inject a failure.
 func postControl(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
