--- a/adapter/forward/probe.go
+++ b/adapter/forward/probe.go
@@ -158,9 +158,9 @@
 	defer cancel()
 	p.opts.Metrics.Add("upstream.probes", 1)
 	report, err := p.opts.Engines.Probe(probeCtx, u)
-	if now := report.Instance(u.ID); err == nil && now != u.ID {
-		err = &directory.RestartedError{Known: u.ID, Now: now}
-		p.opts.OnRestart(now)
+	if current := report.Instance(u.ID); err == nil && current != u.ID {
+		err = &directory.RestartedError{Known: u.ID, Current: current}
+		p.opts.OnRestart(current)
 	}
 	if err != nil && p.opts.Now().Sub(out.at) > probeTimeout+probeOverrunTolerance {
 		// The node itself was suspended or delayed, so the failure says nothing about the
--- a/adapter/placer/placer.go
+++ b/adapter/placer/placer.go
@@ -330,9 +330,9 @@
 	if err != nil {
 		return Unfit, err
 	}
-	if now := report.Instance(u.ID); now != u.ID {
-		p.opts.OnRestart(now)
-		return Unfit, &directory.RestartedError{Known: u.ID, Now: now}
+	if current := report.Instance(u.ID); current != u.ID {
+		p.opts.OnRestart(current)
+		return Unfit, &directory.RestartedError{Known: u.ID, Current: current}
 	}
 	if report.ExecutingOrder {
 		return Unfit, nil
--- a/decide/directory/directory.go
+++ b/decide/directory/directory.go
@@ -41,15 +41,15 @@
 
 // RestartedError reports that the process under a name is not the expected one, because
 // it has restarted.
-type RestartedError struct{ Known, Now ids.Instance }
+type RestartedError struct{ Known, Current ids.Instance }
 
 // Error implements error.
 func (e *RestartedError) Error() string {
-	return "upstream " + e.Known.String() + " has restarted as " + e.Now.String()
+	return "upstream " + e.Known.String() + " has restarted as " + e.Current.String()
 }
 
-// RemovalGrace is how long after an outage of the registry a missing entry stays in
-// force. Live upstreams register again within about two seconds of the registry's
+// RemovalGrace is how long after an outage of the registry a missing entry stays
+// active. Live upstreams register again within about two seconds of the registry's
 // return, and an upstream that has left must get no new work two seconds after its
 // absence was seen. The grace period is shorter than both.
 const RemovalGrace = 1500 * time.Millisecond
@@ -63,13 +63,13 @@
 	Changed ChangeKind = "changed"
 	// LeavingStarted means that the upstream is leaving and gets no new work.
 	LeavingStarted ChangeKind = "left"
-	// Missing means that the entry is absent after an outage, and stays in force for
+	// Missing means that the entry is absent after an outage, and stays active for
 	// RemovalGrace.
 	Missing ChangeKind = "doubted"
 	Removed ChangeKind = "gone"
 )
 
-// Change is one change to the entries in force.
+// Change is one change to the active entries.
 type Change struct {
 	Kind     ChangeKind
 	Upstream *Upstream
@@ -299,7 +299,7 @@
 }
 
 // add registers a new entry at its address. The entry replaces the current one there,
-// unless that has a newer revision, or the new entry was in force recently and has only
+// unless that has a newer revision, or the new entry was active recently and has only
 // sent a late heartbeat.
 func (d *Directory) add(changes []Change, u *Upstream) []Change {
 	others := d.byAddress[u.Address]
@@ -317,7 +317,7 @@
 	return append(changes, Change{Added, u})
 }
 
-// isCurrent reports whether an entry is the one in force at its address.
+// isCurrent reports whether an entry is the active one at its address.
 func (d *Directory) isCurrent(u *Upstream) bool {
 	registered := d.byAddress[u.Address]
 	return registered[len(registered)-1] == u.ID.Upstream
@@ -335,7 +335,7 @@
 	return d.drop(changes, u)
 }
 
-// drop removes an entry. If another entry with its address is left, that is in force
+// drop removes an entry. If another entry with its address is left, that becomes active
 // again.
 func (d *Directory) drop(changes []Change, u *Upstream) []Change {
 	present := d.isCurrent(u)
--- a/decide/directory/directory_test.go
+++ b/decide/directory/directory_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// changesSince returns the changes since a mark as text.
+// changesSince returns the changes since a View with this Mark as text.
 func changesSince(t *testing.T, d *Directory, mark uint64) []string {
 	t.Helper()
 	changed, gone, ok := d.View().Since(mark)
--- a/decide/directory/unconfigured.go
+++ b/decide/directory/unconfigured.go
@@ -9,7 +9,7 @@
 
 // SetServices sets the configured services. Entries of other services are kept apart
 // until their service is configured, because whoever wrote such an entry may be wrong
-// about its address too. It returns the changes to the entries in force.
+// about its address too. It returns the changes to the active entries.
 func (d *Directory) SetServices(services []ids.Service) []Change {
 	d.services = make(map[ids.Service]bool, len(services))
 	for _, s := range services {
