--- a/decide/router/event.go
+++ b/decide/router/event.go
@@ -114,8 +114,7 @@
 // ConfigReceived is a complete new configuration.
 type ConfigReceived struct{ Config *Config }
 
-// Drain starts the planned stop of this node: it refuses new requests and
-// finishes those it holds.
+// Drain makes this node refuse new requests and finish those that it holds.
 type Drain struct{}
 
 // Tick reports that time has passed. It must be sent every TickInterval.
--- a/mimosad/app/app.go
+++ b/mimosad/app/app.go
@@ -19,7 +19,8 @@
 )
 
 // Exit codes of mimosad. ExitFailed means that the node could not start,
-// ExitDrainIncomplete that a stop cut off requests in flight.
+// ExitUsage that the command line is invalid, ExitSettings that the settings are
+// invalid, and ExitDrainIncomplete that the drain cut off requests in flight.
 const (
 	ExitOK              = 0
 	ExitFailed          = 1
@@ -34,9 +35,9 @@
 	Check    bool   `long:"check" description:"check the settings and exit"`
 }
 
-// Main runs mimosad and returns its exit code. SIGTERM and SIGINT start a
-// planned stop, which waits for requests in flight. A second signal stops the
-// node at once.
+// Main runs mimosad and returns its exit code. On SIGTERM or SIGINT the node
+// drains: it finishes the requests in flight and stops. A second signal stops it
+// at once.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var opts options
 	parser := flags.NewParser(&opts, flags.HelpFlag|flags.PassDoubleDash)
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -38,7 +38,7 @@
 	// VMListInterval is the interval between reads of the platform's list of
 	// VMs. Default 1s.
 	VMListInterval time.Duration `yaml:"vm_list_interval,omitempty"`
-	// DrainTimeout is the maximum time that a planned stop waits for requests
+	// DrainTimeout is the maximum time that a draining node waits for requests
 	// in flight. It should exceed the longest request deadline. Default 10m.
 	DrainTimeout time.Duration `yaml:"drain_timeout,omitempty"`
 	// Records is the number of routing decisions kept for explanations. Default
