--- a/scenario/lang/process.go
+++ b/scenario/lang/process.go
@@ -80,7 +80,7 @@
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		p.line(lines.Text())
+		p.recordLine(lines.Text())
 	}
 	_ = out.Close()
 	_ = p.cmd.Wait()
@@ -89,8 +89,8 @@
 	p.startOnce.Do(func() { close(p.started) })
 }
 
-// line records one line of output, and the addresses if the line has them.
-func (p *process) line(text string) {
+// recordLine records one line of output, and the addresses if the line has them.
+func (p *process) recordLine(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.output.WriteString(text + "\n")
@@ -210,7 +210,7 @@
 	spawn(ts, false, []string{args[0], "mimosad", "--settings", file})
 }
 
-// defaultsNotIn returns the default lines whose settings lines doesn't set.
+// defaultsNotIn returns the default lines of the settings that lines does not set.
 func defaultsNotIn(lines []string) []string {
 	return slices.DeleteFunc(slices.Clone(defaultLines), func(line string) bool {
 		name, _, _ := strings.Cut(line, " ")
--- a/scenario/lang/raw.go
+++ b/scenario/lang/raw.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// read reads one whole request and closes the connection.
+// read reads one complete request and closes the connection.
 func (s *tcpServer) read(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	var req fasthttp.Request
--- a/scenario/lang/standin.go
+++ b/scenario/lang/standin.go
@@ -29,8 +29,8 @@
 	ts.Check(control.Post(address, json.RawMessage(args[1])))
 }
 
-// roles are the roles of spawned commands in the VM list, and the services of
-// upstreams, by command.
+// roles maps each command that can be spawned to its role in the VM list and, if it
+// is an upstream, the service that it serves.
 var roles = map[string]struct{ role, service string }{
 	"mimosad": {role: platformapi.RoleEntry},
 	"engine":  {role: platformapi.RoleEngine, service: modelService},
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -29,8 +29,8 @@
 )
 
 // maxTermStart bounds the time from the start of a term to its first orders. A
-// new lease holder must assume that the loads allowed per minute are used up, so
-// it waits for a minute.
+// new lease holder must assume that all the loads of layers allowed per minute have just been
+// started, so it waits for a minute.
 const maxTermStart = 70 * time.Second
 
 // ordersFleet is two engines and two candidates for the lease on sending them
@@ -199,7 +199,7 @@
 }
 
 // TestOrdersOfALapsedHolder disconnects the lease holder from the platform while
-// it sends orders. It must stop when its lease lapses, the other candidate must
+// it sends orders. It must stop when its lease expires, the other candidate must
 // take over, and an engine that checks fencing tokens must reject a late order
 // of the first. The platform and the engines are processes; the candidates run
 // in the test with the fake clock of synctest.
@@ -283,8 +283,8 @@
 }
 
 // checkSent checks the orders of both holders to each engine: the first holder
-// goes on until its lease lapses and no longer, every order is sent with the
-// lease held, and the second sends none before the last of the first has timed
+// sends orders until its lease expires, every order is sent with the lease held,
+// and the second sends none before the last of the first has timed
 // out.
 func (f *ordersFleet) checkSent(t *testing.T, first, second []sentOrder, disconnectedAt time.Time) {
 	t.Helper()
@@ -300,7 +300,7 @@
 			t.Errorf("%s: the disconnected holder sent no order while its lease lasted", name)
 		}
 		if bound := disconnectedAt.Add(lease.DefaultDuration); last.at.After(bound) {
-			t.Errorf("%s: an order was sent %v after the lease had lapsed", name, last.at.Sub(bound))
+			t.Errorf("%s: an order was sent %v after the lease had expired", name, last.at.Sub(bound))
 		}
 		for _, s := range slices.Concat(older, newer) {
 			if !s.held {
