--- a/adapter/call/call.go
+++ b/adapter/call/call.go
@@ -32,7 +32,7 @@
 }
 
 // PlainCall is a request to a plain service, which is an HTTP service that
-// answers with one whole response instead of a stream of tokens.
+// answers with one complete response instead of a stream of tokens.
 type PlainCall struct {
 	Method string
 	// Path is decoded, normalized and starts with "/". Query is as the caller
@@ -44,7 +44,7 @@
 	Body   []byte
 }
 
-// PlainAnswer is the whole response of a plain service.
+// PlainAnswer is the complete response of a plain service.
 type PlainAnswer struct {
 	Status int
 	// Header has the name and value of each header that is passed to the
--- a/adapter/caller/exchange.go
+++ b/adapter/caller/exchange.go
@@ -29,7 +29,7 @@
 
 const (
 	waitToken waitResult = iota
-	waitEnd
+	waitCallEnded
 	waitCallerGone
 )
 
@@ -55,7 +55,7 @@
 		case waitCallerGone:
 			ctx.SetConnectionClose()
 			return
-		case waitEnd:
+		case waitCallEnded:
 			x.writeWhole(ctx, text.String())
 			return
 		}
@@ -79,7 +79,7 @@
 // the HTTP status. It leaves the rest to the goroutine of the stream.
 func (x *exchange) answerStream(ctx *fasthttp.RequestCtx) {
 	first, result := x.wait()
-	if result == waitToken || result == waitEnd && x.call.Err() == nil {
+	if result == waitToken || result == waitCallEnded && x.call.Err() == nil {
 		s := &stream{exchange: x, first: first, hasFirst: result == waitToken}
 		s.start(ctx)
 		return
@@ -112,13 +112,13 @@
 }
 
 // remaining returns the next token still buffered after the end of the call, or
-// waitEnd.
+// waitCallEnded.
 func (x *exchange) remaining() (engineapi.Token, waitResult) {
 	select {
 	case t := <-x.call.Tokens():
 		return t, waitToken
 	default:
-		return engineapi.Token{}, waitEnd
+		return engineapi.Token{}, waitCallEnded
 	}
 }
 
--- a/adapter/caller/stream.go
+++ b/adapter/caller/stream.go
@@ -39,7 +39,7 @@
 	defer s.probeTicker.Stop()
 	t, result := s.first, waitToken
 	if !s.hasFirst {
-		result = waitEnd
+		result = waitCallEnded
 	}
 	for result == waitToken {
 		if s.writeToken(w, t) != nil {
@@ -48,7 +48,7 @@
 		}
 		t, result = s.wait()
 	}
-	if result == waitEnd && s.writeEnd(w) != nil && s.call.Err() == nil {
+	if result == waitCallEnded && s.writeEnd(w) != nil && s.call.Err() == nil {
 		s.reportCallerGone()
 	}
 }
--- a/adapter/configfeed/feed_test.go
+++ b/adapter/configfeed/feed_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-// deadline returns the deadline of the profile in force in milliseconds, or 0 if there
+// deadline returns the deadline of the active profile in milliseconds, or 0 if there
 // is no such profile.
 func (h *harness) deadline() int64 {
 	synctest.Wait()
--- a/adapter/forward/crashes.go
+++ b/adapter/forward/crashes.go
@@ -54,7 +54,7 @@
 	verdicts       map[quarantine.Fingerprint]heldVerdict
 }
 
-// heldVerdict is a verdict in force, received from a peer or found by this node.
+// heldVerdict is an active verdict, received from a peer or found by this node.
 type heldVerdict struct {
 	until time.Time
 	// local verdicts depend on this node's evidence, which can still withdraw them.
--- a/adapter/orders/calls.go
+++ b/adapter/orders/calls.go
@@ -90,7 +90,7 @@
 }
 
 // applyPlans sets the plans with a new version and drops those without an object.
-// An invalid plan leaves the previous one in force.
+// If a plan is invalid, the previous one stays active.
 func (c *Controller) applyPlans(reply platformapi.ListReply) {
 	listed := make(map[ids.Service]bool)
 	for _, object := range reply.Objects {
--- a/adapter/orders/controller.go
+++ b/adapter/orders/controller.go
@@ -35,7 +35,7 @@
 	// The fields below belong to Run's goroutine.
 	planner      *order.Planner
 	planVersions map[ids.Service]int64
-	// readingPlans tells that a read of the plans is in flight; lastRead is when
+	// readingPlans reports that a read of the plans is in flight; lastRead is when
 	// the last one ended.
 	readingPlans bool
 	lastRead     time.Time
--- a/adapter/relay/packed_test.go
+++ b/adapter/relay/packed_test.go
@@ -17,7 +17,7 @@
 
 // These tests guard against a large configuration that delays every update. In a fleet
 // of 295 nodes, 57 nodes fetch from a peer with a link of 20 Mbit/s and a fifth of a CPU
-// core. With 1,400 more routes each of them got 354 kB of JSON, encoded anew for each. A
+// core. With 1,400 more routes each of them got 354 kB of JSON, encoded separately for each. A
 // configuration took 3.8 s to reach the last node. While the store also refused a third
 // of the nodes, it took 7.5 s, and the removal of an upstream took 4.4 s, where 4 s is
 // allowed. The first nodes of each zone had the configuration after 0.1 s; the others
--- a/adapter/upstream/errors.go
+++ b/adapter/upstream/errors.go
@@ -23,7 +23,7 @@
 func (e *TooLargeError) Error() string { return fmt.Sprintf("answer exceeds %d bytes", e.LimitBytes) }
 
 // UnframedError is returned for a response whose end is marked neither by a length
-// nor by a last chunk: a complete one cannot be told from a truncated one.
+// nor by a last chunk: a complete one cannot be distinguished from a truncated one.
 type UnframedError struct{}
 
 // Error implements error.
--- a/core/layered/layered.go
+++ b/core/layered/layered.go
@@ -89,7 +89,7 @@
 	return float64(layers)*m.LayerMB <= card.MemoryMB
 }
 
-// KVCapacityTokens returns the number of tokens whose KV cache fits on a card beside
+// KVCapacityTokens returns the number of tokens whose KV cache fits on a card besides
 // the weights of a number of layers. It is 0 if the sizes are not known.
 func (m *Model) KVCapacityTokens(card Card, layers int) float64 {
 	if layers <= 0 || m.Layers <= 0 || m.KVTokenBytes <= 0 {
--- a/core/peerapi/peerapi.go
+++ b/core/peerapi/peerapi.go
@@ -81,7 +81,8 @@
 	// Base is the Seq of the digest that Figures refer to; 0 means that this digest
 	// is full.
 	Base uint64 `json:"base,omitempty"`
-	// Figures are nil if the digest is full.
+	// Figures are this digest's values, in the order of the base's entries; nil if
+	// the digest is full.
 	Figures *Figures `json:"figures,omitempty"`
 	// BaseDigest is the base, included for a receiver that does not hold it.
 	BaseDigest *Digest `json:"base_digest,omitempty"`
--- a/decide/chain/fleet_test.go
+++ b/decide/chain/fleet_test.go
@@ -23,7 +23,7 @@
 // engines are therefore part of the cost of a chain.
 
 // simSlotsPerEngine is the number of requests that an engine runs at once,
-// simQueueLimit the number that it queues beside them.
+// simQueueLimit the number that it queues in addition.
 const (
 	simSlotsPerEngine = 192
 	simQueueLimit     = 96
@@ -209,7 +209,7 @@
 }
 
 // Without any load report, nodes assume that some slots of first stages are taken. That
-// must not make them pick a chain across zones while each zone has a whole chain, however
+// must not make them pick a chain across zones while each zone has a complete chain, however
 // many nodes there are.
 func TestNodesWithoutReportsStayInOneZone(t *testing.T) {
 	for _, nodes := range []int{9, 84, 300, 1000} {
--- a/decide/chain/search.go
+++ b/decide/chain/search.go
@@ -80,7 +80,7 @@
 // each stage.
 func (r Request) kvTokens() float64 { return r.PromptTokens + r.OutputTokens }
 
-// Costs of a chain beside the time that its engines take.
+// Costs of a chain in addition to the time that its engines take.
 const (
 	// stageTransferCostMs is the cost of each stage of a decoding pass, in ms, for
 	// the transfer of activations.
@@ -88,7 +88,7 @@
 	// zoneCrossingCostMs is the cost of a stage in another zone than the stage
 	// before, in ms. All chains that cross zones share the link between them
 	// for the activations of every token, so they are chosen only if no zone
-	// has a whole chain, or those in a zone are near capacity.
+	// has a complete chain, or those in a zone are near capacity.
 	zoneCrossingCostMs = 1000.0
 	// remoteZoneFactor multiplies the cost of a chain in another zone than the
 	// request's. A network partition between zones breaks every stream that
--- a/decide/claim/sim_test.go
+++ b/decide/claim/sim_test.go
@@ -92,7 +92,7 @@
 	// delayedWrites are lost writes that may still take effect.
 	delayedWrites []Write
 	requests      int
-	// holders maps each key to the requests that were told that they won it and
+	// holders maps each key to the requests that were notified that they won it and
 	// have not released it. Requests that marked their claim as done stay.
 	holders map[string][]claimed
 	// priors are the claims reported to requests that lost. neverRun are the
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -1,5 +1,5 @@
 // Package lease implements a lease that is stored in one object of the
-// platform's store, so that at most one process at a time performs a duty.
+// platform's store, so that at most one process at a time performs a task.
 //
 // The object contains the holder, the term and the duration of the lease. All
 // decisions use the process's own monotonic clock; no times of day are stored or
@@ -254,7 +254,7 @@
 
 // LastTerm returns the term of this process, even if its lease has expired, as
 // long as no other process is known to have taken the lease over. It may only be
-// used while the store is unreachable, and only for duties in which every action
+// used while the store is unreachable, and only for tasks in which every action
 // is protected by the fencing token. Left is 0.
 func (l *Lease) LastTerm() Status {
 	if l.term == 0 || !l.candidate {
--- a/decide/order/plan.go
+++ b/decide/order/plan.go
@@ -63,7 +63,7 @@
 }
 
 // SetPlan replaces a service's plan. The error is a *PlanError; the previous plan
-// then remains in force.
+// then stays active.
 func (p *Planner) SetPlan(service ids.Service, plan Plan) error {
 	if err := plan.check(service); err != nil {
 		return err
--- a/decide/order/tick.go
+++ b/decide/order/tick.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if e.applied && r.Epoch != e.orderEpoch {
-		// A restarted process has lost what the earlier one was told to load.
+		// A restarted process does not hold what the earlier one was ordered to load.
 		e.resetOrderAndLoad()
 	}
 	e.report = r
--- a/decide/placement/memory.go
+++ b/decide/placement/memory.go
@@ -16,7 +16,7 @@
 	minRepairWeightFraction = 0.8
 )
 
-// KV cache to leave beside the weights, as a number of concurrent requests of mean
+// KV cache to reserve in addition to the weights, as a number of concurrent requests of mean
 // size. A fixed fraction of the memory would ignore the length of prompts.
 const (
 	// slotUtilization is the fraction of an engine's slots for whose requests it keeps
@@ -34,7 +34,7 @@
 const weightFractionStep = 0.01
 
 // weightFractionBeside returns the fraction of a card's memory, 0 to 1, that weights may
-// take so that the KV cache of the given number of mean-sized requests fits beside
+// take so that the KV cache of the given number of mean-sized requests fits besides
 // them; 0 if the size of requests or of their cache is unknown.
 func weightFractionBeside(m *layered.Model, streams float64) float64 {
 	return m.MaxWeightFraction(streams * (m.MeanPromptTokens + m.MeanOutputTokens))
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -31,7 +31,7 @@
 	Slots int
 	// Holds is the range of layers it holds; empty if it holds none.
 	Holds layered.Range
-	// Target is the range that a pending order tells it to hold; empty if no order
+	// Target is the range of a pending order; empty if no order
 	// is pending.
 	Target layered.Range
 	// Fixed engines count as coverage but get no order in this plan.
--- a/decide/placement/repair.go
+++ b/decide/placement/repair.go
@@ -35,7 +35,7 @@
 }
 
 // repair returns the next orders on the cheapest way to cover every layer again. It
-// is for zones that lost an engine for good and whose neighbours cannot close the
+// is for zones that lost an engine permanently and whose neighbours cannot close the
 // gap by themselves: engines whose layers their neighbours can take over move to
 // the gap, and others shift their range along the model. It returns nil if the
 // engines do not suffice.
--- a/decide/placement/tiling.go
+++ b/decide/placement/tiling.go
@@ -157,7 +157,7 @@
 // not count as serving them.
 func trim(m *layered.Model, engines []Engine, o Options) []Order {
 	o.groupFraction += maxWeightFractionIncrease
-	// Fixed engines may still be loading the layers that they were told to hold.
+	// Fixed engines may still be loading the layers that they were ordered to hold.
 	covered := coverage(m, slices.DeleteFunc(slices.Clone(engines), func(e Engine) bool { return e.Fixed }))
 	for _, e := range engines {
 		over := e.Holds.Len() - capacity(m, e, o)
--- a/decide/retryafter/retryafter.go
+++ b/decide/retryafter/retryafter.go
@@ -4,7 +4,7 @@
 // advance and is estimated from earlier outages.
 //
 // A caller retries once or twice. If it retries while layers are still missing,
-// its request fails for good; if it retries too late, it only waits longer. An
+// its request fails permanently; if it retries too late, it only waits longer. An
 // outage is therefore expected to last as long as recent ones on average, and
 // one that has already lasted longer is expected to last as long again.
 //
@@ -24,7 +24,7 @@
 	// latestWeight is the weight of the latest outage in the moving average.
 	latestWeight = 0.5
 	// maxTimeLeftFraction is the maximum fraction of a caller's remaining time that it
-	// is told to wait.
+	// is advised to wait.
 	maxTimeLeftFraction = 1.0 / 3
 )
 
--- a/decide/retryafter/retryafter_test.go
+++ b/decide/retryafter/retryafter_test.go
@@ -34,8 +34,8 @@
 	return callers, refusedTwice
 }
 
-// If callers are always told to retry after 0.8 s, and layers are missing for
-// four seconds or more, their retries are refused for good. Of 602 requests that
+// If the advised delay is always 0.8 s, and layers are missing for
+// four seconds or more, their retries are refused too, and they give up. Of 602 requests that
 // got no answer in time, 129 failed this way.
 func TestCallersOfLongOutagesAreServedWhenTheyComeBack(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -41,7 +41,7 @@
 	// Every node already polls three, so one is left when any two fail.
 	sourcesPerTier = 3
 	// leaseCandidatesPerZone is the number of nodes in each zone that compete for the
-	// lease of duties that one node does for the whole fleet.
+	// lease for the tasks that one node does for the entire fleet.
 	leaseCandidatesPerZone = 2
 )
 
@@ -175,8 +175,8 @@
 	return watches
 }
 
-// IsLeaseCandidate reports whether the node competes for the lease of duties that one
-// node does for the whole fleet.
+// IsLeaseCandidate reports whether the node competes for the lease for the tasks
+// that one node does for the entire fleet.
 func (r *Roster) IsLeaseCandidate(now time.Time) bool {
 	if !r.ready {
 		return false
--- a/decide/roster/spread_test.go
+++ b/decide/roster/spread_test.go
@@ -16,7 +16,7 @@
 // the directory polled the watcher that was cut off five times in a row, until the watch
 // of that one ended after 3.4 s. With both watchers cut off, the delay was up to 3.5 s.
 //
-// A change must be in force 2 s after its acknowledgement. Half a second of it is
+// A change must have taken effect 2 s after its acknowledgement. Half a second of it is
 // reserved for one link and a request in flight.
 const (
 	// oneFaultBound is the maximum delay of a change during one fault.
--- a/decide/roster/times.go
+++ b/decide/roster/times.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A change must be in force on every node within 2 s of its acknowledgement. After that,
+// A change must take effect on every node within 2 s of its acknowledgement. After that,
 // an upstream that leaves the fleet must get no new requests. Half a second of the 2 s is
 // reserved for links and requests in flight. An update passes up to two nodes on its
 // way, and each node polls its sources in turn, so a limit on one poll limits the whole
--- a/decide/router/router_test.go
+++ b/decide/router/router_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// The claim must be released before the caller is told that the request was not
+// The claim must be released before the caller is notified that the request was not
 // run. Otherwise a repeat could be refused because of the claim.
 func TestClaimIsReleasedBeforeNotRunAnswer(t *testing.T) {
 	s := newScript()
--- a/decide/topology/flow.go
+++ b/decide/topology/flow.go
@@ -117,7 +117,7 @@
 	return s
 }
 
-// engine returns the fraction of an engine, limited to 0 through 1.
+// engine returns the fraction of engine i that may be used, limited to 0 through 1.
 func (sc Scale) engine(i int) float64 {
 	if sc.Engine == nil {
 		return 1
@@ -125,7 +125,8 @@
 	return min(max(sc.Engine(i), 0), 1)
 }
 
-// link returns the fraction of an edge, limited to 0 through 1.
+// link returns the fraction of the k-th edge of engine i that may be used, limited to
+// 0 through 1.
 func (sc Scale) link(i, k int) float64 {
 	if sc.Link == nil {
 		return 1
--- a/mimosactl/answers/answers.go
+++ b/mimosactl/answers/answers.go
@@ -20,9 +20,9 @@
 
 // Chat implements load.Checker. A complete answer must equal the stand-in's text
 // for the prompt; an incomplete one must be a prefix of it.
-func (Checker) Chat(messages []engineapi.Message, maxTokens int, text string, whole bool) bool {
+func (Checker) Chat(messages []engineapi.Message, maxTokens int, text string, complete bool) bool {
 	want := engine.Answer(messages, maxTokens)
-	if whole {
+	if complete {
 		return text == want
 	}
 	return strings.HasPrefix(want, text)
--- a/standin/engine/registry.go
+++ b/standin/engine/registry.go
@@ -9,7 +9,7 @@
 )
 
 // stageIdleTimeout is how long an attempt counts as running on a later stage after
-// its last step there. A stage is not told when an attempt ends early.
+// its last step there. A stage is not notified when an attempt ends early.
 const stageIdleTimeout = time.Second
 
 // attemptKey identifies one attempt of a request.
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -189,7 +189,7 @@
 	delete(r.pairs, p)
 }
 
-// openPairs returns the registered pairs.
+// openPairs returns all pairs of connections that are open.
 func (r *Relay) openPairs() []*pair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
