--- a/adapter/caller/conn.go
+++ b/adapter/caller/conn.go
@@ -69,15 +69,15 @@
 // Close implements io.Closer.
 func (c *conn) Close() error {
 	if c.linger.CompareAndSwap(true, false) {
-		c.drain()
+		c.discardRest()
 	}
 	return c.Conn.Close()
 }
 
-// drain closes the sending side and reads what the caller still sends, within
+// discardRest closes the sending side and reads what the caller still sends, within
 // lingerTimeout and maxLingerBytes. Closing a connection with unread bytes
 // would reset it, and the caller could lose the answer.
-func (c *conn) drain() {
+func (c *conn) discardRest() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -59,11 +59,11 @@
 
 // Defaults of Options. Divisors are relative to Options.Duration.
 const (
-	DefaultDuration = 15 * time.Second
-	marginDivisor   = 10
-	readDivisor     = 4
-	retryMinDivisor = 20
-	retryMaxDivisor = 2
+	DefaultDuration     = 15 * time.Second
+	marginDivisor       = 10
+	readIntervalDivisor = 4
+	retryMinDivisor     = 20
+	retryMaxDivisor     = 2
 	// A lease is renewed once a third of its duration has passed.
 	renewDivisor = 3
 )
@@ -76,7 +76,7 @@
 func (o Options) withDefaults() Options {
 	o.Duration = cmp.Or(o.Duration, DefaultDuration)
 	o.Margin = cmp.Or(o.Margin, o.Duration/marginDivisor)
-	o.ReadInterval = cmp.Or(o.ReadInterval, o.Duration/readDivisor)
+	o.ReadInterval = cmp.Or(o.ReadInterval, o.Duration/readIntervalDivisor)
 	o.RetryMin = cmp.Or(o.RetryMin, o.Duration/retryMinDivisor)
 	o.RetryMax = cmp.Or(o.RetryMax, o.Duration/retryMaxDivisor)
 	return o
--- a/decide/member/command.go
+++ b/decide/member/command.go
@@ -36,7 +36,7 @@
 
 // Reasons of PeerGone.
 const (
-	// Silent means that the peer has not been heard from for GoneAfter cycles. It may
+	// Silent means that no message of the peer has arrived for GoneAfter cycles. It may
 	// still run behind a network partition, so its share of a limit must not be given to
 	// other nodes.
 	Silent GoneReason = iota
--- a/decide/member/member.go
+++ b/decide/member/member.go
@@ -53,7 +53,7 @@
 	// before it becomes Suspect and Gone. In one cycle each peer gets one digest.
 	// Default 4 and 20.
 	SuspectAfter, GoneAfter int
-	// ForgetAfter is how long an unlisted peer is kept after it was last heard from.
+	// ForgetAfter is how long an unlisted peer is kept after its last message.
 	// Default 10m.
 	ForgetAfter time.Duration
 	// MaxPeers limits the number of peers. Default 1024.
--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -10,7 +10,7 @@
 // Orders carry the fencing token of the lease's term. Engines that do not check it
 // get no order until the last orders of an earlier holder have timed out.
 //
-// The package is pure: the same events give the same commands. A Planner is not
+// The package is pure: the same events result in the same commands. A Planner is not
 // safe for concurrent use.
 package order
 
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -11,7 +11,7 @@
 // assigned layers, unless a zone lost layers that no empty engine can take over;
 // then other engines of the zone are reassigned. No engine gives up a layer that no
 // other engine of its zone serves, so an order never makes a zone serve fewer
-// layers. The package is pure: the same input gives the same plan.
+// layers. The package is pure: the same input results in the same plan.
 package placement
 
 import (
--- a/decide/router/claim.go
+++ b/decide/router/claim.go
@@ -153,8 +153,9 @@
 		ev.Reply.Epoch == prior.Epoch
 }
 
-// claimReleased gives the answer that waited for the release of the claim. The
-// adapter continues an unconfirmed release; the answer is correct either way.
+// claimReleased returns the answer that waited for the release of the claim to the
+// caller. The adapter continues an unconfirmed release; the answer is correct either
+// way.
 func (r *Router) claimReleased(ev ClaimReleased) {
 	req := r.requests[ev.ID]
 	if req == nil || req.state != releasing {
--- a/decide/router/command.go
+++ b/decide/router/command.go
@@ -49,7 +49,7 @@
 	Attempt ids.Attempt
 }
 
-// Finish gives the caller the final answer. Each request gets exactly one. Err is
+// Finish returns the final answer to the caller. Each request gets exactly one. Err is
 // nil if the complete answer was delivered.
 type Finish struct {
 	ID  ids.Request
--- a/decide/router/dispatch.go
+++ b/decide/router/dispatch.go
@@ -137,8 +137,9 @@
 	}
 }
 
-// finish gives the final answer, unless the request has one. The caller forgets
-// the request once nothing of it is in flight.
+// finish returns the final answer to the request's caller, unless it was returned
+// before. The function that calls finish forgets the request once nothing of it is in
+// flight.
 func (r *Router) finish(req *request, err *outcome.Error) {
 	if req.answered {
 		return
--- a/mimosactl/app/status.go
+++ b/mimosactl/app/status.go
@@ -142,7 +142,7 @@
 	return rows
 }
 
-// vmsText lists VMs, or returns their number if every node is listed.
+// vmsText returns the VMs separated by spaces, or "all N" if they are all N nodes queried.
 func (s fleetStatus) vmsText(vms []string) string {
 	if len(vms) == len(s.Nodes) {
 		return fmt.Sprintf("all %d", len(vms))
