--- a/decide/placement/memory.go
+++ b/decide/placement/memory.go
@@ -33,22 +33,22 @@
 // weightFractionStep is the step of the search for a group's weight fraction.
 const weightFractionStep = 0.01
 
-// weightFractionBeside returns the fraction of a card's memory, 0 to 1, that weights may
+// weightFractionWithKVCache returns the fraction of a card's memory, 0 to 1, that weights may
 // take so that the KV cache of the given number of mean-sized requests fits besides
 // them; 0 if the size of requests or of their cache is unknown.
-func weightFractionBeside(m *layered.Model, streams float64) float64 {
+func weightFractionWithKVCache(m *layered.Model, streams float64) float64 {
 	return m.MaxWeightFraction(streams * (m.MeanPromptTokens + m.MeanOutputTokens))
 }
 
 // repairOptions returns options that leave KV cache for repairReserveStreams requests.
 func repairOptions(m *layered.Model) Options {
-	return Options{groupFraction: max(weightFractionBeside(m, repairReserveStreams), minRepairWeightFraction)}
+	return Options{groupFraction: max(weightFractionWithKVCache(m, repairReserveStreams), minRepairWeightFraction)}
 }
 
 // minReserveOptions returns options that leave KV cache for only minReserveStreams requests:
 // the highest weight fraction that is allowed.
 func minReserveOptions(m *layered.Model) Options {
-	return Options{groupFraction: max(weightFractionBeside(m, minReserveStreams), minRepairWeightFraction)}
+	return Options{groupFraction: max(weightFractionWithKVCache(m, minReserveStreams), minRepairWeightFraction)}
 }
 
 // usualFraction returns the weight fraction of a group that leaves KV cache for the
@@ -62,7 +62,7 @@
 	if slots == 0 {
 		return DefaultWeightFraction
 	}
-	return min(max(weightFractionBeside(m, slotUtilization*float64(slots)), DefaultWeightFraction), maxUsualWeightFraction)
+	return min(max(weightFractionWithKVCache(m, slotUtilization*float64(slots)), DefaultWeightFraction), maxUsualWeightFraction)
 }
 
 // fittingFraction returns the weight fraction of a group: the smallest from usual
